--- a/agent/agent.go
+++ b/agent/agent.go
@@ -224,7 +224,7 @@
 
 // Follow has the module follow a steward's view of the fleet.
 func (a *Agent) Follow(v spread.View) {
-	a.post("", func() { a.act(a.ctrl.Follow(a.now(), v)) })
+	a.post("", func() { a.act(a.ctrl.ApplyView(a.now(), v)) })
 }
 
 // Sights is what the agent sees of the setup servers; nil where Config.Sights is not set.
@@ -265,7 +265,7 @@
 	}()
 	e.do()
 	a.figures.inFlight.Store(int64(a.open + a.stand))
-	listed, avoided := a.ctrl.Hosts()
+	listed, avoided := a.ctrl.CountServers()
 	a.figures.listed.Store(int64(listed))
 	a.figures.avoided.Store(int64(avoided))
 }
@@ -366,7 +366,7 @@
 }
 
 // Reported brings a report that came outside an answer, or the outcome of a probe.
-func (a *Agent) Reported(p policy.Probed) {
+func (a *Agent) Reported(p policy.ReportReceived) {
 	a.post("", func() {
 		a.sights.noteReport(p)
 		a.act(a.ctrl.Handle(a.now(), p))
@@ -408,11 +408,11 @@
 	}
 	a.recent.Add(in.ID)
 	if a.held.Load() {
-		a.refuse(f, in, min(heldAway, a.cfg.Settings.Limits.CoolDown))
+		a.refuse(f, in, min(heldAway, a.cfg.Settings.Limits.MaxRetryAfter))
 		return false
 	}
 	if a.open >= cmp.Or(a.cfg.MaxOpen, 4096) {
-		a.refuse(f, in, a.cfg.Settings.Limits.CoolDown)
+		a.refuse(f, in, a.cfg.Settings.Limits.MaxRetryAfter)
 		return false
 	}
 	a.sights.noteCall(in.Class)
@@ -443,8 +443,8 @@
 	route, left := a.route(in, max(time.Until(in.Deadline), 0))
 	c.timeout = route.AttemptTimeout
 	a.act(a.ctrl.Handle(a.now(), policy.Arrival{ID: in.ID, Class: in.Class, Tenant: in.Tenant,
-		Left: left, Pool: in.Pool, Number: in.Number, Again: in.Again,
-		Attempts: route.Attempts, Spacing: route.Spacing, Pools: route.Pools}))
+		TimeLeft: left, Pool: in.Pool, Number: in.Number, Redial: in.Again,
+		MaxAttempts: route.Attempts, RetryDelay: route.Spacing, Pools: route.Pools}))
 }
 
 // check looks at what a caller claims before anything is kept of it. A setup server answers
@@ -467,7 +467,7 @@
 		return bad("no description")
 	case c.Pool < -1 || c.Pool >= 0 && class.Pools != nil && !slices.Contains(class.Pools, c.Pool):
 		return bad("first choice %d", c.Pool)
-	case c.Width != 0 && class.Width != 0 && c.Width != class.Width:
+	case c.Width != 0 && class.LinesPerCall != 0 && c.Width != class.LinesPerCall:
 		return bad("width %d", c.Width)
 	}
 	return nil
@@ -577,7 +577,7 @@
 
 func (a *Agent) servers(list []Server, whole bool) {
 	list = a.oneEach(list, whole)
-	news := policy.List{Whole: whole}
+	news := policy.ServerList{Whole: whole}
 	for _, s := range list {
 		news.Servers = append(news.Servers, s.Server)
 	}
@@ -607,7 +607,7 @@
 		c.Description = nil
 		a.answer(c.front, c.Call, description)
 	})
-	a.sights.noteTry(c.server, policy.OK, a.now()-c.sentAt, policy.NoReport())
+	a.sights.noteTry(c.server, policy.OK, a.now()-c.sentAt, policy.EmptyReport())
 	a.act(a.ctrl.Handle(a.now(), policy.Standing{ID: id, Attempt: n, Server: c.server,
 		Delay: a.now() - c.sentAt}))
 }
@@ -674,7 +674,7 @@
 			}
 		case policy.Refuse:
 			if c := a.calls[d.ID]; c != nil && !c.resolved && !c.keeping {
-				a.final(c, Promised{Outcome: Refused, ComeBack: d.CoolDown}, func() { a.refuse(c.front, c.Call, d.CoolDown) })
+				a.final(c, Promised{Outcome: Refused, ComeBack: d.RetryAfter}, func() { a.refuse(c.front, c.Call, d.RetryAfter) })
 			}
 		case policy.Fail:
 			if c := a.calls[d.ID]; c != nil && !c.resolved && !c.keeping {
@@ -701,7 +701,7 @@
 	n := c.attempts
 	c.attempts++
 	c.server, c.out, c.givenUp, c.sentAt = d.Server, true, false, a.now()
-	left := d.Until - c.sentAt
+	left := d.Deadline - c.sentAt
 	if c.timeout > 0 {
 		left = min(left, c.timeout)
 	}
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -21,12 +21,12 @@
 	return policy.Settings{
 		Senders: 2,
 		Classes: []policy.Class{{Name: "voice", Aim: 1500 * ms, Deadline: 9 * time.Second,
-			Hold: 8 * time.Second, Worth: 1, Pools: []int{0, 1}, Width: 1}},
+			Hold: 8 * time.Second, Worth: 1, Pools: []int{0, 1}, LinesPerCall: 1}},
 		Tenants: []policy.Tenant{{Name: "t", Allowance: 100}},
 		Reports: policy.WithAnswers,
-		Limits:  policy.Limits{Attempts: 5, CoolDown: 2 * time.Second, Cancel: true},
-		Rules: policy.Rules{ClearWait: 300 * ms, Cold: 14 * time.Second, TipAfter: time.Second,
-			ColdFrom: 0.3, FallMultiple: 3},
+		Limits:  policy.Limits{MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, AllowCancel: true},
+		Rules: policy.Rules{RetryDelay: 300 * ms, WarmUp: 14 * time.Second, LoadSpan: time.Second,
+			ColdShare: 0.3, CollapseLoad: 3},
 		Repeat: 800 * ms, Tick: 5 * ms,
 	}
 }
@@ -132,11 +132,11 @@
 // each call gets one final answer, and what is left at a server is given up.
 func TestOrders(t *testing.T) {
 	stands := func(a *Agent, s *side) { a.Stands("c", 0, []byte("d")) }
-	cut := func(a *Agent, s *side) { a.Ended("c", 0, gone, policy.NoReport()) }
-	done := func(a *Agent, s *side) { a.Ended("c", 0, nil, policy.NoReport()) }
+	cut := func(a *Agent, s *side) { a.Ended("c", 0, gone, policy.EmptyReport()) }
+	done := func(a *Agent, s *side) { a.Ended("c", 0, nil, policy.EmptyReport()) }
 	leave := func(a *Agent, s *side) { a.Withdraw(s, "c") }
 	cancelled := func(a *Agent, s *side) {
-		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.Cancelled}, policy.NoReport())
+		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.Cancelled}, policy.EmptyReport())
 	}
 	for _, tc := range []struct {
 		name  string
@@ -187,7 +187,7 @@
 		require.Empty(t, s.heard())
 		after(2 * ms)
 		require.Equal(t, []string{"set up c.0 at s", "give up c.0 at s"}, s.did())
-		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut}, policy.NoReport())
+		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut}, policy.EmptyReport())
 		synctest.Wait()
 		require.Equal(t, []string{"failed c written"}, s.heard(), "how far it came is told")
 	})
@@ -195,7 +195,7 @@
 		offer(a, s, "c", 800*ms)
 		after(811 * ms)
 		require.Equal(t, []string{"failed c"}, s.heard(), "the core's own last word")
-		a.Ended("c", 0, gone, policy.NoReport())
+		a.Ended("c", 0, gone, policy.EmptyReport())
 		after(time.Second)
 		require.Equal(t, []string{"failed c"}, s.heard())
 		require.Empty(t, a.calls)
@@ -208,12 +208,12 @@
 	play(t, func(a *Agent, s *side) {
 		earn(a, s)
 		offer(a, s, "c", 3*time.Second)
-		a.Ended("c", 0, gone, policy.NoReport())
+		a.Ended("c", 0, gone, policy.EmptyReport())
 		after(299 * ms)
 		require.NotContains(t, s.did(), "set up c.1 at s")
 		after(60 * ms)
 		require.Contains(t, s.did(), "set up c.1 at s")
-		a.Ended("c", 0, gone, policy.NoReport()) // a late word of the first attempt
+		a.Ended("c", 0, gone, policy.EmptyReport()) // a late word of the first attempt
 		synctest.Wait()
 		require.NotContains(t, s.heard(), "refused c")
 
@@ -332,7 +332,7 @@
 		synctest.Wait()
 		s.panics = false
 		require.Contains(t, s.did(), "give up c.0 at s")
-		a.Ended("c", 0, &Failure{Result: policy.Cancelled}, policy.NoReport())
+		a.Ended("c", 0, &Failure{Result: policy.Cancelled}, policy.EmptyReport())
 		offer(a, s, "d", 3*time.Second)
 		a.Stands("d", 0, nil)
 		synctest.Wait()
@@ -427,7 +427,7 @@
 		tally := a.Tallies()["voice"]
 		require.EqualValues(t, 1, tally.Served.Load())
 		require.EqualValues(t, 2, tally.Refused.Load()+tally.Failed.Load())
-		a.Ended("c", 0, nil, policy.NoReport())
+		a.Ended("c", 0, nil, policy.EmptyReport())
 		synctest.Wait()
 		require.Zero(t, a.InFlight())
 	})
@@ -462,13 +462,13 @@
 		require.NotContains(t, s.did(), "give up c.0 at s")
 		after(2 * ms)
 		require.Contains(t, s.did(), "give up c.0 at s")
-		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.NoReport())
+		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.EmptyReport())
 		after(499 * ms)
 		require.NotContains(t, s.did(), "set up c.1 at s")
 		after(60 * ms)
 		require.Contains(t, s.did(), "set up c.1 at s")
 		after(401 * ms)
-		a.Ended("c", 1, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.NoReport())
+		a.Ended("c", 1, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.EmptyReport())
 		synctest.Wait()
 		require.Contains(t, s.heard(), "refused c", "two attempts were all its route allows")
 	})
--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -56,7 +56,7 @@
 // claim asks for the call before the module hears of it: nothing is sent on meanwhile.
 func (a *Agent) claim(c *call) {
 	c.keeping = true
-	a.cfg.Keeper.Claim(c.Call, a.cfg.Settings.Limits.CoolDown, func(k Kept) {
+	a.cfg.Keeper.Claim(c.Call, a.cfg.Settings.Limits.MaxRetryAfter, func(k Kept) {
 		a.post(c.ID, func() { a.claimed(c, k) })
 	})
 }
--- a/agent/sight.go
+++ b/agent/sight.go
@@ -195,7 +195,7 @@
 	s.report(report)
 }
 
-func (v *Sights) noteReport(p policy.Probed) {
+func (v *Sights) noteReport(p policy.ReportReceived) {
 	if v == nil {
 		return
 	}
@@ -210,8 +210,8 @@
 }
 
 func (s *sighted) report(r policy.Report) {
-	if r.Total > 0 && r.Total < 1e9 {
-		s.lines = r.Total
+	if r.TotalLines > 0 && r.TotalLines < 1e9 {
+		s.lines = r.TotalLines
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -129,7 +129,7 @@
 			d.core.Spread(func(_ policy.Time, s *spread.State) { s.Placed(ids, placed) })
 		}, Log: log}, d.core)
 	d.core.Attach(d.pool)
-	d.stayAway = min(busyAway, set.Limits.CoolDown)
+	d.stayAway = min(busyAway, set.Limits.MaxRetryAfter)
 	d.front = isupfront.New(desk.Config{MaxPeers: d.parts.callers, StayAway: d.stayAway, Log: log}, d.core, d.ready)
 	d.second = second{d: d, front: callapi.New(desk.Config{StayAway: d.stayAway, Log: log}, d.core)}
 	d.follower = &bulletin.Follower{Core: d.core, Log: log, Patience: listPatience, Grace: listGrace,
--- a/internal/servers/trunk/hear.go
+++ b/internal/servers/trunk/hear.go
@@ -21,8 +21,8 @@
 	}
 	t.heard = l.heard
 	report, err := parseReport(m)
-	if err == nil && report.Wait >= 0 {
-		t.queued, t.queuedAt = time.Duration(report.Wait*float64(time.Second)), l.heard
+	if err == nil && report.WaitSeconds >= 0 {
+		t.queued, t.queuedAt = time.Duration(report.WaitSeconds*float64(time.Second)), l.heard
 	}
 	if err == nil {
 		err = t.take(l, m, report)
@@ -40,7 +40,7 @@
 			t.cfg.doubts.told(l.heard.Sub(l.stated))
 		}
 		l.stated = l.heard
-		t.core.Reported(policy.Probed{Server: t.server.ID, Result: policy.OK, Report: report})
+		t.core.Reported(policy.ReportReceived{Server: t.server.ID, Result: policy.OK, Report: report})
 	case isup.TestResult:
 		return t.probed(m, report)
 	case isup.Answer:
@@ -125,7 +125,7 @@
 			t.log.Info("release cut off half-way: call taken for over", "call", id)
 			t.release(t.link, id)
 			if t.open[id] == a {
-				t.end(id, a, failure(t.server.ID, agent.Stood, policy.Cut, errHalf), policy.NoReport())
+				t.end(id, a, failure(t.server.ID, agent.Stood, policy.Cut, errHalf), policy.EmptyReport())
 			}
 			return
 		}
@@ -169,7 +169,7 @@
 		if !kept { // that it has no connection tells nothing of it
 			result = policy.NotSent
 		}
-		t.core.Reported(policy.Probed{Server: t.server.ID, Result: result, Asked: true, Report: policy.NoReport()})
+		t.core.Reported(policy.ReportReceived{Server: t.server.ID, Result: result, Solicited: true, Report: policy.EmptyReport()})
 		t.connectAgain()
 		return
 	}
@@ -177,7 +177,7 @@
 	id := t.probeNo
 	t.probes[id] = time.Now()
 	time.AfterFunc(t.cfg.ProbeTimeout, func() {
-		t.post(func() { t.probeEnded(id, policy.TimedOut, policy.NoReport()) })
+		t.post(func() { t.probeEnded(id, policy.TimedOut, policy.EmptyReport()) })
 	})
 	if _, err := t.say(t.link, isup.Message{Type: isup.Test, Call: id}.WithCause(isup.Passed)); err != nil {
 		t.lost(t.link, err)
@@ -195,7 +195,7 @@
 	}
 	took := time.Since(t.probes[m.Call])
 	t.probeEnded(m.Call, result, report)
-	if result == policy.OK && report.Wait >= 0 && max(took, time.Duration(report.Wait*float64(time.Second))) < t.cfg.Stall/2 {
+	if result == policy.OK && report.WaitSeconds >= 0 && max(took, time.Duration(report.WaitSeconds*float64(time.Second))) < t.cfg.Stall/2 {
 		t.overtaken()
 	}
 	return nil
@@ -207,21 +207,21 @@
 		return
 	}
 	delete(t.probes, id)
-	t.core.Reported(policy.Probed{Server: t.server.ID, Result: r, Delay: time.Since(at), Asked: true,
+	t.core.Reported(policy.ReportReceived{Server: t.server.ID, Result: r, Delay: time.Since(at), Solicited: true,
 		Report: report})
 }
 
 // parseReport reads the load report of a message. Fields that the module has no place
 // for are skipped.
 func parseReport(m isup.Message) (policy.Report, error) {
-	r := policy.NoReport()
+	r := policy.EmptyReport()
 	text, ok := m.Get(isup.Report)
 	if !ok {
 		return r, nil
 	}
-	places := map[string]*float64{"x0": &r.Spare, "spare": &r.Spare, "x1": &r.Total, "total": &r.Total,
-		"util": &r.Util, "queue": &r.Queue, "qps": &r.Rate, "allowed": &r.Rate, "eps": &r.HoldBack,
-		"cut_by": &r.HoldBack, "latency_ms": &r.Wait}
+	places := map[string]*float64{"x0": &r.FreeLines, "spare": &r.FreeLines, "x1": &r.TotalLines, "total": &r.TotalLines,
+		"util": &r.Utilisation, "queue": &r.QueueLength, "qps": &r.AcceptRate, "allowed": &r.AcceptRate, "eps": &r.RefuseShare,
+		"cut_by": &r.RefuseShare, "latency_ms": &r.WaitSeconds}
 	var bad error
 	err := isup.Fields(string(text), func(name, value string) {
 		place := places[name]
@@ -234,7 +234,7 @@
 			return
 		}
 		if *place = x; name == "latency_ms" {
-			r.Wait /= 1000
+			r.WaitSeconds /= 1000
 		}
 	})
 	return r, errors.Join(err, bad)
--- a/internal/servers/trunk/looks_test.go
+++ b/internal/servers/trunk/looks_test.go
@@ -171,7 +171,7 @@
 							k.l.heard, k.l.spoke = time.Now(), true
 							k.answered(k.l, isup.Message{Call: id})
 						case a != nil:
-							k.trunk.end(id, a, nil, policy.NoReport())
+							k.trunk.end(id, a, nil, policy.EmptyReport())
 						}
 						if poll {
 							k.unset()
--- a/internal/servers/trunk/places_test.go
+++ b/internal/servers/trunk/places_test.go
@@ -199,7 +199,7 @@
 	w.Probe(far[4])
 	for asked := false; !asked; {
 		p := standin.Next(t, w.core.reports)
-		if asked = p.Asked; asked {
+		if asked = p.Solicited; asked {
 			assert.Equal(t, policy.NotSent, p.Result, "it tells nothing of the server")
 		}
 	}
--- a/internal/servers/trunk/pool.go
+++ b/internal/servers/trunk/pool.go
@@ -21,7 +21,7 @@
 	Stands(id string, n int, description []byte)
 	Ended(id string, n int, err *agent.Failure, r policy.Report)
 	Unknown(id string, err *agent.Failure)
-	Reported(p policy.Probed)
+	Reported(p policy.ReportReceived)
 }
 
 // Config are a pool's figures; the zero values of times get defaults.
@@ -182,7 +182,7 @@
 func (p *Pool) SetUp(a agent.Attempt) {
 	t := p.trunks[a.Server]
 	if t == nil || !t.box.Offer(func() { t.setUp(a) }) {
-		p.core.Ended(a.ID, a.N, failure(a.Server, agent.Unwritten, policy.NotSent, errBusy), policy.NoReport())
+		p.core.Ended(a.ID, a.N, failure(a.Server, agent.Unwritten, policy.NotSent, errBusy), policy.EmptyReport())
 	}
 }
 
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -166,7 +166,7 @@
 func (t *trunk) cutBefore(when time.Time) {
 	for id, a := range t.open {
 		if a.stands && a.since.Before(when) {
-			t.end(id, a, failure(t.server.ID, agent.Stood, policy.Cut, errDied), policy.NoReport())
+			t.end(id, a, failure(t.server.ID, agent.Stood, policy.Cut, errDied), policy.EmptyReport())
 		}
 	}
 }
@@ -185,7 +185,7 @@
 func (t *trunk) setUp(a agent.Attempt) {
 	open := t.server.State == policy.Up && !t.stopped
 	if open && !t.placed(subset.Call) { // told at once: another server may have one
-		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, policy.NotSent, errPlace), policy.NoReport())
+		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, policy.NotSent, errPlace), policy.EmptyReport())
 		return
 	}
 	if t.link == nil && open {
@@ -204,7 +204,7 @@
 func (t *trunk) write(a agent.Attempt) {
 	left := time.Until(a.Until)
 	unwritten := func(r policy.Result, err error) {
-		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, r, err), policy.NoReport())
+		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, r, err), policy.EmptyReport())
 	}
 	id, err := isup.ParseCallID(a.ID)
 	switch {
@@ -272,7 +272,7 @@
 // give-up is written: from then on the call may count the time until it goes out again.
 func (t *trunk) giveUp(callID string, n int, why policy.Result) {
 	if t.dequeue(callID, n) {
-		t.core.Ended(callID, n, failure(t.server.ID, agent.Unwritten, why, errGivenUp), policy.NoReport())
+		t.core.Ended(callID, n, failure(t.server.ID, agent.Unwritten, why, errGivenUp), policy.EmptyReport())
 		return
 	}
 	id, err := isup.ParseCallID(callID)
@@ -286,7 +286,7 @@
 	}
 	t.release(on, id)
 	if t.open[id] == a {
-		t.end(id, a, failure(t.server.ID, stage, why, errGivenUp), policy.NoReport())
+		t.end(id, a, failure(t.server.ID, stage, why, errGivenUp), policy.EmptyReport())
 	}
 }
 
@@ -442,7 +442,7 @@
 	waiting := t.waiting
 	t.waiting = nil
 	for _, a := range waiting {
-		t.core.Ended(a.ID, a.N, failure(t.server.ID, stage, r, err), policy.NoReport())
+		t.core.Ended(a.ID, a.N, failure(t.server.ID, stage, r, err), policy.EmptyReport())
 	}
 }
 
@@ -450,7 +450,7 @@
 func (t *trunk) tired(id string, n int) {
 	if t.dequeue(id, n) {
 		t.core.Ended(id, n, failure(t.server.ID, agent.Unconnected, policy.Unreachable,
-			context.DeadlineExceeded), policy.NoReport())
+			context.DeadlineExceeded), policy.EmptyReport())
 	}
 }
 
@@ -522,7 +522,7 @@
 	}
 	for id, a := range t.open {
 		if a.link == l && !a.stands {
-			t.end(id, a, failure(t.server.ID, agent.Written, policy.Cut, err), policy.NoReport())
+			t.end(id, a, failure(t.server.ID, agent.Written, policy.Cut, err), policy.EmptyReport())
 			t.release(t.link, id) // its answer may have been lost: then a call stands there
 		}
 	}
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -31,7 +31,7 @@
 
 type core struct {
 	told    chan told
-	reports chan policy.Probed
+	reports chan policy.ReportReceived
 	unknown chan string
 }
 
@@ -40,7 +40,7 @@
 	c.told <- told{false, id, n, err, time.Now()}
 }
 func (c *core) Unknown(id string, err *agent.Failure) { c.unknown <- id }
-func (c *core) Reported(p policy.Probed) {
+func (c *core) Reported(p policy.ReportReceived) {
 	select {
 	case c.reports <- p:
 	default:
@@ -70,7 +70,7 @@
 }
 
 func start(t *testing.T, cfg Config) (*Pool, *core) {
-	c := &core{make(chan told, 100), make(chan policy.Probed, 100), make(chan string, 100)}
+	c := &core{make(chan told, 100), make(chan policy.ReportReceived, 100), make(chan string, 100)}
 	p := NewPool(cfg, c)
 	t.Cleanup(p.Close)
 	return p, c
@@ -561,15 +561,15 @@
 	p, c := start(t, Config{ProbeTimeout: time.Second})
 	s := standin.NewServer(t, "")
 	p.news(listed(s.Addr, policy.Up, time.Time{}))
-	require.False(t, (<-c.reports).Asked, "the state of the group comes first")
+	require.False(t, (<-c.reports).Solicited, "the state of the group comes first")
 	p.Probe("s")
 	g := s.Await(t, isup.Test)
 	g.Conn.Send(isup.Message{Type: isup.TestResult, Call: g.Call}.WithCause(isup.Passed).
 		WithText(isup.Report, "x0:7;x1:9;latency_ms:40;new_field:?"))
 	got := <-c.reports
-	assert.True(t, got.Asked)
+	assert.True(t, got.Solicited)
 	assert.Equal(t, policy.OK, got.Result)
-	assert.Equal(t, []float64{7, 9, 0.04}, []float64{got.Report.Spare, got.Report.Total, got.Report.Wait})
+	assert.Equal(t, []float64{7, 9, 0.04}, []float64{got.Report.FreeLines, got.Report.TotalLines, got.Report.WaitSeconds})
 	p.Probe("s")
 	assert.Equal(t, policy.TimedOut, (<-c.reports).Result)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,20 +90,20 @@
 func (in Info) Policy() policy.Settings {
 	s := policy.Settings{
 		Rank: in.Rank, Senders: in.Senders,
-		OverUse: in.OverShare,
-		Repeat:  Micros(in.Domain.Repeat),
-		Tick:    Micros(in.Resolution),
-		Marked:  in.Callers.MarksRetry, TellWait: in.Domain.GivesWait,
-		Limits: policy.Limits{Attempts: in.Limits.MaxAttempts, Probes: in.Limits.Probes,
-			Cancel: in.Limits.Cancel},
+		OverAllowanceWorth: in.OverShare,
+		Repeat:             Micros(in.Domain.Repeat),
+		Tick:               Micros(in.Resolution),
+		RedialsMarked:      in.Callers.MarksRetry, FullStatesWait: in.Domain.GivesWait,
+		Limits: policy.Limits{MaxAttempts: in.Limits.MaxAttempts, AllowProbes: in.Limits.Probes,
+			AllowCancel: in.Limits.Cancel},
 		Rules: policy.Rules{
-			ClearWait: Micros(in.Domain.ClearWait),
-			Cold:      Micros(in.Guarantees.Cold), ColdFrom: in.Guarantees.ColdFrom,
-			FallMultiple: in.Guarantees.FallMultiple, TipAfter: Micros(in.Guarantees.TipAfter),
+			RetryDelay: Micros(in.Domain.ClearWait),
+			WarmUp:     Micros(in.Guarantees.Cold), ColdShare: in.Guarantees.ColdFrom,
+			CollapseLoad: in.Guarantees.FallMultiple, LoadSpan: Micros(in.Guarantees.TipAfter),
 		},
 	}
 	if in.Limits.RetryAfter {
-		s.Limits.CoolDown = Micros(in.Limits.MaxRetryAfter)
+		s.Limits.MaxRetryAfter = Micros(in.Limits.MaxRetryAfter)
 	}
 	switch in.Stats.How {
 	case "piggyback":
@@ -121,7 +121,7 @@
 			c.Pools = in.Domain.PoolsByClass[i]
 		}
 		if i < len(in.Domain.Widths) {
-			c.Width = in.Domain.Widths[i]
+			c.LinesPerCall = in.Domain.Widths[i]
 		}
 		s.Classes = append(s.Classes, c)
 	}
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -14,53 +14,53 @@
 	"woodrouter/policy"
 )
 
-// fields walks over the values of one line and keeps the first error.
-type fields struct {
+// fieldReader walks over the values of one line and keeps the first error.
+type fieldReader struct {
 	rest string
-	open bool // values are left
+	more bool // values are left
 	err  error
 }
 
-func split(line string) (string, *fields) {
+func splitLine(line string) (string, *fieldReader) {
 	name, rest, open := strings.Cut(line, " ")
-	return name, &fields{rest: rest, open: open}
+	return name, &fieldReader{rest: rest, more: open}
 }
 
-func (f *fields) fail(field, format string, args ...any) {
+func (f *fieldReader) fail(field, format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %s", field, fmt.Sprintf(format, args...))
 	}
 }
 
 // next returns the next value as it stands.
-func (f *fields) next(field string) string {
+func (f *fieldReader) next(field string) string {
 	if f.err != nil {
 		return ""
 	}
-	if !f.open {
+	if !f.more {
 		f.fail(field, "missing")
 		return ""
 	}
 	var v string
-	v, f.rest, f.open = strings.Cut(f.rest, " ")
+	v, f.rest, f.more = strings.Cut(f.rest, " ")
 	if v == "" {
 		f.fail(field, "empty")
 	}
 	return v
 }
 
-// text returns the rest of the line.
-func (f *fields) text(field string) string {
-	if f.err == nil && !f.open {
+// remainder returns the rest of the line.
+func (f *fieldReader) remainder(field string) string {
+	if f.err == nil && !f.more {
 		f.fail(field, "missing")
 	}
 	v := f.rest
-	f.rest, f.open = "", false
+	f.rest, f.more = "", false
 	return v
 }
 
-// word returns a value that must be there.
-func (f *fields) word(field string) string {
+// required returns a value that must be there.
+func (f *fieldReader) required(field string) string {
 	v := f.next(field)
 	if v == "-" {
 		f.fail(field, "absent")
@@ -68,16 +68,16 @@
 	return v
 }
 
-// maybe returns a value, or "" where it is absent.
-func (f *fields) maybe(field string) string {
+// optionalText returns a value, or "" where it is absent.
+func (f *fieldReader) optionalText(field string) string {
 	if v := f.next(field); v != "-" {
 		return v
 	}
 	return ""
 }
 
-func (f *fields) int(field string, least, most int64) int64 {
-	v := f.word(field)
+func (f *fieldReader) int(field string, least, most int64) int64 {
+	v := f.required(field)
 	if f.err != nil {
 		return 0
 	}
@@ -90,9 +90,9 @@
 	return n
 }
 
-// optional is an int that may be absent, and is then none.
-func (f *fields) optional(field string, least, most, none int64) int64 {
-	if f.open && (f.rest == "-" || strings.HasPrefix(f.rest, "- ")) {
+// optionalInt is an int that may be absent, and is then none.
+func (f *fieldReader) optionalInt(field string, least, most, none int64) int64 {
+	if f.more && (f.rest == "-" || strings.HasPrefix(f.rest, "- ")) {
 		f.next(field)
 		return none
 	}
@@ -101,11 +101,11 @@
 
 const maxMicros = math.MaxInt64 / int64(time.Microsecond) / 2
 
-func (f *fields) micros(field string) time.Duration {
-	return settings.Micros(f.optional(field, 0, maxMicros, 0))
+func (f *fieldReader) micros(field string) time.Duration {
+	return settings.Micros(f.optionalInt(field, 0, maxMicros, 0))
 }
 
-func (f *fields) float(field, v string) float64 {
+func (f *fieldReader) float(field, v string) float64 {
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil {
 		f.fail(field, "%q is no number", v)
@@ -113,8 +113,8 @@
 	return x
 }
 
-func (f *fields) bool(field string) bool {
-	switch v := f.word(field); v {
+func (f *fieldReader) bool(field string) bool {
+	switch v := f.required(field); v {
 	case "1":
 		return true
 	case "0":
@@ -124,8 +124,8 @@
 	return false
 }
 
-func (f *fields) end() error {
-	if f.err == nil && f.open {
+func (f *fieldReader) end() error {
+	if f.err == nil && f.more {
 		f.fail("after the last", "surplus %q", f.rest)
 	}
 	return f.err
@@ -137,8 +137,8 @@
 	"CANCELLED": policy.Cancelled, "TOO_LATE": policy.NotSent,
 }
 
-func (f *fields) result(field string) policy.Result {
-	v := f.word(field)
+func (f *fieldReader) result(field string) policy.Result {
+	v := f.required(field)
 	r, ok := results[v]
 	if !ok {
 		f.fail(field, "unknown outcome %q", v)
@@ -150,9 +150,9 @@
 
 // report reads a row of figures in the order of names; figures without a place
 // in policy.Report are checked and skipped.
-func (f *fields) report(field string, names []string) policy.Report {
-	r := policy.NoReport()
-	row := f.maybe(field)
+func (f *fieldReader) report(field string, names []string) policy.Report {
+	r := policy.EmptyReport()
+	row := f.optionalText(field)
 	if row == "" || f.err != nil {
 		return r
 	}
@@ -168,59 +168,59 @@
 		x := f.float(field, v)
 		switch names[i] {
 		case "spare":
-			r.Spare = x
+			r.FreeLines = x
 		case "total":
-			r.Total = x
+			r.TotalLines = x
 		case "util":
-			r.Util = x
+			r.Utilisation = x
 		case "queue":
-			r.Queue = x
+			r.QueueLength = x
 		case "allowed":
-			r.Rate = x
+			r.AcceptRate = x
 		case "cut_by":
-			r.HoldBack = x
+			r.RefuseShare = x
 		case "latency_ms":
-			r.Wait = max(x/1000, policy.None)
+			r.WaitSeconds = max(x/1000, policy.NotReported)
 		}
 	}
 	return r
 }
 
-const retryFlag = 2 // bit of flags: dialled again
+const redialFlag = 2 // bit of flags: dialled again
 
-func (f *fields) arrival() policy.Arrival {
-	a := policy.Arrival{ID: f.word("requestId"), Class: f.word("grade"), Tenant: f.maybe("project")}
-	a.Number = f.maybe("nameKey")
-	a.Left = f.micros("grace")
-	f.optional("workHint", 0, maxMicros, 0)
-	a.Pool = int(f.optional("dest", -1, math.MaxInt32, -1))
-	f.optional("width", 0, math.MaxInt32, 1)
-	f.optional("advisedRoute", -1, math.MaxInt32, -1)
-	a.Again = f.optional("flags", 0, math.MaxInt32, 0)&retryFlag != 0
+func (f *fieldReader) arrival() policy.Arrival {
+	a := policy.Arrival{ID: f.required("requestId"), Class: f.required("grade"), Tenant: f.optionalText("project")}
+	a.Number = f.optionalText("nameKey")
+	a.TimeLeft = f.micros("grace")
+	f.optionalInt("workHint", 0, maxMicros, 0)
+	a.Pool = int(f.optionalInt("dest", -1, math.MaxInt32, -1))
+	f.optionalInt("width", 0, math.MaxInt32, 1)
+	f.optionalInt("advisedRoute", -1, math.MaxInt32, -1)
+	a.Redial = f.optionalInt("flags", 0, math.MaxInt32, 0)&redialFlag != 0
 	return a
 }
 
-func (f *fields) standing() policy.Standing {
-	s := policy.Standing{ID: f.word("requestId"), Server: f.word("switch"), Delay: f.micros("delaySeen")}
+func (f *fieldReader) standing() policy.Standing {
+	s := policy.Standing{ID: f.required("requestId"), Server: f.required("switch"), Delay: f.micros("delaySeen")}
 	s.Attempt = int(f.int("go", 0, math.MaxInt32))
 	return s
 }
 
 // Values of clearCode; a full processor adds 16 times a wait in milliseconds.
 const (
-	lineCode = 1
-	fullCode = 3
-	busyCode = 4
+	noLinesCode = 1
+	fullCode    = 3
+	busyCode    = 4
 )
 
-func (f *fields) ended(names []string) policy.Ended {
-	e := policy.Ended{ID: f.word("requestId"), Attempt: int(f.int("go", 0, math.MaxInt32))}
-	e.Server, e.Result, e.Delay = f.word("switch"), f.result("rc"), f.micros("delaySeen")
+func (f *fieldReader) ended(names []string) policy.Ended {
+	e := policy.Ended{ID: f.required("requestId"), Attempt: int(f.int("go", 0, math.MaxInt32))}
+	e.Server, e.Result, e.Delay = f.required("switch"), f.result("rc"), f.micros("delaySeen")
 	e.Complete = f.bool("complete")
-	switch code := f.optional("clearCode", 0, math.MaxInt32, 0); {
+	switch code := f.optionalInt("clearCode", 0, math.MaxInt32, 0); {
 	case code%16 == fullCode:
 		e.Wait = time.Duration(code/16) * time.Millisecond
-	case code == lineCode && e.Result == policy.Full:
+	case code == noLinesCode && e.Result == policy.Full:
 		e.Result = policy.NoLines
 	case code == busyCode && e.Result == policy.Faulted:
 		e.Result = policy.Busy
@@ -229,25 +229,25 @@
 	return e
 }
 
-func (f *fields) probed(names []string) policy.Probed {
-	p := policy.Probed{Result: f.result("rc"), Server: f.word("switch"), Delay: f.micros("delaySeen")}
+func (f *fieldReader) probed(names []string) policy.ReportReceived {
+	p := policy.ReportReceived{Result: f.result("rc"), Server: f.required("switch"), Delay: f.micros("delaySeen")}
 	p.Report = f.report("metrics", names)
-	p.Asked = p.Result != policy.OK || p.Delay > 0
+	p.Solicited = p.Result != policy.OK || p.Delay > 0
 	return p
 }
 
-func (f *fields) entry() policy.Server {
-	s := policy.Server{ID: f.word("switch")}
-	f.maybe("area")
-	f.maybe("generationHw")
-	s.Pool = int(f.optional("pointCode", -1, math.MaxInt32, -1))
-	v := f.word("health")
+func (f *fieldReader) entry() policy.Server {
+	s := policy.Server{ID: f.required("switch")}
+	f.optionalText("area")
+	f.optionalText("generationHw")
+	s.Pool = int(f.optionalInt("pointCode", -1, math.MaxInt32, -1))
+	v := f.required("health")
 	state, ok := states[v]
 	if !ok {
 		f.fail("health", "unknown state %q", v)
 	}
 	s.State = state
-	if w := f.maybe("weight"); w != "" {
+	if w := f.optionalText("weight"); w != "" {
 		f.float("weight", w)
 	}
 	s.ReadyAt = f.micros("readyAt")
@@ -261,11 +261,11 @@
 func appendAction(b []byte, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Send:
-		b = fmt.Appendf(b, "pass_on %s %s %d", a.ID, a.Server, a.Until.Microseconds())
+		b = fmt.Appendf(b, "pass_on %s %s %d", a.ID, a.Server, a.Deadline.Microseconds())
 	case policy.Cancel:
 		b = fmt.Appendf(b, "undo_send %s %d", a.ID, a.Attempt)
 	case policy.Refuse:
-		b = fmt.Appendf(b, "not_now %s %d", a.ID, a.CoolDown.Microseconds())
+		b = fmt.Appendf(b, "not_now %s %d", a.ID, a.RetryAfter.Microseconds())
 	case policy.Fail:
 		b = fmt.Appendf(b, "abort %s", a.ID)
 	case policy.Probe:
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -12,30 +12,30 @@
 	"woodrouter/policy"
 )
 
-// maxList is the highest number of a server list.
-const maxList = 15
+// maxListNumber is the highest number of a server list.
+const maxListNumber = 15
 
 // instance is one hosted gateway.
 type instance struct {
-	ctrl  *policy.Controller
-	stats []string
+	ctrl         *policy.Controller
+	reportFields []string
 }
 
 // Host runs the controllers of many gateways on one wire.
 type Host struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	line      int
-	inBatch   bool
-	now       policy.Time
-	instances map[int64]*instance
-	lists     [maxList + 1][]policy.Server
-	listed    [maxList + 1]bool
-	current   int64
-	chosen    bool
-	spoken    int64 // the instance that the reply speaks for
-	speaking  bool
-	buf       []byte
+	in             *bufio.Reader
+	out            *bufio.Writer
+	lineNumber     int
+	inBatch        bool
+	now            policy.Time
+	instances      map[int64]*instance
+	lists          [maxListNumber + 1][]policy.Server
+	listed         [maxListNumber + 1]bool
+	current        int64
+	instanceChosen bool
+	replyInstance  int64 // the instance that the reply speaks for
+	replyStarted   bool
+	buf            []byte
 }
 
 // NewHost returns a host that reads batches from in and writes replies to out.
@@ -47,23 +47,23 @@
 // Run answers batches until the input ends. An error names the line and field at fault.
 func (h *Host) Run() error {
 	for {
-		line, err := h.read()
+		line, err := h.readLine()
 		if err == io.EOF && !h.inBatch {
 			return nil
 		}
 		if err == nil {
-			err = h.take(line)
+			err = h.handleLine(line)
 		}
 		if err != nil {
 			if err == io.EOF {
 				err = errors.New("input ends inside a batch")
 			}
-			return fmt.Errorf("line %d: %w", h.line, err)
+			return fmt.Errorf("line %d: %w", h.lineNumber, err)
 		}
 	}
 }
 
-func (h *Host) read() (string, error) {
+func (h *Host) readLine() (string, error) {
 	line, err := h.in.ReadString('\n')
 	if err == io.EOF && line != "" {
 		err = nil
@@ -71,13 +71,13 @@
 	if err != nil {
 		return "", err
 	}
-	h.line++
+	h.lineNumber++
 	return strings.TrimSuffix(line, "\n"), nil
 }
 
-// take handles one line and, for a list or the end of a batch, what belongs to it.
-func (h *Host) take(line string) error {
-	name, f := split(line)
+// handleLine handles one line and, for a list or the end of a batch, what belongs to it.
+func (h *Host) handleLine(line string) error {
+	name, f := splitLine(line)
 	if name == "clock" {
 		if h.inBatch {
 			return errors.New("clock: inside a batch")
@@ -86,7 +86,7 @@
 		if err := f.end(); err != nil {
 			return fmt.Errorf("clock: %w", err)
 		}
-		h.now, h.inBatch, h.chosen, h.speaking = now, true, false, false
+		h.now, h.inBatch, h.instanceChosen, h.replyStarted = now, true, false, false
 		return nil
 	}
 	if !h.inBatch {
@@ -101,7 +101,7 @@
 			err = h.out.Flush()
 		}
 	case "switch_to":
-		h.current, h.chosen = f.int("gatewayId", 0, math.MaxInt32), true
+		h.current, h.instanceChosen = f.int("gatewayId", 0, math.MaxInt32), true
 		err = f.end()
 	case "directory":
 		err = h.directory(f)
@@ -114,18 +114,18 @@
 	return nil
 }
 
-func (h *Host) directory(f *fields) error {
-	list, rows := f.int("rosterId", 0, maxList), f.int("rows", 0, math.MaxInt32)
+func (h *Host) directory(f *fieldReader) error {
+	list, rows := f.int("rosterId", 0, maxListNumber), f.int("rows", 0, math.MaxInt32)
 	if err := f.end(); err != nil {
 		return err
 	}
 	var servers []policy.Server
 	for range rows {
-		line, err := h.read()
+		line, err := h.readLine()
 		if err != nil {
 			return err
 		}
-		mark, e := split(line)
+		mark, e := splitLine(line)
 		if mark != "m" {
 			return fmt.Errorf("field rows: %q where an m line is due", mark)
 		}
@@ -140,8 +140,8 @@
 }
 
 // event handles one event of the chosen instance.
-func (h *Host) event(name string, f *fields) error {
-	if !h.chosen {
+func (h *Host) event(name string, f *fieldReader) error {
+	if !h.instanceChosen {
 		return errors.New("no switch_to before it")
 	}
 	if name == "boot" {
@@ -164,19 +164,19 @@
 	case "first":
 		ev = f.standing()
 	case "attempt_end":
-		ev = f.ended(i.stats)
+		ev = f.ended(i.reportFields)
 	case "expired":
-		ev = policy.Departed{ID: f.word("requestId")}
+		ev = policy.Departed{ID: f.required("requestId")}
 	case "due":
-		f.text("token")
+		f.remainder("token")
 		ev = policy.Tick{}
 	case "probe_done":
-		ev = f.probed(i.stats)
+		ev = f.probed(i.reportFields)
 	case "neighbour_says":
 		f.int("by", 0, math.MaxInt32)
 		f.next("octets")
 	case "directory_update":
-		ev = h.update(f)
+		ev = h.listUpdate(f)
 	default:
 		return errors.New("unknown event")
 	}
@@ -184,20 +184,20 @@
 		return err
 	}
 	if ev != nil {
-		h.act(i.ctrl.Handle(h.now, ev))
+		h.writeActions(i.ctrl.Handle(h.now, ev))
 	}
 	return nil
 }
 
-func (h *Host) boot(f *fields) error {
-	seed := f.word("entropy")
+func (h *Host) boot(f *fieldReader) error {
+	seed := f.required("entropy")
 	var n uint64
 	if f.err == nil {
 		if _, err := fmt.Sscanf(seed, "%d", &n); err != nil {
 			f.fail("entropy", "%q is no whole number", seed)
 		}
 	}
-	text := f.text("info")
+	text := f.remainder("info")
 	if err := f.end(); err != nil {
 		return err
 	}
@@ -211,17 +211,17 @@
 	}
 	h.instances[h.current] = &instance{ctrl, in.Stats.Fields}
 	if in.Discovery == "on_request" {
-		h.speak()
+		h.writeInstanceHeader()
 		h.out.WriteString("keep_informed 1\n")
 	}
 	return nil
 }
 
-// update words news of the list; a failed call to discovery brings none.
-func (h *Host) update(f *fields) policy.Event {
-	kind := f.word("kind")
-	f.optional("stamp", 0, math.MaxInt64, 0)
-	n := f.optional("rosterId", 0, math.MaxInt64, 0)
+// listUpdate words news of the list; a failed call to discovery brings none.
+func (h *Host) listUpdate(f *fieldReader) policy.Event {
+	kind := f.required("kind")
+	f.optionalInt("stamp", 0, math.MaxInt64, 0)
+	n := f.optionalInt("rosterId", 0, math.MaxInt64, 0)
 	switch kind {
 	case "lost":
 		return nil
@@ -232,19 +232,19 @@
 	if f.err != nil {
 		return nil
 	}
-	if n > maxList || !h.listed[n] {
+	if n > maxListNumber || !h.listed[n] {
 		f.fail("rosterId", "no list %d", n)
 		return nil
 	}
-	return policy.List{Whole: kind != "incr", Servers: h.lists[n]}
+	return policy.ServerList{Whole: kind != "incr", Servers: h.lists[n]}
 }
 
-// act writes actions for the chosen instance.
-func (h *Host) act(actions []policy.Action) {
+// writeActions writes actions for the chosen instance.
+func (h *Host) writeActions(actions []policy.Action) {
 	if len(actions) == 0 {
 		return
 	}
-	h.speak()
+	h.writeInstanceHeader()
 	h.buf = h.buf[:0]
 	for _, a := range actions {
 		h.buf = appendAction(h.buf, a)
@@ -252,9 +252,9 @@
 	h.out.Write(h.buf)
 }
 
-func (h *Host) speak() {
-	if !h.speaking || h.spoken != h.current {
-		h.spoken, h.speaking = h.current, true
+func (h *Host) writeInstanceHeader() {
+	if !h.replyStarted || h.replyInstance != h.current {
+		h.replyInstance, h.replyStarted = h.current, true
 		fmt.Fprintf(h.out, "on_behalf %d\n", h.current)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -57,41 +57,41 @@
 	call := id(1)
 	for _, tc := range []struct {
 		line string
-		read func(*fields) policy.Event
+		read func(*fieldReader) policy.Event
 		want policy.Event
 	}{
 		{"ingress " + call + " look north 91f03b7c55d20a64 240000 12000 57 2 -1 2",
-			func(f *fields) policy.Event { return f.arrival() },
-			policy.Arrival{ID: call, Class: "look", Tenant: "north", Left: 240 * time.Millisecond, Pool: 57,
-				Number: "91f03b7c55d20a64", Again: true}},
+			func(f *fieldReader) policy.Event { return f.arrival() },
+			policy.Arrival{ID: call, Class: "look", Tenant: "north", TimeLeft: 240 * time.Millisecond, Pool: 57,
+				Number: "91f03b7c55d20a64", Redial: true}},
 		{"ingress " + call + " look - - 240000 - - - - -",
-			func(f *fields) policy.Event { return f.arrival() },
-			policy.Arrival{ID: call, Class: "look", Left: 240 * time.Millisecond, Pool: -1}},
+			func(f *fieldReader) policy.Event { return f.arrival() },
+			policy.Arrival{ID: call, Class: "look", TimeLeft: 240 * time.Millisecond, Pool: -1}},
 		{"first " + call + " 10.0.0.1:1 9250 3",
-			func(f *fields) policy.Event { return f.standing() },
+			func(f *fieldReader) policy.Event { return f.standing() },
 			policy.Standing{ID: call, Attempt: 3, Server: "10.0.0.1:1", Delay: 9250 * time.Microsecond}},
 		{"attempt_end " + call + " 0 10.0.0.1:1 RESOURCE_EXHAUSTED 18500 0 1923 4,9,0.5,250",
-			func(f *fields) policy.Event { return f.ended(names) },
+			func(f *fieldReader) policy.Event { return f.ended(names) },
 			policy.Ended{ID: call, Server: "10.0.0.1:1", Result: policy.Full, Delay: 18500 * time.Microsecond,
-				Wait: 120 * time.Millisecond, Report: policy.Report{Spare: 4, Total: 9, Util: 0.5,
-					Queue: policy.None, Rate: policy.None, HoldBack: policy.None, Wait: 0.25}}},
+				Wait: 120 * time.Millisecond, Report: policy.Report{FreeLines: 4, TotalLines: 9, Utilisation: 0.5,
+					QueueLength: policy.NotReported, AcceptRate: policy.NotReported, RefuseShare: policy.NotReported, WaitSeconds: 0.25}}},
 		{"attempt_end " + call + " 0 10.0.0.1:1 RESOURCE_EXHAUSTED 18500 0 1 -",
-			func(f *fields) policy.Event { return f.ended(names) },
+			func(f *fieldReader) policy.Event { return f.ended(names) },
 			policy.Ended{ID: call, Server: "10.0.0.1:1", Result: policy.NoLines, Delay: 18500 * time.Microsecond,
-				Report: policy.NoReport()}},
+				Report: policy.EmptyReport()}},
 		{"attempt_end " + call + " 0 10.0.0.1:1 INTERNAL 18500 0 4 -",
-			func(f *fields) policy.Event { return f.ended(names) },
+			func(f *fieldReader) policy.Event { return f.ended(names) },
 			policy.Ended{ID: call, Server: "10.0.0.1:1", Result: policy.Busy, Delay: 18500 * time.Microsecond,
-				Report: policy.NoReport()}},
+				Report: policy.EmptyReport()}},
 		{"probe_done OK 10.0.0.1:1 0 4,9,-1,-",
-			func(f *fields) policy.Event { return f.probed(names) },
-			policy.Probed{Server: "10.0.0.1:1", Report: policy.Report{Spare: 4, Total: 9, Util: -1,
-				Queue: policy.None, Rate: policy.None, HoldBack: policy.None, Wait: policy.None}}},
+			func(f *fieldReader) policy.Event { return f.probed(names) },
+			policy.ReportReceived{Server: "10.0.0.1:1", Report: policy.Report{FreeLines: 4, TotalLines: 9, Utilisation: -1,
+				QueueLength: policy.NotReported, AcceptRate: policy.NotReported, RefuseShare: policy.NotReported, WaitSeconds: policy.NotReported}}},
 		{"probe_done UNAVAILABLE 10.0.0.1:1 0 -",
-			func(f *fields) policy.Event { return f.probed(names) },
-			policy.Probed{Server: "10.0.0.1:1", Result: policy.Unreachable, Asked: true, Report: policy.NoReport()}},
+			func(f *fieldReader) policy.Event { return f.probed(names) },
+			policy.ReportReceived{Server: "10.0.0.1:1", Result: policy.Unreachable, Solicited: true, Report: policy.EmptyReport()}},
 	} {
-		_, f := split(tc.line)
+		_, f := splitLine(tc.line)
 		got := tc.read(f)
 		if err := f.end(); err != nil {
 			t.Errorf("%s: %v", tc.line, err)
@@ -108,24 +108,24 @@
 	for n := range 2000 {
 		s := policy.Standing{ID: id(n), Server: fmt.Sprintf("10.0.0.%d:1", n%200), Attempt: rng.IntN(6),
 			Delay: settings.Micros(rng.Int64N(1e9))}
-		_, f := split(fmt.Sprintf("first %s %s %d %d", s.ID, s.Server, s.Delay.Microseconds(), s.Attempt))
+		_, f := splitLine(fmt.Sprintf("first %s %s %d %d", s.ID, s.Server, s.Delay.Microseconds(), s.Attempt))
 		if got := f.standing(); f.end() != nil || got != s {
 			t.Fatalf("got %+v (%v), want %+v", got, f.err, s)
 		}
 		e := policy.Ended{ID: id(n), Server: s.Server, Attempt: s.Attempt, Delay: s.Delay, Result: policy.OK,
-			Complete: rng.IntN(2) == 0, Report: policy.NoReport()}
-		e.Report.Spare, e.Report.Total = float64(rng.IntN(90)), 100
-		e.Report.Util, e.Report.Queue = rng.Float64(), rng.Float64()*30
-		_, f = split(fmt.Sprintf("attempt_end %s %d %s OK %d %d - %g,%g,%g,%g", e.ID, e.Attempt, e.Server,
+			Complete: rng.IntN(2) == 0, Report: policy.EmptyReport()}
+		e.Report.FreeLines, e.Report.TotalLines = float64(rng.IntN(90)), 100
+		e.Report.Utilisation, e.Report.QueueLength = rng.Float64(), rng.Float64()*30
+		_, f = splitLine(fmt.Sprintf("attempt_end %s %d %s OK %d %d - %g,%g,%g,%g", e.ID, e.Attempt, e.Server,
 			e.Delay.Microseconds(), map[bool]int{true: 1}[e.Complete],
-			e.Report.Spare, e.Report.Total, e.Report.Util, e.Report.Queue))
+			e.Report.FreeLines, e.Report.TotalLines, e.Report.Utilisation, e.Report.QueueLength))
 		if got := f.ended(names); f.end() != nil || got != e {
 			t.Fatalf("got %+v (%v), want %+v", got, f.err, e)
 		}
-		a := policy.Arrival{ID: id(n), Class: "look", Tenant: "north", Left: settings.Micros(rng.Int64N(1e7)),
-			Pool: rng.IntN(9), Number: fmt.Sprintf("%016x", rng.Uint64()), Again: rng.IntN(2) == 0}
-		_, f = split(fmt.Sprintf("ingress %s %s %s %s %d - %d 1 -1 %d", a.ID, a.Class, a.Tenant, a.Number,
-			a.Left.Microseconds(), a.Pool, 2*map[bool]int{true: 1}[a.Again]))
+		a := policy.Arrival{ID: id(n), Class: "look", Tenant: "north", TimeLeft: settings.Micros(rng.Int64N(1e7)),
+			Pool: rng.IntN(9), Number: fmt.Sprintf("%016x", rng.Uint64()), Redial: rng.IntN(2) == 0}
+		_, f = splitLine(fmt.Sprintf("ingress %s %s %s %s %d - %d 1 -1 %d", a.ID, a.Class, a.Tenant, a.Number,
+			a.TimeLeft.Microseconds(), a.Pool, 2*map[bool]int{true: 1}[a.Redial]))
 		if got := f.arrival(); f.end() != nil || !reflect.DeepEqual(got, a) {
 			t.Fatalf("got %+v (%v), want %+v", got, f.err, a)
 		}
@@ -137,9 +137,9 @@
 		action policy.Action
 		want   string
 	}{
-		{policy.Send{ID: "a", Server: "s:1", Until: 2 * time.Second}, "pass_on a s:1 2000000\n"},
+		{policy.Send{ID: "a", Server: "s:1", Deadline: 2 * time.Second}, "pass_on a s:1 2000000\n"},
 		{policy.Cancel{ID: "a", Attempt: 2}, "undo_send a 2\n"},
-		{policy.Refuse{ID: "a", CoolDown: time.Second}, "not_now a 1000000\n"},
+		{policy.Refuse{ID: "a", RetryAfter: time.Second}, "not_now a 1000000\n"},
 		{policy.Fail{ID: "a"}, "abort a\n"},
 		{policy.Probe{Server: "s:1"}, "check s:1\n"},
 		{policy.Wake{After: 20 * time.Millisecond}, "notify_me 20000 look\n"},
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestACallGoesOutAndStands(t *testing.T) {
+func TestCallIsSentAndStands(t *testing.T) {
 	in := start(0) + "clock 1005000\nswitch_to 0\ningress " + id(1) + " look north - 3000000 - 1 1 -1 0\ncommit\n" +
 		"clock 1055000\nswitch_to 0\nfirst " + id(1) + " 10.0.0.2:1 50000 0\ncommit\n" +
 		"clock 1500000\ncommit\n"
@@ -187,7 +187,7 @@
 }
 
 // The same events give the same actions, hosted together or apart.
-func TestTogetherAndApart(t *testing.T) {
+func TestHostedTogetherOrApart(t *testing.T) {
 	event := func(i, n int) string {
 		return fmt.Sprintf("switch_to %d\ningress %s look north %016x 2500000 - %d 1 -1 0\n", i, id(1000*i+n), n%7, n%2)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -13,19 +13,19 @@
 
 // Settings are the facts a gateway knows when it starts.
 type Settings struct {
-	Rank     int // this sender's place among the senders, from 0
-	Senders  int // how many senders there are
-	Classes  []Class
-	Tenants  []Tenant // empty where calls belong to no tenant
-	Reports  Delivery // how core servers report their load
-	Limits   Limits
-	Rules    Rules
-	OverUse  float64       // worth of a call beyond its tenant's allowance, as a share of its class worth
-	Repeat   time.Duration // a waiting set-up is sent again after this; 0: never
-	Tick     time.Duration // least time between two batches of events
-	Marked   bool          // callers mark a call that is dialled again
-	TellWait bool          // a full server states how long to keep away
-	Spread   spread.Config // where senders talk: this one's name and life among them
+	Rank               int // this sender's place among the senders, from 0
+	Senders            int // how many senders there are
+	Classes            []Class
+	Tenants            []Tenant       // empty where calls belong to no tenant
+	Reports            ReportDelivery // how core servers report their load
+	Limits             Limits
+	Rules              Rules
+	OverAllowanceWorth float64       // worth of a call beyond its tenant's allowance, as a share of its class worth
+	Repeat             time.Duration // a waiting set-up is sent again after this; 0: never
+	Tick               time.Duration // least time between two batches of events
+	RedialsMarked      bool          // callers mark a call that is dialled again
+	FullStatesWait     bool          // a full server states how long to keep away
+	Spread             spread.Config // where senders talk: this one's name and life among them
 }
 
 // allowance is the calls a second that all servers together are meant to take, as far as the
@@ -39,14 +39,14 @@
 
 // Class is a class of calls.
 type Class struct {
-	Name      string
-	Aim       time.Duration // a call that stands this soon earns its full worth
-	Deadline  time.Duration // the caller's patience over all tries
-	Hold      time.Duration // mean length of a call
-	Worth     float64
-	LateShare float64 // share of the worth that a call earns after the aim
-	Pools     []int   // numbers of the servers that may take it; nil: any
-	Width     int     // lines that a call takes; 0: not known
+	Name         string
+	Aim          time.Duration // a call that stands this soon earns its full worth
+	Deadline     time.Duration // the caller's patience over all tries
+	Hold         time.Duration // mean length of a call
+	Worth        float64
+	LateShare    float64 // share of the worth that a call earns after the aim
+	Pools        []int   // numbers of the servers that may take it; nil: any
+	LinesPerCall int     // lines that a call takes; 0: not known
 }
 
 // Tenant is a customer with an allowance, in calls a second over all senders.
@@ -57,47 +57,49 @@
 
 // Limits are the things that a deployment forbids or bounds.
 type Limits struct {
-	Attempts int           // most attempts of one call
-	CoolDown time.Duration // longest stay-away that a caller heeds; 0: none
-	Probes   bool          // core servers may be probed
-	Cancel   bool          // an attempt may be called off
+	MaxAttempts   int           // most attempts of one call
+	MaxRetryAfter time.Duration // longest stay-away that a caller heeds; 0: none
+	AllowProbes   bool          // core servers may be probed
+	AllowCancel   bool          // an attempt may be called off
 }
 
 // Rules are the figures of the rules that hold for every run.
 type Rules struct {
-	ClearWait    time.Duration // wait before a call whose attempt ended badly goes out again
-	Cold         time.Duration // a started server is warm after this
-	TipAfter     time.Duration // length of the window in which a cold server's load is summed
-	ColdFrom     float64       // least share of its capacity that a started server has
-	FallMultiple float64       // more than this multiple of present capacity pushes a cold server over
+	RetryDelay   time.Duration // wait before a call whose attempt ended badly goes out again
+	WarmUp       time.Duration // a started server is warm after this
+	LoadSpan     time.Duration // length of the window in which a cold server's load is summed
+	ColdShare    float64       // least share of its capacity that a started server has
+	CollapseLoad float64       // more than this multiple of present capacity pushes a cold server over
 }
 
-// Delivery tells how load reports reach the sender.
-type Delivery int
+// ReportDelivery tells how load reports reach the sender.
+type ReportDelivery int
 
 // The ways in which reports come.
 const (
-	NoReports Delivery = iota
+	NoReports ReportDelivery = iota
 	WithAnswers
 	WhenProbed
 )
 
-// None marks a figure that a report does not hold.
-const None = -1
+// NotReported marks a figure that a report does not hold.
+const NotReported = -1
 
 // Report is what a core server tells of itself. A figure that is None, negative,
 // infinite or not a number counts as absent.
 type Report struct {
-	Spare, Total float64 // free lines and all lines, as they are now
-	Util         float64 // busy share of the processor
-	Queue        float64 // set-ups waiting at the processor
-	Rate         float64 // new set-ups a second that it takes from all senders
-	HoldBack     float64 // share of first set-ups that it asks senders to refuse
-	Wait         float64 // seconds that a message waits at the processor
+	FreeLines, TotalLines float64 // free lines and all lines, as they are now
+	Utilisation           float64 // busy share of the processor
+	QueueLength           float64 // set-ups waiting at the processor
+	AcceptRate            float64 // new set-ups a second that it takes from all senders
+	RefuseShare           float64 // share of first set-ups that it asks senders to refuse
+	WaitSeconds           float64 // seconds that a message waits at the processor
 }
 
-// NoReport returns a report without figures.
-func NoReport() Report { return Report{None, None, None, None, None, None, None} }
+// EmptyReport returns a report without figures.
+func EmptyReport() Report {
+	return Report{NotReported, NotReported, NotReported, NotReported, NotReported, NotReported, NotReported}
+}
 
 // State is a server's state on the list.
 type State int
@@ -139,19 +141,19 @@
 
 // Arrival is a call handed to this gateway.
 type Arrival struct {
-	ID     string
-	Class  string
-	Tenant string
-	Left   time.Duration // until the caller abandons this try
-	Pool   int           // the server of first choice
-	Number string        // the number called; "": not known
-	Again  bool          // dialled again
+	ID       string
+	Class    string
+	Tenant   string
+	TimeLeft time.Duration // until the caller abandons this try
+	Pool     int           // the server of first choice
+	Number   string        // the number called; "": not known
+	Redial   bool          // dialled again
 	// A route's limits (package routes), narrower than the settings only: most attempts
 	// (0: the settings'), least wait after a give-up (below ClearWait: ClearWait), and the
 	// pools it may go to beyond its class's (nil: any of those).
-	Attempts int
-	Spacing  time.Duration
-	Pools    []int
+	MaxAttempts int
+	RetryDelay  time.Duration
+	Pools       []int
 }
 
 // Standing tells that a set-up was answered and the call stands.
@@ -177,40 +179,40 @@
 // Departed tells that the caller has left.
 type Departed struct{ ID string }
 
-// List is news of the server list: all of it, or changed entries only.
-type List struct {
+// ServerList is news of the server list: all of it, or changed entries only.
+type ServerList struct {
 	Whole   bool
 	Servers []Server
 }
 
-// Probed is a report outside an answer; Asked tells whether a probe drew it.
-type Probed struct {
-	Server string
-	Result Result
-	Delay  time.Duration
-	Asked  bool
-	Report Report
+// ReportReceived is a report outside an answer; Asked tells whether a probe drew it.
+type ReportReceived struct {
+	Server    string
+	Result    Result
+	Delay     time.Duration
+	Solicited bool
+	Report    Report
 }
 
 // Tick is a timer that was asked for with Wake.
 type Tick struct{}
 
-func (Arrival) event()  {}
-func (Standing) event() {}
-func (Ended) event()    {}
-func (Departed) event() {}
-func (List) event()     {}
-func (Probed) event()   {}
-func (Tick) event()     {}
+func (Arrival) event()        {}
+func (Standing) event()       {}
+func (Ended) event()          {}
+func (Departed) event()       {}
+func (ServerList) event()     {}
+func (ReportReceived) event() {}
+func (Tick) event()           {}
 
 // Action is something that the gateway is to do, in the order given.
 type Action interface{ action() }
 
 // Send starts the next attempt of a call; it is abandoned at Until.
 type Send struct {
-	ID     string
-	Server string
-	Until  Time
+	ID       string
+	Server   string
+	Deadline Time
 }
 
 // Cancel calls an attempt off; its end is still reported.
@@ -221,8 +223,8 @@
 
 // Refuse turns a call away for good and tells the caller when to come back.
 type Refuse struct {
-	ID       string
-	CoolDown time.Duration
+	ID         string
+	RetryAfter time.Duration
 }
 
 // Fail ends a call that could not be set up.
@@ -245,21 +247,21 @@
 func (Wake) action()   {}
 func (Log) action()    {}
 
-// Follow takes a steward's view of the fleet: the order of servers by its shares, and what all senders
+// ApplyView takes a steward's view of the fleet: the order of servers by its shares, and what all senders
 // have measured of each, worth more than this one's few reports. All of it is read, then decided on once.
-func (c *Controller) Follow(now Time, v spread.View) []Action {
+func (c *Controller) ApplyView(now Time, v spread.View) []Action {
 	if !c.spread.Hear(now, v) {
 		return nil
 	}
-	c.Handle(now, Probed{}) // of no server: the time alone
+	c.Handle(now, ReportReceived{}) // of no server: the time alone
 	for _, d := range v.Dues {
 		if d.Rate > 0 {
-			r := NoReport()
-			r.Rate, r.HoldBack = d.Rate, v.Hold
-			c.probed(Probed{Server: d.Server, Result: OK, Asked: true, Report: r})
+			r := EmptyReport()
+			r.AcceptRate, r.RefuseShare = d.Rate, v.Hold
+			c.probed(ReportReceived{Server: d.Server, Result: OK, Solicited: true, Report: r})
 		}
 	}
-	return c.Handle(now, Probed{Asked: true})
+	return c.Handle(now, ReportReceived{Solicited: true})
 }
 
 // Spread is the sender's part in spreading the load of all, for whoever carries its messages.
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,12 +8,12 @@
 	"woodrouter/spread"
 )
 
-// sizes are the numbers of servers that the benchmarks of one decision go through.
-var sizes = []int{10, 27, 100, 300, 730, 1460}
+// serverCounts are the numbers of servers that the benchmarks of one decision go through.
+var serverCounts = []int{10, 27, 100, 300, 730, 1460}
 
-// grown returns a controller with n servers that have told of their lines, and, where measured, each
+// newLoadedController returns a controller with n servers that have told of their lines, and, where measured, each
 // with a capacity of its own.
-func grown(tb testing.TB, n int, measured bool, tenants ...Tenant) (*Controller, Time) {
+func newLoadedController(tb testing.TB, n int, measured bool, tenants ...Tenant) (*Controller, Time) {
 	tb.Helper()
 	set := testSettings()
 	set.Tenants, set.Senders, set.Spread = tenants, 240, spread.Config{Name: "a1", Life: 1}
@@ -22,11 +22,11 @@
 		tb.Fatal(err)
 	}
 	now := time.Hour
-	c.Handle(now, List{Whole: true, Servers: up(n)})
+	c.Handle(now, ServerList{Whole: true, Servers: upServers(n)})
 	for i := range 4 {
 		now += 450 * ms
 		for j, s := range c.servers {
-			c.Handle(now, told(s.ID, float64(60+i+j%5), 400))
+			c.Handle(now, linesReport(s.ID, float64(60+i+j%5), 400))
 		}
 	}
 	for i, s := range c.servers {
@@ -38,12 +38,12 @@
 	return c, now
 }
 
-// eachSize runs a benchmark at every size, with and without measured capacities.
-func eachSize(b *testing.B, f func(b *testing.B, c *Controller, now Time)) {
+// forEachSize runs a benchmark at every size, with and without measured capacities.
+func forEachSize(b *testing.B, f func(b *testing.B, c *Controller, now Time)) {
 	for _, measured := range []bool{true, false} {
-		for _, n := range sizes {
+		for _, n := range serverCounts {
 			b.Run(fmt.Sprintf("measured=%v/servers=%d", measured, n), func(b *testing.B) {
-				c, now := grown(b, n, measured)
+				c, now := newLoadedController(b, n, measured)
 				b.ReportAllocs()
 				b.ResetTimer()
 				f(b, c, now)
@@ -57,19 +57,19 @@
 func BenchmarkArrival(b *testing.B) {
 	for _, first := range []bool{true, false} {
 		b.Run(fmt.Sprintf("first=%v", first), func(b *testing.B) {
-			eachSize(b, func(b *testing.B, c *Controller, now Time) {
+			forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 				var spent time.Duration
 				sent := 0
 				for i := range b.N {
 					now += ms
-					a := Arrival{ID: "c", Class: "look", Left: 3 * time.Second, Pool: -1}
+					a := Arrival{ID: "c", Class: "look", TimeLeft: 3 * time.Second, Pool: -1}
 					if first {
 						a.Pool = i * 7 % len(c.servers)
 					}
 					at := time.Now()
 					acts := c.Handle(now, a)
 					spent += time.Since(at)
-					to := pick[Send](acts)
+					to := actionsOf[Send](acts)
 					if len(to) == 0 {
 						c.Handle(now, Departed{ID: "c"})
 						continue
@@ -77,7 +77,7 @@
 					sent++
 					now += ms
 					c.Handle(now, Standing{ID: "c", Server: to[0].Server})
-					c.Handle(now, Ended{ID: "c", Server: to[0].Server, Result: OK, Complete: true, Report: NoReport()})
+					c.Handle(now, Ended{ID: "c", Server: to[0].Server, Result: OK, Complete: true, Report: EmptyReport()})
 				}
 				b.ReportMetric(float64(spent.Nanoseconds())/float64(b.N), "ns/decision")
 				b.ReportMetric(float64(sent)/float64(b.N), "sent/op")
@@ -94,14 +94,14 @@
 		set  func(c *Controller, now Time)
 	}{
 		{"calm", func(*Controller, Time) {}},
-		{"suspect=3of4", func(c *Controller, now Time) { shun(c, now, len(c.servers)*3/4) }},
-		{"suspect=all", func(c *Controller, now Time) { shun(c, now, len(c.servers)) }},
+		{"suspect=3of4", func(c *Controller, now Time) { suspectServers(c, now, len(c.servers)*3/4) }},
+		{"suspect=all", func(c *Controller, now Time) { suspectServers(c, now, len(c.servers)) }},
 		{"held=50", func(c *Controller, now Time) {
 			for _, s := range c.servers {
 				s.shutTill = now + time.Hour
 			}
 			for i := range 50 {
-				c.Handle(now, Arrival{ID: fmt.Sprint(i), Class: "look", Left: time.Hour, Pool: -1})
+				c.Handle(now, Arrival{ID: fmt.Sprint(i), Class: "look", TimeLeft: time.Hour, Pool: -1})
 			}
 			for _, cl := range c.held {
 				cl.at = now + time.Hour // they wait on
@@ -109,7 +109,7 @@
 		}},
 	} {
 		b.Run(tc.name, func(b *testing.B) {
-			eachSize(b, func(b *testing.B, c *Controller, now Time) {
+			forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 				tc.set(c, now)
 				b.ResetTimer()
 				for range b.N {
@@ -117,7 +117,7 @@
 					c.Handle(now, Tick{})
 					if now > 2*time.Hour { // before the held calls are given up
 						b.StopTimer()
-						c, now = grown(b, len(c.servers), c.servers[0].mu > 0)
+						c, now = newLoadedController(b, len(c.servers), c.servers[0].mu > 0)
 						tc.set(c, now)
 						b.StartTimer()
 					}
@@ -127,52 +127,52 @@
 	}
 }
 
-// shun makes the first n servers suspect, as a zone's loss does.
-func shun(c *Controller, now Time, n int) {
+// suspectServers makes the first n servers suspect, as a zone's loss does.
+func suspectServers(c *Controller, now Time, n int) {
 	for _, s := range c.servers[:n] {
 		s.suspect, s.since, s.flow, s.inst = true, now, 0, 0
 	}
 }
 
-// BenchmarkTold is a server's unasked news of its lines.
-func BenchmarkTold(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *Controller, now Time) {
+// BenchmarkLinesReport is a server's unasked news of its lines.
+func BenchmarkLinesReport(b *testing.B) {
+	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		for i := range b.N {
 			s := c.servers[i%len(c.servers)]
 			if i%len(c.servers) == 0 {
 				now += 450 * ms
 			}
-			c.Handle(now, told(s.ID, float64(60+i%9), 400))
+			c.Handle(now, linesReport(s.ID, float64(60+i%9), 400))
 		}
 	})
 }
 
-// BenchmarkProbed is the answer to a probe.
-func BenchmarkProbed(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *Controller, now Time) {
+// BenchmarkProbeAnswer is the answer to a probe.
+func BenchmarkProbeAnswer(b *testing.B) {
+	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		for i := range b.N {
 			now += ms
-			r := NoReport()
-			r.Util = 0.3 + float64(i%9)/100
-			c.Handle(now, Probed{Server: c.servers[i%len(c.servers)].ID, Result: OK, Asked: true, Report: r})
+			r := EmptyReport()
+			r.Utilisation = 0.3 + float64(i%9)/100
+			c.Handle(now, ReportReceived{Server: c.servers[i%len(c.servers)].ID, Result: OK, Solicited: true, Report: r})
 		}
 	})
 }
 
-// BenchmarkList is the news of a whole list.
-func BenchmarkList(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *Controller, now Time) {
-		list := up(len(c.servers))
+// BenchmarkServerList is the news of a whole list.
+func BenchmarkServerList(b *testing.B) {
+	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
+		list := upServers(len(c.servers))
 		for range b.N {
 			now += ms
-			c.Handle(now, List{Whole: true, Servers: list})
+			c.Handle(now, ServerList{Whole: true, Servers: list})
 		}
 	})
 }
 
-// BenchmarkFollow is a steward's view of all servers.
-func BenchmarkFollow(b *testing.B) {
-	eachSize(b, func(b *testing.B, c *Controller, now Time) {
+// BenchmarkApplyView is a steward's view of all servers.
+func BenchmarkApplyView(b *testing.B) {
+	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		for i := range b.N {
 			now += 100 * ms
 			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: uint64(i + 1)},
@@ -180,7 +180,7 @@
 			for j, s := range c.servers {
 				v.Dues = append(v.Dues, spread.Due{Server: s.ID, Share: 40, Rate: float64(50 + (i+j)%9)})
 			}
-			c.Follow(now, v)
+			c.ApplyView(now, v)
 		}
 	})
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -15,9 +15,9 @@
 		Classes: []policy.Class{{Name: "voice", Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second,
 			Hold: 90 * time.Second, Worth: 1}},
 		Reports: policy.WithAnswers,
-		Limits:  policy.Limits{Attempts: 3, CoolDown: 2 * time.Second, Cancel: true},
-		Rules: policy.Rules{ClearWait: 300 * time.Millisecond, Cold: 15 * time.Second,
-			TipAfter: 2 * time.Second, ColdFrom: 0.3, FallMultiple: 2},
+		Limits:  policy.Limits{MaxAttempts: 3, MaxRetryAfter: 2 * time.Second, AllowCancel: true},
+		Rules: policy.Rules{RetryDelay: 300 * time.Millisecond, WarmUp: 15 * time.Second,
+			LoadSpan: 2 * time.Second, ColdShare: 0.3, CollapseLoad: 2},
 		Repeat: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
 	}, 1)
 	if err != nil {
@@ -30,16 +30,16 @@
 			case policy.Send:
 				fmt.Println("set up", a.ID, "at", a.Server)
 			case policy.Refuse:
-				fmt.Println("refuse", a.ID, "for", a.CoolDown)
+				fmt.Println("refuse", a.ID, "for", a.RetryAfter)
 			case policy.Wake:
 				// set a timer that comes back as policy.Tick
 			}
 		}
 	}
 	now := time.Hour // on the gateway's own clock
-	carryOut(c.Handle(now, policy.List{Whole: true, Servers: []policy.Server{
+	carryOut(c.Handle(now, policy.ServerList{Whole: true, Servers: []policy.Server{
 		{ID: "core-a", Pool: 0}, {ID: "core-b", Pool: 1}}}))
-	carryOut(c.Handle(now, policy.Arrival{ID: "call-1", Class: "voice", Left: 3 * time.Second, Pool: 1}))
+	carryOut(c.Handle(now, policy.Arrival{ID: "call-1", Class: "voice", TimeLeft: 3 * time.Second, Pool: 1}))
 	now += 40 * time.Millisecond
 	carryOut(c.Handle(now, policy.Standing{ID: "call-1", Server: "core-b", Delay: 40 * time.Millisecond}))
 	// Output: set up call-1 at core-b
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -192,18 +192,18 @@
 		return nil, fmt.Errorf("policy: %d senders", set.Senders)
 	case set.Rank < 0 || set.Rank >= set.Senders:
 		return nil, fmt.Errorf("policy: rank %d is outside 0 to %d", set.Rank, set.Senders-1)
-	case set.Limits.Attempts < 1:
-		return nil, fmt.Errorf("policy: %d attempts allowed", set.Limits.Attempts)
+	case set.Limits.MaxAttempts < 1:
+		return nil, fmt.Errorf("policy: %d attempts allowed", set.Limits.MaxAttempts)
 	}
 	r := set.Rules
-	times := []time.Duration{set.Repeat, set.Tick, set.Limits.CoolDown, r.ClearWait, r.Cold, r.TipAfter}
+	times := []time.Duration{set.Repeat, set.Tick, set.Limits.MaxRetryAfter, r.RetryDelay, r.WarmUp, r.LoadSpan}
 	for _, d := range times {
 		if d < 0 {
 			return nil, fmt.Errorf("policy: negative time %v", d)
 		}
 	}
-	if !(r.ColdFrom >= 0 && r.ColdFrom <= 1) || !(r.FallMultiple >= 0) || math.IsInf(r.FallMultiple, 0) {
-		return nil, fmt.Errorf("policy: cold start from %v, fall multiple %v", r.ColdFrom, r.FallMultiple)
+	if !(r.ColdShare >= 0 && r.ColdShare <= 1) || !(r.CollapseLoad >= 0) || math.IsInf(r.CollapseLoad, 0) {
+		return nil, fmt.Errorf("policy: cold start from %v, fall multiple %v", r.ColdShare, r.CollapseLoad)
 	}
 	set.Spread.Rank, set.Spread.Senders, set.Spread.Seed = set.Rank, set.Senders, seed
 	c := &Controller{spread: spread.New(set.Spread),
@@ -247,10 +247,10 @@
 		c.end(e)
 	case Departed:
 		c.depart(e)
-	case List:
+	case ServerList:
 		c.list(e)
-	case Probed:
-		if c.probed(e); !e.Asked { // told of every server each second: nothing to decide at once
+	case ReportReceived:
+		if c.probed(e); !e.Solicited { // told of every server each second: nothing to decide at once
 			return c.acts
 		}
 	case Tick:
@@ -281,14 +281,14 @@
 		t = len(c.set.Tenants)
 	}
 	i = 2 * (i*(len(c.set.Tenants)+1) + t)
-	if e.Again {
+	if e.Redial {
 		i++
 	}
 	g := &c.groups[i]
 	cl := &call{id: e.ID, group: g, pool: e.Pool, number: e.Number, at: c.now,
-		deadline: c.now + max(e.Left, 0), draw: c.rng.Float64(), pools: e.Pools,
-		most:    min(cmp.Or(e.Attempts, c.set.Limits.Attempts), c.set.Limits.Attempts),
-		spacing: max(e.Spacing, c.set.Rules.ClearWait)}
+		deadline: c.now + max(e.TimeLeft, 0), draw: c.rng.Float64(), pools: e.Pools,
+		most:    min(cmp.Or(e.MaxAttempts, c.set.Limits.MaxAttempts), c.set.Limits.MaxAttempts),
+		spacing: max(e.RetryDelay, c.set.Rules.RetryDelay)}
 	c.calls[e.ID] = cl
 	c.held = append(c.held, cl)
 	c.spread.Offered(c.now)
@@ -373,13 +373,13 @@
 	}
 }
 
-func (c *Controller) list(e List) {
+func (c *Controller) list(e ServerList) {
 	listed := map[string]bool{}
 	for _, n := range e.Servers {
 		listed[n.ID] = true
 		s := c.byID[n.ID]
 		if s == nil {
-			s = &server{load: None, room: 1, reported: c.now, updated: c.now, loadAt: c.now, answered: c.now,
+			s = &server{load: NotReported, room: 1, reported: c.now, updated: c.now, loadAt: c.now, answered: c.now,
 				probeAt: c.now + c.part(0, probeMost)}
 			c.byID[n.ID] = s
 			c.servers = append(c.servers, s)
@@ -391,7 +391,7 @@
 		s.Server = n
 		c.spread.Listed(n.ID, n.State == Up)
 		if restarted {
-			c.chill(s, n.ReadyAt, c.set.Rules.Cold)
+			c.chill(s, n.ReadyAt, c.set.Rules.WarmUp)
 		}
 	}
 	for _, s := range c.servers {
@@ -425,8 +425,8 @@
 	})
 }
 
-// Hosts tells how many servers are listed, and how many of these get no calls but trials.
-func (c *Controller) Hosts() (listed, avoided int) {
+// CountServers tells how many servers are listed, and how many of these get no calls but trials.
+func (c *Controller) CountServers() (listed, avoided int) {
 	for _, s := range c.servers {
 		if s.State != Gone {
 			listed++
@@ -438,12 +438,12 @@
 	return listed, avoided
 }
 
-func (c *Controller) probed(e Probed) {
+func (c *Controller) probed(e ReportReceived) {
 	s := c.byID[e.Server]
 	if s == nil {
 		return
 	}
-	if !e.Asked {
+	if !e.Solicited {
 		c.count(s, e.Report)
 		return
 	}
@@ -518,10 +518,10 @@
 
 // count reads the calls in progress: growth and ends tell the flow from all senders.
 func (c *Controller) count(s *server, r Report) {
-	if !usable(r.Spare) || !usable(r.Total) || r.Total <= 0 {
+	if !usable(r.FreeLines) || !usable(r.TotalLines) || r.TotalLines <= 0 {
 		return
 	}
-	n := max(r.Total-r.Spare, 0)
+	n := max(r.TotalLines-r.FreeLines, 0)
 	dt := (c.now - s.linesAt).Seconds()
 	if s.linesAt != 0 && dt < 0.4 {
 		return
@@ -547,7 +547,7 @@
 	if n > s.lines {
 		s.roseAt = c.now
 	}
-	s.lines, s.linesAt, s.total, s.noLines, c.summed = n, c.now, r.Total, false, false
+	s.lines, s.linesAt, s.total, s.noLines, c.summed = n, c.now, r.TotalLines, false, false
 	s.reported = c.now
 	c.throttle(s)
 }
@@ -556,34 +556,34 @@
 func (c *Controller) read(s *server, r Report) {
 	c.count(s, r)
 	now := r
-	now.Spare, now.Total = None, None
-	if now == NoReport() || now == s.last {
+	now.FreeLines, now.TotalLines = NotReported, NotReported
+	if now == EmptyReport() || now == s.last {
 		return
 	}
 	gap := c.now - s.loadAt
-	c.spread.Saw(c.now, s.ID, spread.Seen{Lines: s.total, Util: r.Util, Wait: r.Wait})
+	c.spread.Saw(c.now, s.ID, spread.Seen{Lines: s.total, Util: r.Utilisation, Wait: r.WaitSeconds})
 	s.last, s.reported, s.loadAt, c.summed = now, c.now, c.now, false
 	s.period = time.Duration(blend(float64(s.period), float64(gap), 0.125))
 	switch {
 	case s.cold(c.now): // tells little of the warm server
-	case usable(r.Rate) && r.Rate > 0:
-		s.mu, s.muAt = blend(s.mu, r.Rate, fading(c.now-s.muAt, muSpan)), c.now
-	case usable(r.Util) && r.Util > 0.3 && s.flow > 0:
-		s.mu, s.muAt = blend(s.mu, s.flow/min(r.Util, 1), fading(c.now-s.muAt, muSpan)/2), c.now
+	case usable(r.AcceptRate) && r.AcceptRate > 0:
+		s.mu, s.muAt = blend(s.mu, r.AcceptRate, fading(c.now-s.muAt, muSpan)), c.now
+	case usable(r.Utilisation) && r.Utilisation > 0.3 && s.flow > 0:
+		s.mu, s.muAt = blend(s.mu, s.flow/min(r.Utilisation, 1), fading(c.now-s.muAt, muSpan)/2), c.now
 	}
-	if usable(r.HoldBack) {
-		c.setB(s, r.HoldBack)
+	if usable(r.RefuseShare) {
+		c.setB(s, r.RefuseShare)
 		return
 	}
-	u := max(r.Util, None)
-	if usable(r.Queue) {
-		u = max(u, r.Queue/(1+r.Queue))
+	u := max(r.Utilisation, NotReported)
+	if usable(r.QueueLength) {
+		u = max(u, r.QueueLength/(1+r.QueueLength))
 		if mu := c.capacity(s); mu > 0 {
-			c.queued(s, min(c.aim/2, time.Duration(r.Queue/mu*float64(time.Second))))
+			c.queued(s, min(c.aim/2, time.Duration(r.QueueLength/mu*float64(time.Second))))
 		}
 	}
-	if usable(r.Wait) { // counted in set-ups of the length that an idle server takes
-		wait := time.Duration(r.Wait * float64(time.Second))
+	if usable(r.WaitSeconds) { // counted in set-ups of the length that an idle server takes
+		wait := time.Duration(r.WaitSeconds * float64(time.Second))
 		u = max(u, float64(wait)/float64(wait+max(s.base, c.set.Tick)))
 		c.queued(s, wait)
 		s.waits = true
@@ -729,7 +729,7 @@
 		if g.again {
 			in *= againWorth
 		}
-		g.worth = g.class.Worth * (in + (1-in)*c.set.OverUse)
+		g.worth = g.class.Worth * (in + (1-in)*c.set.OverAllowanceWorth)
 	}
 }
 
@@ -861,7 +861,7 @@
 		c.do(Fail{cl.id})
 		return
 	}
-	c.do(Refuse{cl.id, c.part(0.5, c.set.Limits.CoolDown/2)})
+	c.do(Refuse{cl.id, c.part(0.5, c.set.Limits.MaxRetryAfter/2)})
 }
 
 // answer takes a set-up's answer as the freshest sign of its server's state.
@@ -923,14 +923,14 @@
 			float64(min(c.age(s), c.now-s.answered)) > suspectAge*float64(c.aim) && !c.serves(s) {
 			c.doubt(s, 0)
 		}
-		if c.set.Limits.Cancel && (s.suspect || len(s.waiting) > 0) {
+		if c.set.Limits.AllowCancel && (s.suspect || len(s.waiting) > 0) {
 			c.callOff(s)
 		}
 		if s.b > 0 && c.now >= s.reported+max(reportMaxAge, reportGaps*s.period) {
 			c.setB(s, s.b/2)
 			s.reported = c.now
 		}
-		if c.set.Limits.Probes && c.set.Reports == WhenProbed && s.State == Up &&
+		if c.set.Limits.AllowProbes && c.set.Reports == WhenProbed && s.State == Up &&
 			c.now >= s.probeAt && c.coldRoom(s) {
 			s.probeAt = c.now + c.part(0.5, max(probeMost, spread.Gap(c.set.Senders, probeJoint)))
 			c.spread.Spend(c.now, s.ID)
@@ -981,7 +981,7 @@
 		c.logf("server %s is trusted again after %v", s.ID, d)
 	}
 	if float64(min(silent, c.now-s.since)) > silentAge*float64(c.aim) {
-		c.chill(s, c.now, time.Duration(silentPart*float64(c.set.Rules.Cold)))
+		c.chill(s, c.now, time.Duration(silentPart*float64(c.set.Rules.WarmUp)))
 	}
 }
 
@@ -1000,14 +1000,14 @@
 // coldRoom tells whether this sender's part of a cold server's budget allows one more. It grows with the
 // least capacity by now, and lapses unused when all that is held and what comes in a window are the budget.
 func (c *Controller) coldRoom(s *server) bool {
-	if !s.cold(c.now) || c.set.Rules.Cold <= 0 {
+	if !s.cold(c.now) || c.set.Rules.WarmUp <= 0 {
 		return true
 	}
 	r := c.set.Rules
-	age := min(max(float64(c.now-s.coldFrom)/float64(r.Cold), 0), 1)
+	age := min(max(float64(c.now-s.coldFrom)/float64(r.WarmUp), 0), 1)
 	warm := cmp.Or(c.capacity(s), c.set.allowance()/float64(len(c.servers)))
-	joint := coldUse * r.FallMultiple * (r.ColdFrom + (1-r.ColdFrom)*age) * warm
-	return c.spread.ColdRoom(c.now, s.ID, s.coldFrom, joint, time.Duration((1/coldUse-1)*float64(r.TipAfter)))
+	joint := coldUse * r.CollapseLoad * (r.ColdShare + (1-r.ColdShare)*age) * warm
+	return c.spread.ColdRoom(c.now, s.ID, s.coldFrom, joint, time.Duration((1/coldUse-1)*float64(r.LoadSpan)))
 }
 
 // trials is the time between this sender's trials of a suspect server: all senders'
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -23,55 +23,55 @@
 			{Name: "hold", Aim: 2000 * ms, Deadline: 9 * time.Second, Hold: 12 * time.Second, Worth: 3},
 		},
 		Reports: WithAnswers,
-		Limits:  Limits{Attempts: 4, CoolDown: 2 * time.Second, Cancel: true},
-		Rules: Rules{ClearWait: 300 * ms, Cold: 15 * time.Second, TipAfter: 2 * time.Second,
-			ColdFrom: 0.3, FallMultiple: 2},
+		Limits:  Limits{MaxAttempts: 4, MaxRetryAfter: 2 * time.Second, AllowCancel: true},
+		Rules: Rules{RetryDelay: 300 * ms, WarmUp: 15 * time.Second, LoadSpan: 2 * time.Second,
+			ColdShare: 0.3, CollapseLoad: 2},
 		Repeat: 400 * ms, Tick: 5 * ms,
 	}
 }
 
-// bench drives one controller and keeps what it did.
-type bench struct {
+// harness drives one controller and keeps what it did.
+type harness struct {
 	t   *testing.T
 	c   *Controller
 	now Time
 	out []Action // actions of the latest event
 }
 
-func newBench(t *testing.T, set Settings, servers ...Server) *bench {
+func newHarness(t *testing.T, set Settings, servers ...Server) *harness {
 	t.Helper()
-	return newSeeded(t, set, 7, servers...)
+	return newSeededHarness(t, set, 7, servers...)
 }
 
-func newSeeded(t *testing.T, set Settings, seed uint64, servers ...Server) *bench {
+func newSeededHarness(t *testing.T, set Settings, seed uint64, servers ...Server) *harness {
 	t.Helper()
 	c, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, c: c, now: time.Hour}
+	b := &harness{t: t, c: c, now: time.Hour}
 	if servers != nil {
-		b.do(List{Whole: true, Servers: servers})
+		b.handle(ServerList{Whole: true, Servers: servers})
 	}
 	return b
 }
 
-func (b *bench) do(ev Event) []Action {
+func (b *harness) handle(ev Event) []Action {
 	b.out = append([]Action(nil), b.c.Handle(b.now, ev)...)
 	return b.out
 }
 
-// after lets time pass in steps, with a tick at each.
-func (b *bench) after(d time.Duration) []Action {
+// advance lets time pass in steps, with a tick at each.
+func (b *harness) advance(d time.Duration) []Action {
 	var all []Action
 	for end := b.now + d; b.now < end; {
 		b.now = min(b.now+10*ms, end)
-		all = append(all, b.do(Tick{})...)
+		all = append(all, b.handle(Tick{})...)
 	}
 	return all
 }
 
-func pick[A Action](actions []Action) []A {
+func actionsOf[A Action](actions []Action) []A {
 	var found []A
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
@@ -81,11 +81,11 @@
 	return found
 }
 
-func (b *bench) call(id string) []Action {
-	return b.do(Arrival{ID: id, Class: "look", Left: 3 * time.Second, Pool: 0})
+func (b *harness) call(id string) []Action {
+	return b.handle(Arrival{ID: id, Class: "look", TimeLeft: 3 * time.Second, Pool: 0})
 }
 
-func up(n int) []Server {
+func upServers(n int) []Server {
 	var list []Server
 	for i := range n {
 		list = append(list, Server{ID: fmt.Sprintf("10.0.0.%d:1", i), Pool: i})
@@ -115,18 +115,18 @@
 	}
 }
 
-func TestSettingsThatCannotBeUsed(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":     func(s *Settings) { s.Classes = nil },
 		"no senders":     func(s *Settings) { s.Senders = 0 },
 		"rank too high":  func(s *Settings) { s.Rank = 4 },
 		"rank below 0":   func(s *Settings) { s.Rank = -1 },
-		"no attempts":    func(s *Settings) { s.Limits.Attempts = 0 },
+		"no attempts":    func(s *Settings) { s.Limits.MaxAttempts = 0 },
 		"negative time":  func(s *Settings) { s.Repeat = -1 },
 		"negative hold":  func(s *Settings) { s.Classes[0].Hold = -1 },
 		"no aim":         func(s *Settings) { s.Classes[1].Aim = 0 },
 		"worth NaN":      func(s *Settings) { s.Classes[1].Worth = math.NaN() },
-		"cold share NaN": func(s *Settings) { s.Rules.ColdFrom = math.NaN() },
+		"cold share NaN": func(s *Settings) { s.Rules.ColdShare = math.NaN() },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -139,39 +139,39 @@
 	}
 }
 
-// TestRulesHold drives controllers through odd but legal orders of events and
+// TestRulesHoldOnRandomEvents drives controllers through odd but legal orders of events and
 // checks the rules at every action.
-func TestRulesHold(t *testing.T) {
+func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(16) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomDay(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRandomRun(t, seed) })
 	}
 }
 
-type watched struct {
-	deadline Time
-	attempts int
-	out      bool
-	stands   bool
-	closed   bool
-	clearAt  Time
-	server   string
-	until    Time
-	off      bool // called off
+type trackedCall struct {
+	deadline   Time
+	attempts   int
+	unanswered bool
+	stands     bool
+	closed     bool
+	retryAt    Time
+	server     string
+	until      Time
+	cancelled  bool // called off
 }
 
-func randomDay(t *testing.T, seed uint64) {
+func checkRandomRun(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	set := testSettings()
 	set.Senders = 1 + rng.IntN(8)
 	set.Rank = 0
 	if seed%3 == 0 {
-		set.Reports, set.Limits.Probes = WhenProbed, true
+		set.Reports, set.Limits.AllowProbes = WhenProbed, true
 	}
 	if seed%4 == 1 {
 		set.Repeat = 0
 	}
-	b := newBench(t, set, up(3)...)
-	calls := map[string]*watched{}
+	b := newHarness(t, set, upServers(3)...)
+	calls := map[string]*trackedCall{}
 	var order []string
 	state := map[string]State{}
 	readyAt := map[string]Time{}
@@ -184,28 +184,28 @@
 			case Send:
 				w := calls[a.ID]
 				switch {
-				case w == nil || w.closed || w.out || w.stands:
+				case w == nil || w.closed || w.unanswered || w.stands:
 					t.Fatalf("%v: send of %s, which is closed or out", b.now, a.ID)
-				case b.now < w.clearAt:
-					t.Fatalf("%v: %s sent %v before it is clear", b.now, a.ID, w.clearAt-b.now)
+				case b.now < w.retryAt:
+					t.Fatalf("%v: %s sent %v before it is clear", b.now, a.ID, w.retryAt-b.now)
 				case state[a.Server] != Up:
 					t.Fatalf("%v: send to %s, which is %v", b.now, a.Server, state[a.Server])
-				case a.Until > w.deadline || a.Until <= b.now:
-					t.Fatalf("%v: attempt until %v of a call until %v", b.now, a.Until, w.deadline)
-				case w.attempts >= set.Limits.Attempts:
+				case a.Deadline > w.deadline || a.Deadline <= b.now:
+					t.Fatalf("%v: attempt until %v of a call until %v", b.now, a.Deadline, w.deadline)
+				case w.attempts >= set.Limits.MaxAttempts:
 					t.Fatalf("%v: attempt %d of %s", b.now, w.attempts, a.ID)
 				}
 				w.attempts++
-				w.out, w.server, w.until = true, a.Server, a.Until
-				if r, ok := readyAt[a.Server]; ok && b.now-r < set.Rules.Cold {
+				w.unanswered, w.server, w.until = true, a.Server, a.Deadline
+				if r, ok := readyAt[a.Server]; ok && b.now-r < set.Rules.WarmUp {
 					recent := 0
 					coldSends[a.Server] = append(coldSends[a.Server], b.now)
 					for _, at := range coldSends[a.Server] {
-						if b.now-at < set.Rules.TipAfter {
+						if b.now-at < set.Rules.LoadSpan {
 							recent++
 						}
 					}
-					own := set.Rules.FallMultiple * warm * set.Rules.TipAfter.Seconds() / float64(set.Senders)
+					own := set.Rules.CollapseLoad * warm * set.Rules.LoadSpan.Seconds() / float64(set.Senders)
 					if float64(recent) > max(1, own) {
 						t.Fatalf("%v: %d sends to cold %s in one window", b.now, recent, a.Server)
 					}
@@ -215,16 +215,16 @@
 				if w == nil || a.Attempt >= w.attempts {
 					t.Fatalf("%v: %s has no attempt %d to call off", b.now, a.ID, a.Attempt)
 				}
-				w.off = w.out && a.Attempt == w.attempts-1
+				w.cancelled = w.unanswered && a.Attempt == w.attempts-1
 			case Refuse:
 				w := calls[a.ID]
-				if w == nil || w.closed || w.out || b.now > w.deadline || a.CoolDown > set.Limits.CoolDown {
+				if w == nil || w.closed || w.unanswered || b.now > w.deadline || a.RetryAfter > set.Limits.MaxRetryAfter {
 					t.Fatalf("%v: bad refusal of %s", b.now, a.ID)
 				}
 				w.closed = true
 			case Fail:
 				w := calls[a.ID]
-				if w == nil || w.closed || w.out || b.now > w.deadline+20*ms {
+				if w == nil || w.closed || w.unanswered || b.now > w.deadline+20*ms {
 					t.Fatalf("%v: bad failure of %s", b.now, a.ID)
 				}
 				w.closed = true
@@ -234,20 +234,20 @@
 		}
 	}
 	report := func() Report {
-		r := NoReport()
+		r := EmptyReport()
 		switch rng.IntN(6) {
 		case 0:
-			r.Util = rng.Float64() * 1.2
+			r.Utilisation = rng.Float64() * 1.2
 		case 1:
-			r.Queue = rng.Float64() * 30
+			r.QueueLength = rng.Float64() * 30
 		case 2:
-			r.Rate = rng.Float64() * warm
+			r.AcceptRate = rng.Float64() * warm
 		case 3:
-			r.Util, r.Rate = math.NaN(), math.Inf(1)
+			r.Utilisation, r.AcceptRate = math.NaN(), math.Inf(1)
 		case 4:
-			r.HoldBack = rng.Float64()
+			r.RefuseShare = rng.Float64()
 		}
-		r.Total, r.Spare = 400, float64(350+rng.IntN(3))
+		r.TotalLines, r.FreeLines = 400, float64(350+rng.IntN(3))
 		return r
 	}
 	end := b.now + 40*time.Second
@@ -257,17 +257,17 @@
 		live := order[:0]
 		for _, id := range order {
 			w := calls[id]
-			if !w.closed || w.out || w.stands {
+			if !w.closed || w.unanswered || w.stands {
 				live = append(live, id)
 			}
-			if w.out && (b.now >= w.until || w.off) {
+			if w.unanswered && (b.now >= w.until || w.cancelled) {
 				res := TimedOut
-				if w.off {
+				if w.cancelled {
 					res = Cancelled
 				}
-				w.out, w.off, w.clearAt = false, false, b.now+set.Rules.ClearWait
-				check(b.do(Ended{ID: id, Attempt: w.attempts - 1, Server: w.server, Result: res,
-					Report: NoReport()}))
+				w.unanswered, w.cancelled, w.retryAt = false, false, b.now+set.Rules.RetryDelay
+				check(b.handle(Ended{ID: id, Attempt: w.attempts - 1, Server: w.server, Result: res,
+					Report: EmptyReport()}))
 			}
 		}
 		order = live
@@ -282,16 +282,16 @@
 		}
 		timers = kept
 		if due {
-			check(b.do(Tick{}))
+			check(b.handle(Tick{}))
 		}
 		switch k := rng.IntN(60); {
 		case k < 10 && next < 3000:
 			id := fmt.Sprint("c", next)
 			next++
-			w := &watched{deadline: b.now + time.Duration(rng.IntN(3000)+20)*ms}
+			w := &trackedCall{deadline: b.now + time.Duration(rng.IntN(3000)+20)*ms}
 			calls[id] = w
 			order = append(order, id)
-			check(b.do(Arrival{ID: id, Class: []string{"look", "hold"}[rng.IntN(2)], Left: w.deadline - b.now,
+			check(b.handle(Arrival{ID: id, Class: []string{"look", "hold"}[rng.IntN(2)], TimeLeft: w.deadline - b.now,
 				Pool: rng.IntN(4)}))
 		case k < 16:
 			for range 3 {
@@ -302,35 +302,35 @@
 				w := calls[id]
 				if w.stands && rng.IntN(3) == 0 {
 					w.stands = false
-					check(b.do(Ended{ID: id, Attempt: w.attempts - 1, Server: w.server, Result: OK, Complete: true,
+					check(b.handle(Ended{ID: id, Attempt: w.attempts - 1, Server: w.server, Result: OK, Complete: true,
 						Report: report()}))
 				}
-				if !w.out {
+				if !w.unanswered {
 					continue
 				}
 				if rng.IntN(3) > 0 {
-					w.out, w.stands, w.closed = false, true, true
-					check(b.do(Standing{ID: id, Attempt: w.attempts - 1, Server: w.server}))
+					w.unanswered, w.stands, w.closed = false, true, true
+					check(b.handle(Standing{ID: id, Attempt: w.attempts - 1, Server: w.server}))
 					continue
 				}
 				res := []Result{Faulted, Full, TimedOut, Unreachable, Cut, NotSent}[rng.IntN(6)]
-				w.out = false
+				w.unanswered = false
 				if res == TimedOut || res == Cut {
-					w.clearAt = b.now + set.Rules.ClearWait
+					w.retryAt = b.now + set.Rules.RetryDelay
 				}
-				check(b.do(Ended{ID: id, Attempt: w.attempts - 1, Server: w.server, Result: res, Report: report()}))
+				check(b.handle(Ended{ID: id, Attempt: w.attempts - 1, Server: w.server, Result: res, Report: report()}))
 			}
 		case k == 16 && len(order) > 0:
 			id := order[rng.IntN(len(order))]
 			if w := calls[id]; !w.closed {
 				w.closed = true
-				check(b.do(Departed{ID: id}))
+				check(b.handle(Departed{ID: id}))
 			}
 		case k == 17:
-			check(b.do(Ended{ID: "unknown", Server: "nowhere", Report: report()}))
-			check(b.do(Standing{ID: "c0", Attempt: 9, Server: "10.0.0.1:1"}))
+			check(b.handle(Ended{ID: "unknown", Server: "nowhere", Report: report()}))
+			check(b.handle(Standing{ID: "c0", Attempt: 9, Server: "10.0.0.1:1"}))
 		case k == 18 && rng.IntN(8) == 0:
-			s := up(3)[rng.IntN(3)]
+			s := upServers(3)[rng.IntN(3)]
 			s.State = State(rng.IntN(3))
 			if s.State == Up && state[s.ID] != Up {
 				s.ReadyAt = b.now - 100*ms
@@ -339,12 +339,12 @@
 			}
 			s.ReadyAt = readyAt[s.ID]
 			state[s.ID] = s.State
-			check(b.do(List{Servers: []Server{s}}))
+			check(b.handle(ServerList{Servers: []Server{s}}))
 		case k == 19:
-			check(b.do(Probed{Server: "10.0.0.0:1", Asked: rng.IntN(2) == 0, Report: report()}))
+			check(b.handle(ReportReceived{Server: "10.0.0.0:1", Solicited: rng.IntN(2) == 0, Report: report()}))
 		}
 		for _, id := range order {
-			if w := calls[id]; !w.closed && !w.out && b.now > w.deadline {
+			if w := calls[id]; !w.closed && !w.unanswered && b.now > w.deadline {
 				t.Fatalf("%v: %s has no final answer at its deadline %v", b.now, id, w.deadline)
 			}
 		}
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// fleet returns the benches of many senders that share one list.
-func fleet(t *testing.T, senders int, servers ...Server) []*bench {
-	var all []*bench
+// newSenders returns the benches of many senders that share one list.
+func newSenders(t *testing.T, senders int, servers ...Server) []*harness {
+	var all []*harness
 	for i := range senders {
 		set := testSettings()
 		set.Senders, set.Rank = senders, i
-		all = append(all, newSeeded(t, set, uint64(i), servers...))
+		all = append(all, newSeededHarness(t, set, uint64(i), servers...))
 	}
 	return all
 }
 
-// told is the unasked report of a server's free lines.
-func told(server string, n, total float64) Probed {
-	r := NoReport()
-	r.Spare, r.Total = total-n, total
-	return Probed{Server: server, Report: r}
+// linesReport is the unasked report of a server's free lines.
+func linesReport(server string, n, total float64) ReportReceived {
+	r := EmptyReport()
+	r.FreeLines, r.TotalLines = total-n, total
+	return ReportReceived{Server: server, Report: r}
 }
 
 // TestManySendersSettle: half as many calls again as one server can take, from few and
@@ -32,11 +32,11 @@
 	for _, senders := range []int{6, 240} {
 		const mu, step = 60.0, 20 * ms
 		rng := rand.New(rand.NewPCG(1, 1))
-		all := fleet(t, senders, up(1)...)
-		id := up(1)[0].ID
+		all := newSenders(t, senders, upServers(1)...)
+		id := upServers(1)[0].ID
 		type standing struct {
 			at   Time
-			b    *bench
+			b    *harness
 			call string
 		}
 		var calls []standing
@@ -49,7 +49,7 @@
 				flow = append(flow, 0)
 				for _, b := range all {
 					b.now = now
-					b.do(told(id, float64(len(calls)), 2000))
+					b.handle(linesReport(id, float64(len(calls)), 2000))
 				}
 			}
 			for owed += 1.5 * mu * step.Seconds(); owed >= 1; owed-- {
@@ -57,8 +57,8 @@
 				b.now = now
 				name := fmt.Sprint(next)
 				next++
-				if sent := pick[Send](b.call(name)); len(sent) == 1 {
-					b.do(Standing{ID: name, Server: id, Delay: 20 * ms})
+				if sent := actionsOf[Send](b.call(name)); len(sent) == 1 {
+					b.handle(Standing{ID: name, Server: id, Delay: 20 * ms})
 					calls = append(calls, standing{now + 8*time.Second, b, name})
 					flow[second]++
 				}
@@ -67,8 +67,8 @@
 				e := calls[0]
 				calls = calls[1:]
 				e.b.now = now
-				e.b.do(Ended{ID: e.call, Server: id, Complete: true,
-					Report: report(func(r *Report) { r.Rate = mu * (0.95 + rng.Float64()/10) })})
+				e.b.handle(Ended{ID: e.call, Server: id, Complete: true,
+					Report: report(func(r *Report) { r.AcceptRate = mu * (0.95 + rng.Float64()/10) })})
 			}
 		}
 		sum := 0
@@ -92,17 +92,17 @@
 // TestDivertedCallsSpread: calls that can't have their first choice spread over the
 // other servers, by what these have to spare, and don't all turn to one.
 func TestDivertedCallsSpread(t *testing.T) {
-	list := up(5)
+	list := upServers(5)
 	list[0].State = Draining
 	got := map[string]int{}
-	for _, b := range fleet(t, 240, list...) {
+	for _, b := range newSenders(t, 240, list...) {
 		for i, s := range b.c.servers[1:] {
 			s.mu, s.flow = 60, 50
 			if i == 3 {
 				s.flow = 20
 			}
 		}
-		for _, a := range pick[Send](b.call("1")) {
+		for _, a := range actionsOf[Send](b.call("1")) {
 			got[a.Server]++
 		}
 	}
@@ -117,19 +117,19 @@
 	}
 }
 
-// TestTrialsAreJoint: once a server is suspect, all senders' trials together take a
+// TestTrialsShareOneLimit: once a server is suspect, all senders' trials together take a
 // small share of its capacity, however many senders there are.
-func TestTrialsAreJoint(t *testing.T) {
+func TestTrialsShareOneLimit(t *testing.T) {
 	for _, senders := range []int{6, 240} {
 		n := 0
-		for _, b := range fleet(t, senders, up(1)...) {
+		for _, b := range newSenders(t, senders, upServers(1)...) {
 			s := b.c.servers[0]
 			s.mu = 60
 			b.c.now = b.now
 			b.c.doubt(s, 0)
 			for i := range 200 {
 				b.now += 100 * ms
-				n += len(pick[Send](b.call(fmt.Sprint(i))))
+				n += len(actionsOf[Send](b.call(fmt.Sprint(i))))
 			}
 		}
 		if most := int(20*60*0.1) + senders/4; n == 0 || n > most {
@@ -138,16 +138,16 @@
 	}
 }
 
-// TestProbesAreJoint: neither at the start nor later do many senders' probes come at once.
-func TestProbesAreJoint(t *testing.T) {
+// TestProbesAreSpread: neither at the start nor later do many senders' probes come at once.
+func TestProbesAreSpread(t *testing.T) {
 	n, first := 0, 0
 	for i := range 240 {
 		set := testSettings()
-		set.Senders, set.Rank, set.Reports, set.Limits.Probes = 240, i, WhenProbed, true
-		b := newSeeded(t, set, uint64(i))
-		first += len(pick[Probe](b.do(List{Whole: true, Servers: up(1)})))
+		set.Senders, set.Rank, set.Reports, set.Limits.AllowProbes = 240, i, WhenProbed, true
+		b := newSeededHarness(t, set, uint64(i))
+		first += len(actionsOf[Probe](b.handle(ServerList{Whole: true, Servers: upServers(1)})))
 		for range 4 {
-			n += len(pick[Probe](b.after(5 * time.Second)))
+			n += len(actionsOf[Probe](b.advance(5 * time.Second)))
 		}
 	}
 	if first > 10 || n < 240 || n > 240+30*20 {
@@ -155,20 +155,20 @@
 	}
 }
 
-// TestOwnStall: after a stand-still of the gateway, what came meanwhile is read before
+// TestGatewayStall: after a stand-still of the gateway, what came meanwhile is read before
 // any server is judged, and calls without time left are answered at once.
-func TestOwnStall(t *testing.T) {
-	b := newBench(t, testSettings(), up(1)...)
+func TestGatewayStall(t *testing.T) {
+	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
 	b.call("1")
 	s.shutTill = b.now + 100*ms
 	b.call("2")
 	b.now += 2 * time.Second
-	out := b.do(Standing{ID: "1", Server: s.ID, Delay: 40 * ms})
+	out := b.handle(Standing{ID: "1", Server: s.ID, Delay: 40 * ms})
 	if s.suspect || s.b > 0 || s.queue > 0 {
 		t.Errorf("after the gateway's own stall: suspect %v, b %v, queue %v", s.suspect, s.b, s.queue)
 	}
-	if r := pick[Refuse](out); len(r) != 1 || r[0].ID != "2" {
+	if r := actionsOf[Refuse](out); len(r) != 1 || r[0].ID != "2" {
 		t.Errorf("the overdue call was not refused at once: %v", out)
 	}
 	if s.delay > 100*ms {
@@ -178,7 +178,7 @@
 
 // TestTimersDoNotMultiply: ticks and other events leave no more than a few timers out.
 func TestTimersDoNotMultiply(t *testing.T) {
-	b := newBench(t, testSettings(), up(2)...)
+	b := newHarness(t, testSettings(), upServers(2)...)
 	timers := map[Time]int{b.now + 50*ms: 1}
 	wakes := 0
 	for i := range 2000 {
@@ -192,13 +192,13 @@
 		}
 		var out []Action
 		for range due {
-			out = append(out, b.do(Tick{})...)
+			out = append(out, b.handle(Tick{})...)
 		}
 		if i%40 == 0 {
 			out = append(out, b.call(fmt.Sprint(i))...)
-			out = append(out, b.do(Standing{ID: fmt.Sprint(i), Server: b.c.servers[0].ID, Delay: ms})...)
+			out = append(out, b.handle(Standing{ID: fmt.Sprint(i), Server: b.c.servers[0].ID, Delay: ms})...)
 		}
-		for _, w := range pick[Wake](out) {
+		for _, w := range actionsOf[Wake](out) {
 			wakes++
 			timers[b.now+w.After]++
 		}
@@ -211,7 +211,7 @@
 // TestRedialsComeLast: who dials again at once gets no second ticket while first
 // tries are refused.
 func TestRedialsComeLast(t *testing.T) {
-	b := newBench(t, testSettings(), up(1)...)
+	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
 	refused, of := map[bool]int{}, map[bool]int{}
 	for i := range 3000 {
@@ -219,13 +219,13 @@
 		s.b, s.updated, s.reported = 0.5, b.now, b.now
 		again := i%2 == 1
 		id := fmt.Sprint(i)
-		out := b.do(Arrival{ID: id, Class: "look", Left: time.Second, Again: again})
-		for range pick[Send](out) {
-			b.do(Standing{ID: id, Server: s.ID, Delay: ms})
+		out := b.handle(Arrival{ID: id, Class: "look", TimeLeft: time.Second, Redial: again})
+		for range actionsOf[Send](out) {
+			b.handle(Standing{ID: id, Server: s.ID, Delay: ms})
 		}
 		if i >= 500 {
 			of[again]++
-			refused[again] += len(pick[Refuse](out))
+			refused[again] += len(actionsOf[Refuse](out))
 		}
 	}
 	if first := float64(refused[false]) / float64(of[false]); first > 0.1 {
@@ -236,60 +236,60 @@
 	}
 }
 
-// TestLeftList: a server that a whole list no longer names is not told to be up, to whoever spreads the load.
-func TestLeftList(t *testing.T) {
-	b := newBench(t, testSettings(), up(2)...)
-	b.do(List{Whole: true, Servers: up(1)})
+// TestUnlistedServerIsNotUp: a server that a whole list no longer names is not told to be up, to whoever spreads the load.
+func TestUnlistedServerIsNotUp(t *testing.T) {
+	b := newHarness(t, testSettings(), upServers(2)...)
+	b.handle(ServerList{Whole: true, Servers: upServers(1)})
 	if known := b.c.Spread().Known(b.now); len(known) != 1 {
 		t.Errorf("%v are up, one is listed", known)
 	}
 }
 
-// TestReplacedForGood: where new servers take the place of old ones under new ids for ever,
+// TestGoneServersAreEvicted: where new servers take the place of old ones under new ids for ever,
 // those that are gone must not stay; a call that stands at one still ends.
-func TestReplacedForGood(t *testing.T) {
-	b := newBench(t, testSettings(), up(1)...)
+func TestGoneServersAreEvicted(t *testing.T) {
+	b := newHarness(t, testSettings(), upServers(1)...)
 	b.call("1")
-	b.do(Standing{ID: "1", Server: up(1)[0].ID})
-	old := up(1)[0]
+	b.handle(Standing{ID: "1", Server: upServers(1)[0].ID})
+	old := upServers(1)[0]
 	for i := range 200 {
 		s := Server{ID: fmt.Sprint("s-", i)}
 		old.State = Gone
-		b.do(List{Servers: []Server{s, old}})
+		b.handle(ServerList{Servers: []Server{s, old}})
 		old = s
 	}
 	if n := len(b.c.servers); n > goneMost+1 || n != len(b.c.byID) {
 		t.Errorf("%d servers are kept, %d by their ids", n, len(b.c.byID))
 	}
-	b.do(Ended{ID: "1", Server: up(1)[0].ID, Result: Cut, Complete: true, Report: NoReport()})
+	b.handle(Ended{ID: "1", Server: upServers(1)[0].ID, Result: Cut, Complete: true, Report: EmptyReport()})
 	if len(b.c.calls) != 0 {
 		t.Error("the call at the first server is not forgotten")
 	}
-	if sent := pick[Send](b.call("2")); len(sent) != 1 || sent[0].Server != old.ID {
+	if sent := actionsOf[Send](b.call("2")); len(sent) != 1 || sent[0].Server != old.ID {
 		t.Errorf("sent to %v, the only one up is %s", sent, old.ID)
 	}
 }
 
-// TestOddFleets: no list, one server, far more servers than senders, one sender or
+// TestExtremeFleetSizes: no list, one server, far more servers than senders, one sender or
 // thousands: calls are answered or sent, and no figure turns NaN.
-func TestOddFleets(t *testing.T) {
+func TestExtremeFleetSizes(t *testing.T) {
 	for _, senders := range []int{1, 5000} {
 		for _, servers := range []int{0, 1, 300} {
 			set := testSettings()
 			set.Senders, set.Rank = senders, senders-1
-			b := newSeeded(t, set, 1)
-			b.do(List{Whole: true, Servers: up(servers)})
+			b := newSeededHarness(t, set, 1)
+			b.handle(ServerList{Whole: true, Servers: upServers(servers)})
 			sent, refused := 0, 0
 			for i := range 50 {
 				b.now += 100 * ms
 				for _, s := range b.c.servers {
-					b.do(told(s.ID, float64(i), 100))
+					b.handle(linesReport(s.ID, float64(i), 100))
 				}
 				out := b.call(fmt.Sprint(i))
-				sent += len(pick[Send](out))
-				refused += len(pick[Refuse](out))
-				for _, a := range pick[Send](out) {
-					b.do(Standing{ID: a.ID, Server: a.Server, Delay: 20 * ms})
+				sent += len(actionsOf[Send](out))
+				refused += len(actionsOf[Refuse](out))
+				for _, a := range actionsOf[Send](out) {
+					b.handle(Standing{ID: a.ID, Server: a.Server, Delay: 20 * ms})
 				}
 			}
 			if servers == 0 && refused != 50 || servers > 0 && sent < 25 {
@@ -304,22 +304,22 @@
 	}
 }
 
-// TestFullLeavesNoLoad: where no utilisation is reported, a 'full' moves b once; the
+// TestFullFadesWithoutLoad: where no utilisation is reported, a 'full' moves b once; the
 // next count of calls in progress, well under capacity, opens it again.
-func TestFullLeavesNoLoad(t *testing.T) {
-	b := newBench(t, testSettings(), up(1)...)
+func TestFullFadesWithoutLoad(t *testing.T) {
+	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
 	s.mu = 40
-	b.do(told(s.ID, 80, 400))
+	b.handle(linesReport(s.ID, 80, 400))
 	b.call("1")
 	b.now += 30 * ms
-	b.do(Ended{ID: "1", Server: s.ID, Result: Full, Report: NoReport()})
+	b.handle(Ended{ID: "1", Server: s.ID, Result: Full, Report: EmptyReport()})
 	if s.b <= 0 {
 		t.Fatal("a full answer left b at 0")
 	}
 	for range 10 {
 		b.now += time.Second
-		b.do(told(s.ID, 80, 400))
+		b.handle(linesReport(s.ID, 80, 400))
 	}
 	if s.b > 0 {
 		t.Errorf("b = %v ten seconds after one 'full' at a quarter of the capacity", s.b)
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -10,22 +10,22 @@
 	"woodrouter/spread"
 )
 
-// scramble drives a controller with n servers through legal events drawn from a seed: calls with and
+// randomEvents drives a controller with n servers through legal events drawn from a seed: calls with and
 // without a first choice, every end, reports of every kind, restarts, drains, losses of many servers
 // at once, views and stand-stills. It hands over what was done at each event.
-func scramble(t *testing.T, seed uint64, n, events int, done func(c *Controller, acts []Action)) {
+func randomEvents(t *testing.T, seed uint64, n, events int, done func(c *Controller, acts []Action)) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	set := testSettings()
 	set.Senders, set.Spread = 1+rng.IntN(20), spread.Config{Name: "a1", Life: 1}
 	set.Rank = rng.IntN(set.Senders)
 	set.Tenants = []Tenant{{"t", float64(n) * 5}, {"u", 3}}
 	if seed%3 == 0 {
-		set.Reports, set.Limits.Probes = WhenProbed, true
+		set.Reports, set.Limits.AllowProbes = WhenProbed, true
 	}
 	if seed%4 == 1 {
 		set.Classes[1].Pools = []int{0, 2, 3, 5}
 	}
-	b := newSeeded(t, set, seed, up(n)...)
+	b := newSeededHarness(t, set, seed, upServers(n)...)
 	b.c.Spread().Alive([]string{"a1", "a2", "a3"})
 	type out struct {
 		attempt int
@@ -34,7 +34,7 @@
 	}
 	calls, ids, next, view := map[string]*out{}, []string(nil), 0, uint64(0)
 	take := func(acts []Action) {
-		for _, a := range pick[Send](acts) {
+		for _, a := range actionsOf[Send](acts) {
 			if calls[a.ID] == nil {
 				calls[a.ID] = &out{attempt: -1}
 				ids = append(ids, a.ID)
@@ -45,21 +45,21 @@
 		done(b.c, acts)
 	}
 	figures := func() Report {
-		r := NoReport()
+		r := EmptyReport()
 		switch rng.IntN(6) {
 		case 0:
-			r.Util = rng.Float64() * 1.2
+			r.Utilisation = rng.Float64() * 1.2
 		case 1:
-			r.Queue = rng.Float64() * 30
+			r.QueueLength = rng.Float64() * 30
 		case 2:
-			r.Rate = rng.Float64() * 40
+			r.AcceptRate = rng.Float64() * 40
 		case 3:
-			r.Wait = rng.Float64()
+			r.WaitSeconds = rng.Float64()
 		case 4:
-			r.HoldBack = rng.Float64() / 2
+			r.RefuseShare = rng.Float64() / 2
 		}
 		if rng.IntN(2) == 0 {
-			r.Total, r.Spare = float64(200+rng.IntN(3)*100), float64(rng.IntN(200))
+			r.TotalLines, r.FreeLines = float64(200+rng.IntN(3)*100), float64(rng.IntN(200))
 		}
 		return r
 	}
@@ -68,68 +68,68 @@
 		if rng.IntN(400) == 0 {
 			b.now += 700 * ms
 		}
-		s := up(n)[rng.IntN(n)]
+		s := upServers(n)[rng.IntN(n)]
 		switch k := rng.IntN(20); {
 		case k < 6:
 			next++
-			take(b.do(Arrival{ID: fmt.Sprint(next), Class: []string{"look", "hold"}[rng.IntN(2)], Again: rng.IntN(9) == 0,
-				Tenant: []string{"t", "u", ""}[rng.IntN(3)], Left: time.Duration(rng.IntN(4000)) * ms, Pool: rng.IntN(2*n) - n/2}))
+			take(b.handle(Arrival{ID: fmt.Sprint(next), Class: []string{"look", "hold"}[rng.IntN(2)], Redial: rng.IntN(9) == 0,
+				Tenant: []string{"t", "u", ""}[rng.IntN(3)], TimeLeft: time.Duration(rng.IntN(4000)) * ms, Pool: rng.IntN(2*n) - n/2}))
 		case k < 11 && len(ids) > 0:
 			id := ids[rng.IntN(min(len(ids), 20))]
 			cl := calls[id]
 			if !cl.stands && rng.IntN(3) > 0 {
 				cl.stands = true
-				take(b.do(Standing{ID: id, Attempt: cl.attempt, Server: cl.server, Delay: time.Duration(rng.IntN(40)) * ms}))
+				take(b.handle(Standing{ID: id, Attempt: cl.attempt, Server: cl.server, Delay: time.Duration(rng.IntN(40)) * ms}))
 				continue
 			}
 			res := []Result{OK, Faulted, Full, TimedOut, Unreachable, Cut, Cancelled, NotSent, NoLines, Busy}[rng.IntN(10)]
 			if cl.stands {
 				res = OK
 			}
-			take(b.do(Ended{ID: id, Attempt: cl.attempt, Server: cl.server, Result: res, Delay: time.Duration(rng.IntN(900)) * ms,
+			take(b.handle(Ended{ID: id, Attempt: cl.attempt, Server: cl.server, Result: res, Delay: time.Duration(rng.IntN(900)) * ms,
 				Complete: res == OK, Report: figures()}))
 			if b.c.calls[id] == nil {
 				delete(calls, id)
 				ids = slices.DeleteFunc(ids, func(o string) bool { return o == id })
 			}
 		case k < 13:
-			take(b.do(Tick{}))
+			take(b.handle(Tick{}))
 		case k < 16:
 			r := figures()
-			r.Total, r.Spare = 300, float64(rng.IntN(300))
-			take(b.do(Probed{Server: s.ID, Report: r}))
+			r.TotalLines, r.FreeLines = 300, float64(rng.IntN(300))
+			take(b.handle(ReportReceived{Server: s.ID, Report: r}))
 		case k == 16:
-			take(b.do(Probed{Server: s.ID, Asked: true, Result: Result(rng.IntN(2)), Report: figures()}))
+			take(b.handle(ReportReceived{Server: s.ID, Solicited: true, Result: Result(rng.IntN(2)), Report: figures()}))
 		case k == 17 && rng.IntN(4) == 0:
 			s.State, s.ReadyAt = State(rng.IntN(3)), b.now-time.Duration(rng.IntN(3000))*ms
-			take(b.do(List{Servers: []Server{s}}))
+			take(b.handle(ServerList{Servers: []Server{s}}))
 		case k == 18 && rng.IntN(30) == 0: // a zone's loss
 			for _, o := range b.c.servers[:rng.IntN(len(b.c.servers))] {
 				b.c.now = b.now
 				b.c.doubt(o, 0)
 			}
 		case k == 19 && rng.IntN(40) == 0:
-			take(b.do(List{Whole: true, Servers: up(n)[:1+rng.IntN(n)]}))
-			take(b.do(List{Whole: true, Servers: up(n)}))
+			take(b.handle(ServerList{Whole: true, Servers: upServers(n)[:1+rng.IntN(n)]}))
+			take(b.handle(ServerList{Whole: true, Servers: upServers(n)}))
 		case k == 19 && rng.IntN(10) == 0:
 			view++
 			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: view}, Echo: spread.Stamp{Name: "a1", Life: 1, Seq: view}}
-			for i, o := range up(n) {
+			for i, o := range upServers(n) {
 				v.Dues = append(v.Dues, spread.Due{Server: o.ID, Share: rng.Float64() * 20, Rate: float64(i%3) * 15 * rng.Float64(),
 					Idle: time.Duration(rng.IntN(2000)) * ms, Grant: rng.IntN(2)})
 			}
 			b.c.Spread().Summary(b.now, "a2")
-			take(b.c.Follow(b.now, v))
+			take(b.c.ApplyView(b.now, v))
 		}
 	}
 }
 
-// TestSums: after any events, the sums over all servers that are kept equal those taken afresh, and
+// TestTotalsMatchRecount: after any events, the sums over all servers that are kept equal those taken afresh, and
 // so does what they tell of a server whose capacity was not measured.
-func TestSums(t *testing.T) {
+func TestTotalsMatchRecount(t *testing.T) {
 	for seed := range uint64(8) {
 		n := 3 + int(seed)*5
-		scramble(t, seed, n, 3000, func(c *Controller, _ []Action) {
+		randomEvents(t, seed, n, 3000, func(c *Controller, _ []Action) {
 			if !c.summed {
 				return
 			}
@@ -159,11 +159,11 @@
 	}
 }
 
-// TestElsewhere: at the end of a watch, what it found of trusted servers that are open is what a
+// TestAnyTrustedOpenMatchesScan: at the end of a watch, what it found of trusted servers that are open is what a
 // walk over all of them finds.
-func TestElsewhere(t *testing.T) {
+func TestAnyTrustedOpenMatchesScan(t *testing.T) {
 	for seed := range uint64(6) {
-		b := newSeeded(t, testSettings(), seed, up(30)...)
+		b := newSeededHarness(t, testSettings(), seed, upServers(30)...)
 		rng := rand.New(rand.NewPCG(seed, 9))
 		for range 400 {
 			b.now += 60 * ms // past the timer that was asked for
@@ -172,7 +172,7 @@
 					s.shutTill = b.now + 30*ms
 				}
 			}
-			b.do(Tick{})
+			b.handle(Tick{})
 			found := false
 			for _, s := range b.c.servers {
 				found = found || !s.suspect && b.c.open(s)
@@ -184,45 +184,47 @@
 	}
 }
 
-// TestLooks: how often one decision looks at a server grows no faster than the number of servers:
+// TestServerVisitsPerDecision: how often one decision looks at a server grows no faster than the number of servers:
 // with a first choice or none, with capacities that were measured or not, at a tick while most
 // servers are suspect, and for a view of all of them.
-func TestLooks(t *testing.T) {
+func TestServerVisitsPerDecision(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		do   func(c *Controller, now Time)
 	}{
 		{"first choice", func(c *Controller, now Time) {
-			c.Handle(now, Arrival{ID: "1", Class: "look", Left: time.Second, Pool: len(c.servers) - 1})
+			c.Handle(now, Arrival{ID: "1", Class: "look", TimeLeft: time.Second, Pool: len(c.servers) - 1})
 		}},
 		{"no first choice", func(c *Controller, now Time) {
-			c.Handle(now, Arrival{ID: "1", Class: "look", Left: time.Second, Pool: -1})
+			c.Handle(now, Arrival{ID: "1", Class: "look", TimeLeft: time.Second, Pool: -1})
 		}},
 		{"a tenant's call", func(c *Controller, now Time) {
-			c.Handle(now, Arrival{ID: "1", Class: "look", Tenant: "t", Left: time.Second, Pool: -1})
+			c.Handle(now, Arrival{ID: "1", Class: "look", Tenant: "t", TimeLeft: time.Second, Pool: -1})
+		}},
+		{"lines told", func(c *Controller, now Time) { c.Handle(now+450*ms, linesReport(c.servers[0].ID, 70, 400)) }},
+		{"a whole list", func(c *Controller, now Time) {
+			c.Handle(now, ServerList{Whole: true, Servers: upServers(len(c.servers))})
 		}},
-		{"lines told", func(c *Controller, now Time) { c.Handle(now+450*ms, told(c.servers[0].ID, 70, 400)) }},
-		{"a whole list", func(c *Controller, now Time) { c.Handle(now, List{Whole: true, Servers: up(len(c.servers))}) }},
 		{"a view", func(c *Controller, now Time) {
 			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: 1}, Echo: spread.Stamp{Name: "a1", Life: 1, Seq: 1}}
 			for _, s := range c.servers {
 				v.Dues = append(v.Dues, spread.Due{Server: s.ID, Share: 1, Rate: 50})
 			}
-			c.Follow(now, v)
+			c.ApplyView(now, v)
 		}},
 		{"tick, most are suspect", func(c *Controller, now Time) {
-			shun(c, now, len(c.servers)-1)
+			suspectServers(c, now, len(c.servers)-1)
 			c.Handle(now+100*ms, Tick{})
 		}},
 		{"tick, all are suspect", func(c *Controller, now Time) {
-			shun(c, now, len(c.servers))
+			suspectServers(c, now, len(c.servers))
 			c.Handle(now+100*ms, Tick{})
 		}},
 	} {
 		for _, measured := range []bool{true, false} {
 			most := 0.0
 			for _, n := range []int{100, 730} {
-				c, now := grown(t, n, measured, Tenant{"t", 100}, Tenant{"u", 100})
+				c, now := newLoadedController(t, n, measured, Tenant{"t", 100}, Tenant{"u", 100})
 				c.looks = 0
 				tc.do(c, now)
 				if most = max(most, float64(c.looks)/float64(n)); float64(c.looks) > 4*float64(n)+4 {
