--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -126,7 +126,7 @@
 	d.pool = trunk.NewPool(trunk.Config{Wrote: d.wrote(), ConnectTimeout: settings.Micros(cfg.info.Limits.ConnectTimeout),
 		Aim: cfg.info.ShortestAim(), Probes: cfg.info.Limits.Probes, Source: cfg.source, MaxConns: d.parts.beside, Part: d.parts.servers,
 		Name: cfg.Name, Placed: func(ids []string, placed bool) {
-			d.core.Spread(func(_ policy.Time, s *spread.State) { s.Placed(ids, placed) })
+			d.core.Spread(func(_ policy.Time, s *spread.State) { s.SetConnected(ids, placed) })
 		}, Log: log}, d.core)
 	d.core.Attach(d.pool)
 	d.stayAway = min(busyAway, set.Limits.MaxRetryAfter)
--- a/internal/daemon/parts_test.go
+++ b/internal/daemon/parts_test.go
@@ -20,7 +20,7 @@
 				assert.Equal(t, sockets/4, p.beside, "as before")
 				table := subset.New("a", p.servers, 0)
 				for i := range 60 {
-					table.Listed(string(rune('A'+i)), true)
+					table.Update(string(rune('A'+i)), true)
 				}
 				assert.True(t, table.Fits(), "%d: 60 servers", sockets)
 			}
--- a/internal/fleet/spreader/gossip.go
+++ b/internal/fleet/spreader/gossip.go
@@ -58,12 +58,12 @@
 func (g *gossip) look(now policy.Time, st *spread.State) func() {
 	alive := g.list.Names()
 	slices.Sort(alive)
-	st.Alive(alive)
-	known := st.Known(now)
+	st.SetAlive(alive)
+	known := st.UpServers(now)
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.steward.Know(time.Since(g.s.began), known)
+		g.steward.SetServers(time.Since(g.s.began), known)
 	}
 }
 
@@ -113,7 +113,7 @@
 // hear answers a summary, as the steward.
 func (g *gossip) hear(from string, sum spread.Summary) {
 	g.mu.Lock()
-	v, ok := g.steward.Hear(time.Since(g.s.began), sum)
+	v, ok := g.steward.HandleSummary(time.Since(g.s.began), sum)
 	if ok {
 		g.answered++
 	}
--- a/internal/fleet/spreader/machines_test.go
+++ b/internal/fleet/spreader/machines_test.go
@@ -39,11 +39,11 @@
 }
 
 func (c *live) Follow(v spread.View) {
-	c.Spread(func(now policy.Time, st *spread.State) { st.Hear(now, v) })
+	c.Spread(func(now policy.Time, st *spread.State) { st.HandleView(now, v) })
 }
 
 func (c *live) follows() (on bool) {
-	c.Spread(func(now policy.Time, st *spread.State) { on = st.Follows(now) })
+	c.Spread(func(now policy.Time, st *spread.State) { on = st.FollowsView(now) })
 	return on
 }
 
@@ -160,7 +160,7 @@
 	cfg := file.Spread("a", time.Now())
 	cfg.Senders = 1
 	k.core.state = spread.New(cfg)
-	k.core.state.Listed("s1", true)
+	k.core.state.UpdateServer("s1", true)
 	var err error
 	k.Spreader, err = Open(file, cfg, k.core, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
--- a/internal/fleet/spreader/spreader.go
+++ b/internal/fleet/spreader/spreader.go
@@ -251,9 +251,9 @@
 func (s *Spreader) tell() {
 	s.core.Spread(func(now policy.Time, st *spread.State) {
 		looked := s.way.look(now, st)
-		st.Look(now)
-		to := st.Steward(now)
-		sum, follows := st.Summary(now, to), st.Follows(now)
+		st.ExpireView(now)
+		to := st.CurrentSteward(now)
+		sum, follows := st.BuildSummary(now, to), st.FollowsView(now)
 		go s.send(to, sum, follows, looked) // the core does not wait for the network
 	})
 }
--- a/internal/fleet/spreader/spreader_test.go
+++ b/internal/fleet/spreader/spreader_test.go
@@ -58,7 +58,7 @@
 type core struct{ state *spread.State }
 
 func (c core) Spread(do func(policy.Time, *spread.State)) { do(time.Second, c.state) }
-func (c core) Follow(v spread.View)                       { c.state.Hear(time.Second, v) }
+func (c core) Follow(v spread.View)                       { c.state.HandleView(time.Second, v) }
 
 // TestJunk: junk, oversized, impossible and replayed messages are counted and passed over, and
 // what is known stays.
@@ -182,13 +182,13 @@
 		}
 		require.NoError(t, err, text)
 		require.NoError(t, s.Change(next))
-		assert.Equal(t, 200*time.Millisecond, c.state.Summary(time.Second, "a").Period)
-		v, _ := s.way.(*gossip).steward.Hear(time.Second, c.state.Summary(time.Second, "a"))
+		assert.Equal(t, 200*time.Millisecond, c.state.BuildSummary(time.Second, "a").Period)
+		v, _ := s.way.(*gossip).steward.HandleSummary(time.Second, c.state.BuildSummary(time.Second, "a"))
 		assert.Equal(t, 200*time.Millisecond, v.Period)
 		assert.EqualValues(t, 200*time.Millisecond, s.period.Load())
 	}
 	require.NoError(t, s.Change(own))
-	assert.Equal(t, spread.DefaultPeriod, c.state.Summary(time.Second, "a").Period, "the own file again")
+	assert.Equal(t, spread.DefaultPeriod, c.state.BuildSummary(time.Second, "a").Period, "the own file again")
 }
 
 // TestFixed: a file or document that changes more than the period is refused, or left to the next
--- a/internal/fleet/stewards/stewards.go
+++ b/internal/fleet/stewards/stewards.go
@@ -103,7 +103,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	view, ok := v.steward.Hear(time.Since(s.began), args.Summary)
+	view, ok := v.steward.HandleSummary(time.Since(s.began), args.Summary)
 	if !ok {
 		return TellReply{}, ErrOld
 	}
@@ -171,9 +171,9 @@
 	var lines []string
 	for name, v := range s.services {
 		v.mu.Lock()
-		st := v.steward.Standing(time.Since(s.began))
+		st := v.steward.Status(time.Since(s.began))
 		lines = append(lines, fmt.Sprintf("steward of %s: %d of %d agents heard, %.1f calls a second, %.0f%% held back, %d servers, %d cold, rights of %d lent, %d summaries answered\n",
-			name, st.Senders, st.Named, st.Demand, 100*st.Hold, st.Servers, st.Cold, st.Lent, v.heard))
+			name, st.Senders, st.Configured, st.Demand, 100*st.Hold, st.Servers, st.Cold, st.Lent, v.heard))
 		v.mu.Unlock()
 	}
 	slices.SortFunc(lines, func(a, b string) int { return cmp.Compare(a, b) })
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -298,7 +298,7 @@
 	s.core.Spread(func(now policy.Time, st *spread.State) {
 		s.feed(now, st)
 		do(now, st)
-		s.follows.Store(st.Follows(now))
+		s.follows.Store(st.FollowsView(now))
 	})
 }
 
@@ -315,12 +315,12 @@
 		return
 	}
 	if h.open != "" {
-		st.Ended(h.open, true)
+		st.RecordEnd(h.open, true)
 	}
 	h.open = fmt.Sprintf("server-%02d", (h.i+h.turn/2)%h.deal.Servers)
-	st.Offered(now)
-	st.Saw(now, h.open, spread.Seen{Lines: 900, Util: 0.6, Wait: 0.021})
-	st.Sent(now, h.open, false)
+	st.RecordDemand(now)
+	st.RecordReport(now, h.open, spread.Seen{Lines: 900, Util: 0.6, Wait: 0.021})
+	st.RecordSent(now, h.open, false)
 }
 
 // startZones has the agent follow zones; a decider has its part in the control group too.
--- a/internal/servers/trunk/places.go
+++ b/internal/servers/trunk/places.go
@@ -45,7 +45,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.actors[id] = t
-	p.table.Listed(id, up)
+	p.table.Update(id, up)
 }
 
 // forget drops a server whose actor has ended.
@@ -56,7 +56,7 @@
 		return
 	}
 	p.link(t, false)
-	p.table.Forget(id)
+	p.table.Remove(id)
 	delete(p.actors, id)
 	delete(p.away, id)
 }
@@ -69,14 +69,14 @@
 }
 
 func (p *places) resettle(named map[string]bool) {
-	for _, id := range p.table.Settle() {
+	for _, id := range p.table.UpdatePreferred() {
 		if t := p.actors[id]; !named[id] {
 			t.post(t.connectSoon)
 		}
 	}
 	if fits := p.table.Fits(); fits != p.whole {
 		p.whole = fits
-		listed, most, _ := p.table.Figures()
+		listed, most, _ := p.table.Stats()
 		if fits {
 			p.log.Info("connections to all setup servers again", "listed", listed, "most", most)
 		} else {
@@ -101,7 +101,7 @@
 	}
 	var lost, got []string
 	for _, id := range ids {
-		away := !p.table.Fits() && !p.table.Has(id)
+		away := !p.table.Fits() && !p.table.HasSlot(id)
 		switch {
 		case away && !p.away[id]:
 			lost, p.away[id] = append(lost, id), true
@@ -120,15 +120,15 @@
 
 // take gives a server a place, pinned until its actor's event is over. had: it had one. freed is
 // closed once the connection whose place it is has ended; nil: there is none.
-func (p *places) take(t *trunk, need subset.Need) (freed <-chan struct{}, had, ok bool) {
+func (p *places) take(t *trunk, need subset.Purpose) (freed <-chan struct{}, had, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := t.name
 	if p.actors[id] != t {
 		return nil, true, p.table.Fits()
 	}
-	had = p.table.Has(id)
-	from, ok := p.table.Take(time.Now(), id, need)
+	had = p.table.HasSlot(id)
+	from, ok := p.table.Acquire(time.Now(), id, need)
 	if from != "" {
 		v := p.actors[from]
 		freed = v.reading
@@ -145,31 +145,31 @@
 func (p *places) keep(t *trunk) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.actors[t.name] != t || !p.table.Has(t.name) {
+	if p.actors[t.name] != t || !p.table.HasSlot(t.name) {
 		return p.table.Fits()
 	}
-	p.table.Take(time.Now(), t.name, subset.Call)
+	p.table.Acquire(time.Now(), t.name, subset.ForCall)
 	return true
 }
 
 func (p *places) has(t *trunk) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.actors[t.name] == t && p.table.Has(t.name)
+	return p.actors[t.name] == t && p.table.HasSlot(t.name)
 }
 
 // apart tells whether a server has no place as not every one may have one.
 func (p *places) apart(t *trunk) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.actors[t.name] == t && !p.table.Fits() && !p.table.Has(t.name)
+	return p.actors[t.name] == t && !p.table.Fits() && !p.table.HasSlot(t.name)
 }
 
 // wanted tells whether a server is to have a connection though no call is for it.
 func (p *places) wanted(t *trunk) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.actors[t.name] == t && p.table.Standing(t.name)
+	return p.actors[t.name] == t && p.table.IsPreferred(t.name)
 }
 
 // opened notes the connection that a server's place holds now.
@@ -187,7 +187,7 @@
 	if most > 0 && now > most && p.table.Fits() {
 		return false
 	}
-	return p.actors[t.name] != t || p.table.Another(t.name)
+	return p.actors[t.name] != t || p.table.AddExtra(t.name)
 }
 
 func (p *places) link(t *trunk, up bool) {
@@ -210,11 +210,11 @@
 	if p.actors[id] != t {
 		return
 	}
-	p.table.Used(time.Now(), id, u.Use)
-	p.table.Beside(id, u.beside)
+	p.table.SetUse(time.Now(), id, u.Use)
+	p.table.SetExtra(id, u.beside)
 	p.link(t, u.linked)
-	if !u.linked && !u.Pinned && (u.Failed || !p.table.Standing(id)) {
-		p.table.Leave(id)
+	if !u.linked && !u.Pinned && (u.Failed || !p.table.IsPreferred(id)) {
+		p.table.Release(id)
 		p.changed(id)
 	}
 	if u.Failed != t.failed {
@@ -245,7 +245,7 @@
 }
 
 // placed has this server come by a place, or keep it; false: none is to be had.
-func (t *trunk) placed(need subset.Need) bool {
+func (t *trunk) placed(need subset.Purpose) bool {
 	t.touched = true
 	freed, had, ok := t.places.take(t, need)
 	if ok && !had {
@@ -280,12 +280,12 @@
 		t.conns.Add(-1)
 		return false
 	}
-	need := subset.Ready
+	need := subset.Standby
 	if len(t.waiting)+len(t.unsaid)+len(t.open) > 0 {
-		need = subset.Call
+		need = subset.ForCall
 	}
 	if !t.placed(need) {
-		if need == subset.Call || t.places.wanted(t) {
+		if need == subset.ForCall || t.places.wanted(t) {
 			t.rest()
 		}
 		return false
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -184,7 +184,7 @@
 
 func (t *trunk) setUp(a agent.Attempt) {
 	open := t.server.State == policy.Up && !t.stopped
-	if open && !t.placed(subset.Call) { // told at once: another server may have one
+	if open && !t.placed(subset.ForCall) { // told at once: another server may have one
 		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, policy.NotSent, errPlace), policy.EmptyReport())
 		return
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -250,7 +250,7 @@
 // ApplyView takes a steward's view of the fleet: the order of servers by its shares, and what all senders
 // have measured of each, worth more than this one's few reports. All of it is read, then decided on once.
 func (c *Controller) ApplyView(now Time, v spread.View) []Action {
-	if !c.spread.Hear(now, v) {
+	if !c.spread.HandleView(now, v) {
 		return nil
 	}
 	c.Handle(now, ReportReceived{}) // of no server: the time alone
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -152,7 +152,7 @@
 	trialAt            Time // no trial before this
 	coldFrom, coldTill Time // its warming
 	probeAt            Time
-	seat               spread.Seat
+	seat               spread.ServerRef
 }
 
 // Controller decides for one gateway. It is not safe for concurrent use.
@@ -174,13 +174,13 @@
 	woke             Time          // when this gateway last came back from a stand-still
 	aim              time.Duration // the shortest aim
 	acts             []Action
-	pace             spread.Pace // at which servers tell of their lines
-	own              spread.Part // of all calls
+	pace             spread.ReportInterval // at which servers tell of their lines
+	own              spread.FlowShare      // of all calls
 	spread           *spread.State
-	fleet            spread.Fleet // sums over the servers,
-	summed           bool         // as they are now
-	openAt           int          // in a watch: no server before this place is trusted and open
-	looks            int          // at servers, for the test that counts them
+	fleet            spread.ServerTotals // sums over the servers,
+	summed           bool                // as they are now
+	openAt           int                 // in a watch: no server before this place is trusted and open
+	looks            int                 // at servers, for the test that counts them
 }
 
 // New returns the controller of one gateway, or tells why the settings can't be used.
@@ -291,7 +291,7 @@
 		spacing: max(e.RetryDelay, c.set.Rules.RetryDelay)}
 	c.calls[e.ID] = cl
 	c.held = append(c.held, cl)
-	c.spread.Offered(c.now)
+	c.spread.RecordDemand(c.now)
 	c.weigh(g)
 }
 
@@ -301,7 +301,7 @@
 		return
 	}
 	cl.stands, cl.closed = true, true
-	c.own.Stood(c.now)
+	c.own.RecordStood(c.now)
 	c.answer(cl, e.Delay)
 	delete(c.busy, cl.number)
 }
@@ -389,7 +389,7 @@
 			c.logf("server %s is listed as %s", n.ID, [...]string{"up", "draining", "gone"}[n.State])
 		}
 		s.Server = n
-		c.spread.Listed(n.ID, n.State == Up)
+		c.spread.UpdateServer(n.ID, n.State == Up)
 		if restarted {
 			c.chill(s, n.ReadyAt, c.set.Rules.WarmUp)
 		}
@@ -397,7 +397,7 @@
 	for _, s := range c.servers {
 		if e.Whole && !listed[s.ID] && s.State != Gone {
 			s.State = Gone
-			c.spread.Listed(s.ID, false)
+			c.spread.UpdateServer(s.ID, false)
 			c.logf("server %s has left the list", s.ID)
 		}
 	}
@@ -420,7 +420,7 @@
 		}
 		n--
 		delete(c.byID, s.ID)
-		c.spread.Forget(s.ID)
+		c.spread.RemoveServer(s.ID)
 		return true
 	})
 }
@@ -527,7 +527,7 @@
 		return
 	}
 	if s.linesAt != 0 {
-		c.pace.Told(c.now - s.linesAt)
+		c.pace.Observe(c.now - s.linesAt)
 	}
 	if hold := c.hold; hold > 0 {
 		if s.linesAt == 0 || s.lines == 0 && s.flow == 0 {
@@ -561,7 +561,7 @@
 		return
 	}
 	gap := c.now - s.loadAt
-	c.spread.Saw(c.now, s.ID, spread.Seen{Lines: s.total, Util: r.Utilisation, Wait: r.WaitSeconds})
+	c.spread.RecordReport(c.now, s.ID, spread.Seen{Lines: s.total, Util: r.Utilisation, Wait: r.WaitSeconds})
 	s.last, s.reported, s.loadAt, c.summed = now, c.now, c.now, false
 	s.period = time.Duration(blend(float64(s.period), float64(gap), 0.125))
 	switch {
@@ -613,14 +613,14 @@
 	if s.mu > 0 {
 		return s.mu
 	}
-	return c.joint().Guess(s.total)
+	return c.joint().EstimateRate(s.total)
 }
 
 // joint is what all servers are known to take, and the flow there, of all senders. It is summed
 // once in an event, and again where a figure changed in it.
-func (c *Controller) joint() *spread.Fleet {
+func (c *Controller) joint() *spread.ServerTotals {
 	if !c.summed {
-		c.fleet, c.summed = spread.Fleet{}, true
+		c.fleet, c.summed = spread.ServerTotals{}, true
 		for _, s := range c.each() {
 			c.fleet.Add(s.mu, s.total, s.flow)
 		}
@@ -643,14 +643,14 @@
 			continue
 		}
 		stay = true
-		left := s.allowed.Left(c.now, part, s.mu, float64(c.set.Rank+s.Pool)*0.618)
+		left := s.allowed.Available(c.now, part, s.mu, float64(c.set.Rank+s.Pool)*0.618)
 		if !c.open(s) || s == cl.last && best != nil || s.Pool != cl.pool && s.mu > 0 && left < 1 {
 			continue
 		}
 		if s.Pool == cl.pool && s != cl.last {
 			return s, true
 		}
-		o := c.spread.Order(c.now, s.ID, &s.seat, c.spare(s))
+		o := c.spread.Priority(c.now, s.ID, &s.seat, c.spare(s))
 		if best == nil || best == cl.last || len(s.waiting) < len(best.waiting) ||
 			len(s.waiting) == len(best.waiting) && o > most {
 			best, most = s, o
@@ -664,21 +664,21 @@
 func (c *Controller) spare(s *server) float64 {
 	mu, flow, room := c.capacity(s), max(s.flow, s.inst), math.Inf(1)
 	if mu != 0 { // 0: not known yet; its lines tell
-		room = spread.Grow*mu - flow
+		room = spread.GrowthFactor*mu - flow
 	}
-	lines := spread.SpareLines(s.total, s.lines, flow, c.hold, c.now-s.linesAt, c.pace)
+	lines := spread.SpareRate(s.total, s.lines, flow, c.hold, c.now-s.linesAt, c.pace)
 	return max(min(room, lines, 1e6), mu/50, 0.01)
 }
 
 // linesOf words what a server tells of its lines for package spread.
 func (c *Controller) linesOf(s *server) spread.Lines {
-	return spread.Lines{Total: s.total, Busy: s.lines, Flow: max(s.flow, s.inst), Hold: c.hold, At: s.linesAt,
-		Out: s.noLines}
+	return spread.Lines{Total: s.total, Busy: s.lines, Flow: max(s.flow, s.inst), Hold: c.hold, ReportedAt: s.linesAt,
+		Exhausted: s.noLines}
 }
 
 // lineGap is the time in which one line of a full server comes free for this sender.
 func (c *Controller) lineGap(s *server) time.Duration {
-	return cmp.Or(c.linesOf(s).Gap(c.set.Senders), fullHold)
+	return cmp.Or(c.linesOf(s).FreeInterval(c.set.Senders), fullHold)
 }
 
 // blocks draws against b, whose mean is kept but spent on the calls of least worth.
@@ -744,7 +744,7 @@
 // open tells whether a server has room for one more set-up.
 func (c *Controller) open(s *server) bool {
 	if s.State != Up || c.now < s.shutTill || !c.coldRoom(s) ||
-		c.now < s.lineAt && c.linesOf(s).Short(c.now, c.pace) {
+		c.now < s.lineAt && c.linesOf(s).NearlyFull(c.now, c.pace) {
 		return false
 	}
 	if s.suspect {
@@ -841,11 +841,11 @@
 	}
 	cl.attempts++
 	cl.last, cl.sentAt, cl.out, cl.off = s, c.now, true, false
-	if s.waiting = append(s.waiting, cl); c.linesOf(s).Short(c.now, c.pace) {
+	if s.waiting = append(s.waiting, cl); c.linesOf(s).NearlyFull(c.now, c.pace) {
 		s.lineAt = c.now + c.part(0.5, c.lineGap(s))
 	}
 	s.allowed.Spend()
-	c.spread.Sent(c.now, s.ID, s.Pool != cl.pool)
+	c.spread.RecordSent(c.now, s.ID, s.Pool != cl.pool)
 	c.held = without(c.held, cl)
 	c.do(Send{cl.id, s.ID, cl.deadline})
 }
@@ -891,7 +891,7 @@
 		s.mu, c.summed = blend(s.mu, min(s.inst, max(s.mu, s.flow)), 0.3), false
 	}
 	c.throttle(s)
-	s.allowed.Back(d <= t, s.mu*c.aim.Seconds()/float64(c.set.Senders))
+	s.allowed.Refund(d <= t, s.mu*c.aim.Seconds()/float64(c.set.Senders))
 	switch {
 	case d > t:
 		if c.now >= s.cutAt+d { // the answers of one stall count once
@@ -905,7 +905,7 @@
 func (c *Controller) settle(cl *call) {
 	cl.out = false
 	cl.last.waiting = without(cl.last.waiting, cl)
-	c.spread.Ended(cl.last.ID, cl.stands)
+	c.spread.RecordEnd(cl.last.ID, cl.stands)
 }
 
 func without(calls []*call, cl *call) []*call {
@@ -932,8 +932,8 @@
 		}
 		if c.set.Limits.AllowProbes && c.set.Reports == WhenProbed && s.State == Up &&
 			c.now >= s.probeAt && c.coldRoom(s) {
-			s.probeAt = c.now + c.part(0.5, max(probeMost, spread.Gap(c.set.Senders, probeJoint)))
-			c.spread.Spend(c.now, s.ID)
+			s.probeAt = c.now + c.part(0.5, max(probeMost, spread.SenderInterval(c.set.Senders, probeJoint)))
+			c.spread.SpendCold(c.now, s.ID)
 			c.do(Probe{s.ID})
 		}
 	}
@@ -990,7 +990,7 @@
 	s.coldFrom, s.coldTill = from, max(s.coldTill, from+long)
 	if s.cold(c.now) {
 		s.suspect, s.room = false, 1
-		c.spread.Chill(s.ID)
+		c.spread.StartWarmUp(s.ID)
 		c.logf("server %s is cold for %v", s.ID, s.coldTill-c.now)
 	}
 }
@@ -1007,13 +1007,13 @@
 	age := min(max(float64(c.now-s.coldFrom)/float64(r.WarmUp), 0), 1)
 	warm := cmp.Or(c.capacity(s), c.set.allowance()/float64(len(c.servers)))
 	joint := coldUse * r.CollapseLoad * (r.ColdShare + (1-r.ColdShare)*age) * warm
-	return c.spread.ColdRoom(c.now, s.ID, s.coldFrom, joint, time.Duration((1/coldUse-1)*float64(r.LoadSpan)))
+	return c.spread.MaySendCold(c.now, s.ID, s.coldFrom, joint, time.Duration((1/coldUse-1)*float64(r.LoadSpan)))
 }
 
 // trials is the time between this sender's trials of a suspect server: all senders'
 // together can't keep it full, and grow with the calls that it is seen to take.
 func (c *Controller) trials(s *server) time.Duration {
-	return spread.Gap(c.set.Senders, max(trialShare*c.capacity(s), trialFlow*min(s.inst, s.flow)))
+	return spread.SenderInterval(c.set.Senders, max(trialShare*c.capacity(s), trialFlow*min(s.inst, s.flow)))
 }
 
 func (c *Controller) part(from float64, d time.Duration) time.Duration {
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -240,7 +240,7 @@
 func TestUnlistedServerIsNotUp(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	b.handle(ServerList{Whole: true, Servers: upServers(1)})
-	if known := b.c.Spread().Known(b.now); len(known) != 1 {
+	if known := b.c.Spread().UpServers(b.now); len(known) != 1 {
 		t.Errorf("%v are up, one is listed", known)
 	}
 }
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -26,7 +26,7 @@
 		set.Classes[1].Pools = []int{0, 2, 3, 5}
 	}
 	b := newSeededHarness(t, set, seed, upServers(n)...)
-	b.c.Spread().Alive([]string{"a1", "a2", "a3"})
+	b.c.Spread().SetAlive([]string{"a1", "a2", "a3"})
 	type out struct {
 		attempt int
 		server  string
@@ -118,7 +118,7 @@
 				v.Dues = append(v.Dues, spread.Due{Server: o.ID, Share: rng.Float64() * 20, Rate: float64(i%3) * 15 * rng.Float64(),
 					Idle: time.Duration(rng.IntN(2000)) * ms, Grant: rng.IntN(2)})
 			}
-			b.c.Spread().Summary(b.now, "a2")
+			b.c.Spread().BuildSummary(b.now, "a2")
 			take(b.c.ApplyView(b.now, v))
 		}
 	}
--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -10,27 +10,27 @@
 // sizes are the numbers of servers, or of senders, that the benchmarks go through.
 var sizes = []int{10, 27, 100, 300, 730, 1460}
 
-func names(prefix string, n int) (out []string) {
+func serverNames(prefix string, n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("%s%d.example:5060", prefix, i))
 	}
 	return out
 }
 
-// grown is a sender's state that has sent to and seen n servers.
-func grown(name string, n int) *State {
+// populatedState is a sender's state that has sent to and seen n servers.
+func populatedState(name string, n int) *State {
 	s := New(Config{Name: name, Life: 1, Senders: 240})
-	s.Alive(names("agent", 240))
-	for i, id := range names("server", n) {
-		s.Listed(id, true)
-		v := s.get(id) // figures as long as a working day's
+	s.SetAlive(serverNames("agent", 240))
+	for i, id := range serverNames("server", n) {
+		s.UpdateServer(id, true)
+		v := s.getOrCreate(id) // figures as long as a working day's
 		v.sent, v.done, v.stood = uint64(20_000+i), uint64(19_998+i), uint64(19_000+i)
-		s.Saw(time.Hour-437_123_456, id, Seen{Lines: 400, Util: 1 / (1.7 + float64(i%7)), Wait: 1 / (31 + float64(i%11))})
+		s.RecordReport(time.Hour-437_123_456, id, Seen{Lines: 400, Util: 1 / (1.7 + float64(i%7)), Wait: 1 / (31 + float64(i%11))})
 	}
 	return s
 }
 
-func encoded(b *testing.B, v any) float64 {
+func encodedBytes(b *testing.B, v any) float64 {
 	data, err := json.Marshal(v)
 	if err != nil {
 		b.Fatal(err)
@@ -38,18 +38,18 @@
 	return float64(len(data))
 }
 
-// stewarded is a steward that knows n servers and has heard so many senders.
-func stewarded(n, senders int) (*Steward, []Summary) {
+// populatedSteward is a steward that knows n servers and has heard so many senders.
+func populatedSteward(n, senders int) (*Steward, []Summary) {
 	w := NewSteward(Config{Name: "agent0.example:5060", Life: 1, Senders: senders})
-	for _, id := range names("server", n) {
-		w.Listed(time.Hour, id, true)
+	for _, id := range serverNames("server", n) {
+		w.UpdateServer(time.Hour, id, true)
 	}
 	var all []Summary
-	for _, name := range names("agent", senders) {
-		all = append(all, grown(name, n).Summary(time.Hour, "agent0.example:5060"))
+	for _, name := range serverNames("agent", senders) {
+		all = append(all, populatedState(name, n).BuildSummary(time.Hour, "agent0.example:5060"))
 	}
 	for _, s := range all {
-		w.Hear(time.Hour, s)
+		w.HandleSummary(time.Hour, s)
 	}
 	return w, all
 }
@@ -58,12 +58,12 @@
 func BenchmarkSummary(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := grown("agent1.example:5060", n)
+			s := populatedState("agent1.example:5060", n)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Summary(time.Hour, "agent0.example:5060")
+				s.BuildSummary(time.Hour, "agent0.example:5060")
 			}
-			b.ReportMetric(encoded(b, s.Summary(time.Hour, "agent0.example:5060")), "bytes/message")
+			b.ReportMetric(encodedBytes(b, s.BuildSummary(time.Hour, "agent0.example:5060")), "bytes/message")
 		})
 	}
 }
@@ -73,7 +73,7 @@
 func BenchmarkHearSized(b *testing.B) {
 	run := func(name string, n, senders int) {
 		b.Run(name, func(b *testing.B) {
-			w, all := stewarded(n, senders)
+			w, all := populatedSteward(n, senders)
 			now, seq := time.Hour, uint64(1)
 			var v View
 			b.ReportAllocs()
@@ -88,9 +88,9 @@
 					s.Counts[j].Sent += uint64(j % 3)
 					s.Counts[j].Done = s.Counts[j].Sent
 				}
-				v, _ = w.Hear(now, s)
+				v, _ = w.HandleSummary(now, s)
 			}
-			b.ReportMetric(encoded(b, v), "bytes/message")
+			b.ReportMetric(encodedBytes(b, v), "bytes/message")
 		})
 	}
 	for _, n := range sizes {
@@ -107,7 +107,7 @@
 	for _, kind := range []string{"near", "remote"} {
 		for _, n := range []int{10, 27, 100, 243} {
 			b.Run(fmt.Sprintf("%s/size=%d", kind, n), func(b *testing.B) {
-				w, all := stewarded(n, n)
+				w, all := populatedSteward(n, n)
 				if kind == "remote" {
 					w = NewRemoteSteward(Config{Name: "c1", Life: 1})
 				}
@@ -122,7 +122,7 @@
 						s.Counts[j].Done = s.Counts[j].Sent
 						s.Counts[j].Age = time.Second
 					}
-					v, _ = w.Hear(now, *s)
+					v, _ = w.HandleSummary(now, *s)
 					return v
 				}
 				for i := range 30 * n { // all rates are learned
@@ -137,8 +137,8 @@
 				if len(v.Dues) != n {
 					b.Fatalf("%d servers", len(v.Dues))
 				}
-				b.ReportMetric(encoded(b, v), "bytes/view")
-				b.ReportMetric(encoded(b, all[0]), "bytes/summary")
+				b.ReportMetric(encodedBytes(b, v), "bytes/view")
+				b.ReportMetric(encodedBytes(b, all[0]), "bytes/summary")
 			})
 		}
 	}
@@ -148,10 +148,10 @@
 func BenchmarkFollow(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			s := grown("agent1.example:5060", n)
-			w, _ := stewarded(n, 2)
-			s.Summary(time.Hour, "agent0.example:5060") // its first was heard already
-			v, ok := w.Hear(time.Hour, s.Summary(time.Hour, "agent0.example:5060"))
+			s := populatedState("agent1.example:5060", n)
+			w, _ := populatedSteward(n, 2)
+			s.BuildSummary(time.Hour, "agent0.example:5060") // its first was heard already
+			v, ok := w.HandleSummary(time.Hour, s.BuildSummary(time.Hour, "agent0.example:5060"))
 			if !ok {
 				b.Fatal("the summary was not news")
 			}
@@ -159,7 +159,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				v.From.Seq = uint64(1000 + i)
-				s.Hear(time.Hour, v)
+				s.HandleView(time.Hour, v)
 			}
 		})
 	}
@@ -169,7 +169,7 @@
 func BenchmarkStewardAt(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("senders=%d", n), func(b *testing.B) {
-			alive := names("agent", n)
+			alive := serverNames("agent", n)
 			b.ReportAllocs()
 			for b.Loop() {
 				StewardAt(alive, 0)
--- a/spread/cold_test.go
+++ b/spread/cold_test.go
@@ -32,48 +32,48 @@
 		perSecond := use * budget / window.Seconds()
 		lasts := time.Duration((1/use - 1) * float64(window))
 
-		senders, told, demand := make([]*State, n), make([]Time, n), make([]float64, n)
-		begin := func(i int, life uint64) {
+		senders, knownAt, demand := make([]*State, n), make([]Time, n), make([]float64, n)
+		startSender := func(i int, life uint64) {
 			senders[i] = New(Config{Rank: i, Senders: n, Seed: life})
-			senders[i].Chill("s")
+			senders[i].StartWarmUp("s")
 		}
 		const start = Time(1000 * time.Second) // the clock that all share
 		for i := range senders {
-			begin(i, 1)
-			told[i] = start + time.Duration(draw()*float64(late*ms))
+			startSender(i, 1)
+			knownAt[i] = start + time.Duration(draw()*float64(late*ms))
 			demand[i] = math.Exp(4*draw()) / uneven // calls in a step, some of many times the mean
 		}
 		var sent []Time
 		for now := start; now < start+30*time.Second; now += step {
-			quiet := (now-start)%(idle+flood) < idle
+			isIdle := (now-start)%(idle+flood) < idle
 			for i, s := range senders {
 				if int(draw()*1000*50) < restarts {
-					begin(i, uint64(now))
+					startSender(i, uint64(now))
 				}
 				calls := 0
-				if !quiet && draw() < demand[i] {
+				if !isIdle && draw() < demand[i] {
 					calls = 1 + int(demand[i])
 				}
 				for range calls {
-					if now >= told[i] && s.ColdRoom(now, "s", start, perSecond, lasts) {
-						s.Spend(now, "s")
+					if now >= knownAt[i] && s.MaySendCold(now, "s", start, perSecond, lasts) {
+						s.SpendCold(now, "s")
 						sent = append(sent, now)
 					}
 				}
 			}
 		}
-		most := budget + 2*math.Sqrt(budget) + 2
+		allowed := budget + 2*math.Sqrt(budget) + 2
 		for first, last := 0, 0; last < len(sent); last++ {
 			for sent[last]-sent[first] >= window {
 				first++
 			}
-			if got := last - first + 1; float64(got) > most {
-				t.Fatalf("%d senders: %d set-ups in %v from %v, %.0f allowed", n, got, window, sent[first]-start, most)
+			if got := last - first + 1; float64(got) > allowed {
+				t.Fatalf("%d senders: %d set-ups in %v from %v, %.0f allowed", n, got, window, sent[first]-start, allowed)
 			}
 		}
-		whole := perSecond * (30 * time.Second).Seconds()
-		if idle == 0 && late == 0 && restarts == 0 && slices.Min(demand) >= 1 && float64(len(sent)) < whole-1-perSecond*step.Seconds() {
-			t.Fatalf("%d set-ups in 30 s of a flood, %.0f meant", len(sent), whole)
+		expected := perSecond * (30 * time.Second).Seconds()
+		if idle == 0 && late == 0 && restarts == 0 && slices.Min(demand) >= 1 && float64(len(sent)) < expected-1-perSecond*step.Seconds() {
+			t.Fatalf("%d set-ups in 30 s of a flood, %.0f meant", len(sent), expected)
 		}
 	})
 }
--- a/spread/placed_test.go
+++ b/spread/placed_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPlaced: a server without a connection comes after all that have one, whatever its turn, and in
+// TestServersWithoutConnectionComeLast: a server without a connection comes after all that have one, whatever its turn, and in
 // its turn among those without; once it has one it is as before. Nothing is drawn for it.
-func TestPlaced(t *testing.T) {
+func TestServersWithoutConnectionComeLast(t *testing.T) {
 	s, same := New(Config{Seed: 1, Senders: 1}), New(Config{Seed: 1, Senders: 1})
-	var seats, others [3]Seat
+	var seats, others [3]ServerRef
 	ids := []string{"a", "b", "c"}
-	order := func(i int) float64 { return s.Order(0, ids[i], &seats[i], 1) }
+	order := func(i int) float64 { return s.Priority(0, ids[i], &seats[i], 1) }
 	var before [3]float64
 	for i := range ids {
 		before[i] = order(i)
-		assert.Equal(t, same.Order(0, ids[i], &others[i], 1), before[i])
+		assert.Equal(t, same.Priority(0, ids[i], &others[i], 1), before[i])
 	}
 	last := slices.Index(before[:], min(before[0], before[1], before[2])) // it alone keeps its connection
 	i, j := (last+1)%3, (last+2)%3
-	s.Placed([]string{ids[i], ids[j], "unknown"}, false)
+	s.SetConnected([]string{ids[i], ids[j], "unknown"}, false)
 	assert.Less(t, order(i), order(last))
 	assert.Less(t, order(j), order(last))
 	assert.Equal(t, before[i] < before[j], order(i) < order(j))
-	s.Placed([]string{ids[i], ids[j]}, true)
+	s.SetConnected([]string{ids[i], ids[j]}, true)
 	for i := range ids {
 		assert.Equal(t, before[i], order(i))
 	}
--- a/spread/remote.go
+++ b/spread/remote.go
@@ -28,29 +28,29 @@
 // them knows, which is more than lines alone would tell. So a restart without memory turns nobody. Rights
 // are lent and granted meanwhile: they are counted, not guessed.
 
-// distant is what a remote steward keeps beside.
-type distant struct {
-	heardAt    Time // the latest summary
-	crowded    bool // somebody joined those heard, or left them, since the latest look
-	crowd      int  // counts such looks
-	enough     bool // half of the senders or more are heard
-	fewAt      Time // when fewer were last
-	quiet      bool // it tells no shares
-	quietAt    Time // when it last told none: no server counts as idle from before
-	heardNow   int  // senders, as of the latest look
-	ownersTold int  // the largest number of senders told
-	namedTold  int  // and the middle one
-	numbers    []int
-	coldWords  int // positive words of cold servers, over all senders
+// remoteState is what a remote steward keeps beside.
+type remoteState struct {
+	lastHeardAt      Time // the latest summary
+	sendersChanged   bool // somebody joined those heard, or left them, since the latest look
+	senderGeneration int  // counts such looks
+	enoughHeard      bool // half of the senders or more are heard
+	tooFewAt         Time // when fewer were last
+	withholdsShares  bool // it tells no shares
+	withheldAt       Time // when it last told none: no server counts as idle from before
+	heardCount       int  // senders, as of the latest look
+	largestSenders   int  // the largest number of senders told
+	medianSenders    int  // and the middle one
+	reportedSenders  []int
+	coldReports      int // positive words of cold servers, over all senders
 }
 
-// sight is what senders tell of a server, as a remote steward counts it.
-type sight struct {
-	ups    int // senders that list it
-	told   int // that name it at all
-	least  float64
-	scores []uint64 // of those heard, falling, as of
-	ranked int      // this crowd
+// serverReports is what senders tell of a server, as a remote steward counts it.
+type serverReports struct {
+	upReports        int // senders that list it
+	reports          int // that name it at all
+	minColdRate      float64
+	scores           []uint64 // of those heard, falling, as of
+	scoresGeneration int      // this crowd
 }
 
 // NewRemoteSteward returns a steward without a sight of its own: which servers are up, which of them are
@@ -63,36 +63,36 @@
 	return w
 }
 
-// Standing is what a steward's console tells of a service.
-type Standing struct {
-	Senders int     // heard lately
-	Named   int     // there are so many by the settings of most
-	Servers int     // in its views
-	Cold    int     // of these
-	Lent    int     // senders whose rights can be granted now
-	Demand  float64 // first tries a second, of those heard lately
-	Hold    float64 // share of the calls that all servers together can't take
-	Unsure  bool    // it tells no shares: it hears too few, or has not learned the servers' rates yet
+// Status is what a steward's console tells of a service.
+type Status struct {
+	Senders    int     // heard lately
+	Configured int     // there are so many by the settings of most
+	Servers    int     // in its views
+	Cold       int     // of these
+	Lent       int     // senders whose rights can be granted now
+	Demand     float64 // first tries a second, of those heard lately
+	Hold       float64 // share of the calls that all servers together can't take
+	Unsure     bool    // it tells no shares: it hears too few, or has not learned the servers' rates yet
 }
 
-// Standing words the steward's state.
-func (w *Steward) Standing(now Time) Standing {
-	st := Standing{Named: w.named(), Lent: w.lenders(now), Hold: w.hold, Unsure: w.quiet}
-	for _, n := range w.senders {
-		if now-n.heard <= heardPeriods*max(n.latest.Period, w.cfg.period()) {
-			st.Senders++
-			st.Demand += n.latest.Demand
+// Status words the steward's state.
+func (w *Steward) Status(now Time) Status {
+	status := Status{Configured: w.configuredSenders(), Lent: w.lenders(now), Hold: w.hold, Unsure: w.withholdsShares}
+	for _, sender := range w.senders {
+		if now-sender.heardAt <= senderTTLPeriods*max(sender.latest.Period, w.cfg.period()) {
+			status.Senders++
+			status.Demand += sender.latest.Demand
 		}
 	}
-	for _, j := range w.order {
-		if j.up {
-			st.Servers++
-			if j.coldRate > 0 {
-				st.Cold++
+	for _, server := range w.sorted {
+		if server.up {
+			status.Servers++
+			if server.coldRate > 0 {
+				status.Cold++
 			}
 		}
 	}
-	return st
+	return status
 }
 
 // Senders is how many senders were heard lately, as of the latest summary.
@@ -100,134 +100,134 @@
 
 // forgetAfter is how long a steward that hears nobody is worth keeping: what it has learned of servers
 // has faded by then, and a short cut costs it nothing.
-const forgetAfter = rateSlow
+const forgetAfter = slowRateWindow
 
 // Idle tells whether nobody was heard for half a minute and no right is lent: it may be forgotten.
 func (w *Steward) Idle(now Time) bool {
-	return now-w.heardAt >= forgetAfter && (len(w.loans) == 0 || w.loans[len(w.loans)-1] < now)
+	return now-w.lastHeardAt >= forgetAfter && (len(w.loanEnds) == 0 || w.loanEnds[len(w.loanEnds)-1] < now)
 }
 
-// word counts what a sender says of a server now, in the place of what it said before.
-func (w *Steward) word(was, is kept) {
+// updateReports counts what a sender says of a server now, in the place of what it said before.
+func (w *Steward) updateReports(previous, current countRecord) {
 	if !w.remote {
 		return
 	}
-	w.say(was, -1)
-	w.say(is, 1)
-	if j := is.j; j != nil && is.cold > 0 && (j.coldRate <= 0 || is.cold < j.coldRate) {
-		j.coldRate = is.cold // the smaller word holds at once, a larger one from the next look on
+	w.addReport(previous, -1)
+	w.addReport(current, 1)
+	if server := current.server; server != nil && current.coldRate > 0 && (server.coldRate <= 0 || current.coldRate < server.coldRate) {
+		server.coldRate = current.coldRate // the smaller word holds at once, a larger one from the next look on
 	}
 }
 
-func (w *Steward) say(k kept, by int) {
-	if k.j == nil {
+func (w *Steward) addReport(record countRecord, delta int) {
+	if record.server == nil {
 		return
 	}
-	k.j.told += by
-	if k.up {
-		k.j.ups += by
+	record.server.reports += delta
+	if record.up {
+		record.server.upReports += delta
 	}
-	if k.cold > 0 {
-		w.coldWords += by
+	if record.coldRate > 0 {
+		w.coldReports += delta
 	}
 }
 
-// see takes what senders say together of lists, of cold servers and of their own number.
-func (w *Steward) see(now Time) {
-	w.heardNow, w.ownersTold, w.numbers = 0, 0, w.numbers[:0]
-	for _, n := range w.senders {
-		w.ownersTold = max(w.ownersTold, n.latest.Senders) // the rights of one not heard may be out, too
-		if n.silent {
+// aggregateReports takes what senders say together of lists, of cold servers and of their own number.
+func (w *Steward) aggregateReports(now Time) {
+	w.heardCount, w.largestSenders, w.reportedSenders = 0, 0, w.reportedSenders[:0]
+	for _, sender := range w.senders {
+		w.largestSenders = max(w.largestSenders, sender.latest.Senders) // the rights of one not heard may be out, too
+		if sender.silent {
 			continue
 		}
-		w.heardNow++
-		if n.latest.Senders > 0 {
-			w.numbers = append(w.numbers, n.latest.Senders)
+		w.heardCount++
+		if sender.latest.Senders > 0 {
+			w.reportedSenders = append(w.reportedSenders, sender.latest.Senders)
 		}
-		for i := range n.kept {
-			if k := &n.kept[i]; w.coldWords > 0 && k.cold > 0 && k.j != nil {
-				k.j.least = cmp.Or(min(k.j.least, k.cold), k.cold)
+		for i := range sender.counts {
+			if record := &sender.counts[i]; w.coldReports > 0 && record.coldRate > 0 && record.server != nil {
+				record.server.minColdRate = cmp.Or(min(record.server.minColdRate, record.coldRate), record.coldRate)
 			}
 		}
 	}
-	slices.Sort(w.numbers)
-	w.namedTold = w.heardNow
-	if n := len(w.numbers); n > 0 {
-		w.namedTold = w.numbers[n/2]
+	slices.Sort(w.reportedSenders)
+	w.medianSenders = w.heardCount
+	if count := len(w.reportedSenders); count > 0 {
+		w.medianSenders = w.reportedSenders[count/2]
 	}
-	if w.crowded {
-		w.crowded = false
-		w.crowd++
+	if w.sendersChanged {
+		w.sendersChanged = false
+		w.senderGeneration++
 	}
-	for i := 0; i < len(w.order); {
-		j := w.order[i]
-		if j.told == 0 {
-			w.remove(j)
+	for i := 0; i < len(w.sorted); {
+		server := w.sorted[i]
+		if server.reports == 0 {
+			w.remove(server)
 			continue
 		}
 		i++
-		up := 2*j.ups > w.heardNow
-		if up && !j.up { // nobody was to send it anything before
-			j.first = now
+		up := 2*server.upReports > w.heardCount
+		if up && !server.up { // nobody was to send it anything before
+			server.upSince = now
 		}
-		if j.up = up; !up {
-			j.tokens.begun = false
+		if server.up = up; !up {
+			server.lentTokens.started = false
 		}
-		j.chill(j.least)
-		j.least = 0
+		server.setColdRate(server.minColdRate)
+		server.minColdRate = 0
 	}
-	was := w.enough
-	if w.enough = 2*w.heardNow >= w.namedTold; !w.enough || !was {
-		w.fewAt = now
+	wasEnough := w.enoughHeard
+	if w.enoughHeard = 2*w.heardCount >= w.medianSenders; !w.enoughHeard || !wasEnough {
+		w.tooFewAt = now
 	}
 }
 
-// owners is how many parts the rights to a cold server have.
-func (w *Steward) owners() int {
+// rightParts is how many parts the rights to a cold server have.
+func (w *Steward) rightParts() int {
 	if w.remote {
-		return w.ownersTold
+		return w.largestSenders
 	}
 	return w.cfg.Senders
 }
 
-// named is how many senders there are by the settings of most.
-func (w *Steward) named() int {
+// configuredSenders is how many senders there are by the settings of most.
+func (w *Steward) configuredSenders() int {
 	if w.remote {
-		return w.namedTold
+		return w.medianSenders
 	}
 	return w.cfg.Senders
 }
 
-// unsure tells whether what it would say of shares is worth less than what senders know.
-func (w *Steward) unsure(now Time) bool {
-	if !w.enough {
+// lacksData tells whether what it would say of shares is worth less than what senders know.
+func (w *Steward) lacksData(now Time) bool {
+	if !w.enoughHeard {
 		return true
 	}
-	if now-w.fewAt >= 2*rateFast+2*w.cfg.period() { // rates that can be learned are learned by now
+	if now-w.tooFewAt >= 2*fastRateWindow+2*w.cfg.period() { // rates that can be learned are learned by now
 		return false
 	}
-	return slices.ContainsFunc(w.order, func(j *joint) bool { return j.up && j.rate == 0 })
+	return slices.ContainsFunc(w.sorted, func(server *jointServer) bool { return server.up && server.capacity == 0 })
 }
 
-// duty tells whether a sender is the one whose next call an idle server gets, by rendezvous hashing over
+// isOnDuty tells whether a sender is the one whose next call an idle server gets, by rendezvous hashing over
 // those heard as of the latest look, and one more with each period.
-func (w *Steward) duty(j *joint, name string, idle time.Duration) bool {
-	if idle < idleMost || j.coldRate > 0 || w.quiet {
+func (w *Steward) isOnDuty(server *jointServer, name string, idle time.Duration) bool {
+	if idle < maxIdle || server.coldRate > 0 || w.withholdsShares {
 		return false
 	}
-	before := int((idle - idleMost) / w.cfg.period()) // those before it may have no call just now
-	if before >= w.heardNow {
+	earlier := int((idle - maxIdle) / w.cfg.period()) // those before it may have no call just now
+	if earlier >= w.heardCount {
 		return true
 	}
-	if j.ranked != w.crowd {
-		j.ranked, j.scores = w.crowd, j.scores[:0]
-		for n, s := range w.senders {
-			if !s.silent {
-				j.scores = append(j.scores, score(j.id, n))
+	if server.scoresGeneration != w.senderGeneration {
+		server.scoresGeneration, server.scores = w.senderGeneration, server.scores[:0]
+		for other, sender := range w.senders {
+			if !sender.silent {
+				server.scores = append(server.scores, score(server.id, other))
 			}
 		}
-		w.walked += len(w.senders)
-		slices.SortFunc(j.scores, func(a, b uint64) int { return cmp.Compare(b, a) })
+		w.sendersVisited += len(w.senders)
+		slices.SortFunc(server.scores, func(a, b uint64) int { return cmp.Compare(b, a) })
 	}
-	return before >= len(j.scores) || score(j.id, name) >= j.scores[before]
+	return earlier >= len(server.scores) || score(server.id, name) >= server.scores[earlier]
 }
--- a/spread/remote_test.go
+++ b/spread/remote_test.go
@@ -13,18 +13,18 @@
 
 const period = DefaultPeriod
 
-// tell has a sender tell a steward its counts; named is how many senders its settings say.
-func tell(w *Steward, now Time, name string, named int, counts ...Count) View {
-	v, ok := w.Hear(now, Summary{From: Stamp{name, 1, uint64(now/ms) + 1}, Senders: named, Demand: 1, Counts: counts})
+// sendSummary has a sender tell a steward its counts; named is how many senders its settings say.
+func sendSummary(w *Steward, now Time, name string, named int, counts ...Count) View {
+	v, ok := w.HandleSummary(now, Summary{From: Stamp{name, 1, uint64(now/ms) + 1}, Senders: named, Demand: 1, Counts: counts})
 	if !ok {
 		panic("no news")
 	}
 	return v
 }
 
-// TestRemoteSight: what a steward without a sight takes from five senders for a server's state, after each
+// TestRemoteStewardAggregatesReports: what a steward without a sight takes from five senders for a server's state, after each
 // has told the same for five periods, and then another thing.
-func TestRemoteSight(t *testing.T) {
+func TestRemoteStewardAggregatesReports(t *testing.T) {
 	up, no, cold := []Count{{Server: "s"}}, []Count{}, func(x float64) []Count { return []Count{{Server: "s", Cold: x}} }
 	down := []Count{{Server: "s", Sent: 2, Done: 1, Down: true}}
 	var silent []Count
@@ -54,61 +54,61 @@
 				now += period
 				for i, counts := range words {
 					if counts != nil {
-						last = tell(w, now+Time(i), fmt.Sprint("a", i), 5, counts...)
+						last = sendSummary(w, now+Time(i), fmt.Sprint("a", i), 5, counts...)
 					}
 				}
 			}
 		}
-		last = tell(w, now+period/2, "a1", 5, tc.rounds[len(tc.rounds)-1][1]...) // after a look at the last words
-		st := w.Standing(now)
+		last = sendSummary(w, now+period/2, "a1", 5, tc.rounds[len(tc.rounds)-1][1]...) // after a look at the last words
+		st := w.Status(now)
 		assert.Equal(t, tc.up, len(last.Dues) == 1, tc.name)
 		assert.Equal(t, tc.up, st.Servers == 1, tc.name)
 		if j := w.servers["s"]; j != nil {
 			assert.Equal(t, tc.cold, j.coldRate, tc.name)
-			assert.Equal(t, tc.out, j.out, tc.name)
+			assert.Equal(t, tc.out, j.outstanding, tc.name)
 		} else {
 			assert.Equal(t, "nobody names it", tc.name)
 		}
 	}
 	w := NewRemoteSteward(Config{Name: "w", Life: 1})
-	tell(w, 0, "a", 1, Count{Server: "s", Cold: 8})
-	tell(w, ms, "b", 2, Count{Server: "s", Cold: 4})
+	sendSummary(w, 0, "a", 1, Count{Server: "s", Cold: 8})
+	sendSummary(w, ms, "b", 2, Count{Server: "s", Cold: 4})
 	assert.EqualValues(t, 4, w.servers["s"].coldRate, "the smaller word holds at once")
 }
 
-// TestNoEcho: a view makes no entry of a server that is not on the hearer's list, and what a sender
+// TestViewAddsNoServers: a view makes no entry of a server that is not on the hearer's list, and what a sender
 // was told is draining it does not list: else the steward would hear its own word as the senders'.
-func TestNoEcho(t *testing.T) {
+func TestViewAddsNoServers(t *testing.T) {
 	s := New(Config{Name: "a", Life: 1, Senders: 2, Stewards: []string{"w"}})
-	s.Listed("up", true)
-	s.Listed("draining", false)
-	s.Saw(0, "draining", Seen{Lines: 5, Util: 0.5})
-	sum := s.Summary(0, "w")
-	require.True(t, s.Hear(0, View{From: Stamp{"w", 1, 1}, Echo: sum.From, Dues: []Due{{Server: "dead", Share: 3}, {Server: "up", Share: 1}}}))
-	sum = s.Summary(period, "w")
+	s.UpdateServer("up", true)
+	s.UpdateServer("draining", false)
+	s.RecordReport(0, "draining", Seen{Lines: 5, Util: 0.5})
+	sum := s.BuildSummary(0, "w")
+	require.True(t, s.HandleView(0, View{From: Stamp{"w", 1, 1}, Echo: sum.From, Dues: []Due{{Server: "dead", Share: 3}, {Server: "up", Share: 1}}}))
+	sum = s.BuildSummary(period, "w")
 	require.Len(t, sum.Counts, 1)
 	assert.Equal(t, "up", sum.Counts[0].Server)
 	assert.Equal(t, 2, sum.Senders)
-	s.Sent(period, "up", false)
-	s.Listed("up", false)
-	assert.True(t, s.Summary(2*period, "w").Counts[0].Down)
+	s.RecordSent(period, "up", false)
+	s.UpdateServer("up", false)
+	assert.True(t, s.BuildSummary(2*period, "w").Counts[0].Down)
 }
 
-// TestUnsure: a steward tells no shares while it hears fewer than half of the senders, nor after a restart
+// TestRemoteStewardWithholdsShares: a steward tells no shares while it hears fewer than half of the senders, nor after a restart
 // until the servers' rates are learned or can't be; a sender follows what was told before for as long as that
 // holds. A single wrong number of senders silences nobody, but makes lent rights smaller.
-func TestUnsure(t *testing.T) {
+func TestRemoteStewardWithholdsShares(t *testing.T) {
 	counts := func(i int) []Count {
 		return []Count{{Server: "s", Sent: uint64(10 * i), Done: uint64(10 * i), Seen: Seen{Util: 0.5}}, {Server: "t", Seen: Seen{Util: -1, Wait: -1}}}
 	}
 	for _, tc := range []struct {
-		name    string
-		heard   int
-		named   [8]int
-		both    bool // servers are seen at work
-		after   time.Duration
-		owners  int
-		tellsIn bool
+		name        string
+		heard       int
+		named       [8]int
+		allReport   bool // servers are seen at work
+		after       time.Duration
+		owners      int
+		tellsShares bool
 	}{
 		{"too few", 3, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 20 * time.Second, 8, false},
 		{"nothing learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, false, 4 * time.Second, 8, false},
@@ -121,47 +121,47 @@
 		for i := 0; Time(i)*period <= tc.after; i++ {
 			for a := range tc.heard {
 				c := counts(i)
-				if tc.both {
+				if tc.allReport {
 					c[1] = c[0]
 					c[1].Server = "t"
 				}
-				v = tell(w, Time(i)*period+Time(a), fmt.Sprint("a", a), tc.named[a], c...)
+				v = sendSummary(w, Time(i)*period+Time(a), fmt.Sprint("a", a), tc.named[a], c...)
 			}
 		}
-		assert.Equal(t, tc.tellsIn, v.Dues[0].Share > 0, "%s: %+v", tc.name, v)
-		assert.Equal(t, !tc.tellsIn, w.Standing(tc.after).Unsure, tc.name)
-		assert.Equal(t, tc.owners, w.owners(), tc.name)
+		assert.Equal(t, tc.tellsShares, v.Dues[0].Share > 0, "%s: %+v", tc.name, v)
+		assert.Equal(t, !tc.tellsShares, w.Status(tc.after).Unsure, tc.name)
+		assert.Equal(t, tc.owners, w.rightParts(), tc.name)
 	}
 
 	s := New(Config{Name: "a", Life: 1, Senders: 8, Stewards: []string{"w"}})
-	s.Listed("s", true)
+	s.UpdateServer("s", true)
 	hear := func(now Time, life int64, share float64) {
-		s.Hear(now, View{From: Stamp{"w", life, 1}, Echo: s.Summary(now, "w").From, Dues: []Due{{Server: "s", Share: share}}})
-		s.Look(now)
+		s.HandleView(now, View{From: Stamp{"w", life, 1}, Echo: s.BuildSummary(now, "w").From, Dues: []Due{{Server: "s", Share: share}}})
+		s.ExpireView(now)
 	}
 	hear(0, 1, 5)
 	hear(period, 2, 0)
-	assert.True(t, s.Follows(period))
+	assert.True(t, s.FollowsView(period))
 	assert.EqualValues(t, 5, s.servers["s"].share, "what the life before told holds")
-	assert.True(t, s.Summary(period, "w").Lends, "rights go to the new one meanwhile")
-	next := s.Summary(2*period, "w2")
-	s.Hear(2*period, View{From: Stamp{"w2", 1, 1}, Echo: next.From})
-	assert.False(t, s.Summary(2*period, "w2").Lends, "and to another steward when they are back from it")
+	assert.True(t, s.BuildSummary(period, "w").Lends, "rights go to the new one meanwhile")
+	next := s.BuildSummary(2*period, "w2")
+	s.HandleView(2*period, View{From: Stamp{"w2", 1, 1}, Echo: next.From})
+	assert.False(t, s.BuildSummary(2*period, "w2").Lends, "and to another steward when they are back from it")
 	hear(4*period, 3, 0)
-	assert.False(t, s.Follows(4*period))
+	assert.False(t, s.FollowsView(4*period))
 	assert.Zero(t, s.servers["s"].share)
 	assert.NotNil(t, s.view)
 }
 
-// TestDuty: an idle server gets the next call of one sender, of one more with each period, and of nobody for
+// TestIdleServerDuty: an idle server gets the next call of one sender, of one more with each period, and of nobody for
 // a time in which the steward did not hear; who has sent it one since the summary is not asked again.
-func TestDuty(t *testing.T) {
+func TestIdleServerDuty(t *testing.T) {
 	w := NewRemoteSteward(Config{Name: "w", Life: 1})
 	now, count := Time(0), Count{Server: "s", Seen: Seen{Util: -1, Wait: -1}}
 	round := func() (duties int) {
 		now += period
 		for a := range 20 {
-			for _, d := range tell(w, now+Time(a), fmt.Sprint("a", a), 20, count).Dues {
+			for _, d := range sendSummary(w, now+Time(a), fmt.Sprint("a", a), 20, count).Dues {
 				if d.Duty {
 					duties++
 				}
@@ -176,7 +176,7 @@
 	assert.Equal(t, []int{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4}, got)
 	now += time.Minute // nobody can reach it
 	assert.Zero(t, round())
-	w.servers["s"].rate = 9
+	w.servers["s"].capacity = 9
 	assert.Zero(t, round())
 	count.Cold = 3
 	now += 2 * period
@@ -187,129 +187,129 @@
 	for range 4 {
 		now += period
 		for a := range 20 {
-			v := tell(w, now+Time(a), fmt.Sprint("a", a), 20, Count{Server: "s"}, Count{Server: "new", Down: a > 0})
+			v := sendSummary(w, now+Time(a), fmt.Sprint("a", a), 20, Count{Server: "s"}, Count{Server: "new", Down: a > 0})
 			assert.Len(t, v.Dues, 1)
 		}
 	}
-	w.servers["new"].rate = 9
+	w.servers["new"].capacity = 9
 	for a := range 40 { // now on the lists of all, after two seconds on one
 		now += period / 20
-		for _, d := range tell(w, now, fmt.Sprint("a", a%20), 20, Count{Server: "s"}, Count{Server: "new"}).Dues {
+		for _, d := range sendSummary(w, now, fmt.Sprint("a", a%20), 20, Count{Server: "s"}, Count{Server: "new"}).Dues {
 			assert.True(t, d.Server == "s" || d.Idle < 2*period && !d.Duty, "%+v", d)
 		}
 	}
 
 	s := New(Config{Name: "a", Life: 1, Senders: 8, Stewards: []string{"w"}})
-	s.Listed("s", true)
-	asked := s.Summary(0, "w").From
+	s.UpdateServer("s", true)
+	asked := s.BuildSummary(0, "w").From
 	v := View{From: Stamp{"w", 1, 1}, Echo: asked, Dues: []Due{{Server: "s", Share: 1, Duty: true, Idle: time.Second}}}
-	s.Hear(ms, v)
-	require.True(t, math.IsInf(s.Order(ms, "s", new(Seat), 1), 1))
-	s.Sent(ms, "s", true)
-	s.Ended("s", true)
-	assert.False(t, math.IsInf(s.Order(2*ms, "s", new(Seat), 1), 1), "once")
+	s.HandleView(ms, v)
+	require.True(t, math.IsInf(s.Priority(ms, "s", new(ServerRef), 1), 1))
+	s.RecordSent(ms, "s", true)
+	s.RecordEnd("s", true)
+	assert.False(t, math.IsInf(s.Priority(2*ms, "s", new(ServerRef), 1), 1), "once")
 	v.From.Seq++
-	s.Hear(3*ms, v)
-	assert.False(t, math.IsInf(s.Order(3*ms, "s", new(Seat), 1), 1), "it answers a summary from before the call")
+	s.HandleView(3*ms, v)
+	assert.False(t, math.IsInf(s.Priority(3*ms, "s", new(ServerRef), 1), 1), "it answers a summary from before the call")
 }
 
-// TestOnMachines: services spread over the machines, all senders of one agree, and where the first machine
+// TestRemoteStewardChoice: services spread over the machines, all senders of one agree, and where the first machine
 // is silent they stay with the next while trying the first now and then.
-func TestOnMachines(t *testing.T) {
+func TestRemoteStewardChoice(t *testing.T) {
 	machines, held := []string{"c1", "c2", "c3", "c4"}, map[string]int{}
 	for i := range 27 {
 		cfg := Config{Name: "a", Stewards: machines, Service: fmt.Sprintf("svc%02d", i)}
-		first := New(cfg).Steward(time.Hour)
+		first := New(cfg).CurrentSteward(time.Hour)
 		cfg.Name = "b"
-		assert.Equal(t, first, New(cfg).Steward(time.Minute))
+		assert.Equal(t, first, New(cfg).CurrentSteward(time.Minute))
 		held[first]++
 	}
 	assert.Len(t, held, 4, "%v", held)
 	alone := New(Config{Name: "a", Service: "svc00"})
-	alone.Alive(machines)
-	assert.Equal(t, StewardAt(machines, 0), alone.Steward(0), "the service counts beside stewards alone")
+	alone.SetAlive(machines)
+	assert.Equal(t, StewardAt(machines, 0), alone.CurrentSteward(0), "the service counts beside stewards alone")
 
 	s := New(Config{Name: "a", Life: 1, Stewards: machines, Service: "svc00"})
-	first, second := s.stewardAt(0), s.stewardAt(1)
+	first, second := s.remoteStewardAt(0), s.remoteStewardAt(1)
 	var told []int // 0: the first, 1: the next
 	seq := uint64(0)
 	for i := range 40 {
 		now := time.Hour + Time(i)*period
-		s.Look(now)
-		to := s.Steward(now)
+		s.ExpireView(now)
+		to := s.CurrentSteward(now)
 		require.Contains(t, []string{first, second}, to)
-		require.Equal(t, to, s.Steward(now))
+		require.Equal(t, to, s.CurrentSteward(now))
 		told = append(told, map[string]int{first: 0, second: 1}[to])
-		sum := s.Summary(now, to)
+		sum := s.BuildSummary(now, to)
 		if to == first && i >= 5 && i < 25 { // it is down
 			continue
 		}
 		seq++
-		s.Hear(now+ms, View{From: Stamp{to, 1, seq}, Echo: sum.From, Dues: []Due{{Server: "s", Share: 1}}})
-		require.True(t, i < 8 || s.Follows(now+ms), i)
+		s.HandleView(now+ms, View{From: Stamp{to, 1, seq}, Echo: sum.From, Dues: []Due{{Server: "s", Share: 1}}})
+		require.True(t, i < 8 || s.FollowsView(now+ms), i)
 	}
 	assert.Equal(t, []int{0, 0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0}, told)
 }
 
-// TestForgotten: a steward may be forgotten once nobody was heard for long and no right is lent.
-func TestForgotten(t *testing.T) {
-	s := New(Config{Name: "a", Life: 1, Senders: 1, Period: mostPeriod, Stewards: []string{"w"}})
+// TestStewardIdle: a steward may be forgotten once nobody was heard for long and no right is lent.
+func TestStewardIdle(t *testing.T) {
+	s := New(Config{Name: "a", Life: 1, Senders: 1, Period: maxPeriod, Stewards: []string{"w"}})
 	w := NewRemoteSteward(Config{Name: "w", Life: 1})
 	for _, now := range []Time{0, ms} {
-		v, ok := w.Hear(now, s.Summary(now, "w"))
+		v, ok := w.HandleSummary(now, s.BuildSummary(now, "w"))
 		require.True(t, ok)
-		s.Hear(now, v)
+		s.HandleView(now, v)
 	}
 	assert.Equal(t, 1, w.Senders())
-	assert.Equal(t, Standing{Senders: 1, Named: 1, Lent: 1, Unsure: false}, w.Standing(ms))
-	require.Zero(t, NewRemoteSteward(Config{}).Standing(0))
-	assert.False(t, w.Idle(mostPeriod), "a right is lent for four minutes")
-	assert.True(t, w.Idle(4*mostPeriod+forgetAfter))
-	_, ok := w.Hear(2*ms, Summary{From: Stamp{"a", 2, 1}, Senders: 1})
+	assert.Equal(t, Status{Senders: 1, Configured: 1, Lent: 1, Unsure: false}, w.Status(ms))
+	require.Zero(t, NewRemoteSteward(Config{}).Status(0))
+	assert.False(t, w.Idle(maxPeriod), "a right is lent for four minutes")
+	assert.True(t, w.Idle(4*maxPeriod+forgetAfter))
+	_, ok := w.HandleSummary(2*ms, Summary{From: Stamp{"a", 2, 1}, Senders: 1})
 	require.True(t, ok)
-	assert.Zero(t, w.Standing(2*ms).Lent, "a new life of the sender uses its right itself")
+	assert.Zero(t, w.Status(2*ms).Lent, "a new life of the sender uses its right itself")
 
 	// A sender whose period was long is silent soon once it is short, with its right lent for long: it has no
 	// word of lists any more.
 	w = NewRemoteSteward(Config{Name: "w", Life: 1})
-	v := tell(w, 0, "a", 2)
-	for seq, long := range []time.Duration{mostPeriod, 0} {
-		_, ok = w.Hear(ms, Summary{From: Stamp{"a", 1, uint64(2 + seq)}, Echo: v.From, Lends: true, Senders: 2, Period: long})
+	v := sendSummary(w, 0, "a", 2)
+	for seq, long := range []time.Duration{maxPeriod, 0} {
+		_, ok = w.HandleSummary(ms, Summary{From: Stamp{"a", 1, uint64(2 + seq)}, Echo: v.From, Lends: true, Senders: 2, Period: long})
 		require.True(t, ok)
 	}
-	assert.Len(t, tell(w, 3*time.Second, "b", 2, Count{Server: "s"}).Dues, 1)
-	assert.Equal(t, Standing{Senders: 1, Named: 2, Lent: 1, Servers: 1, Demand: 1, Unsure: true}, w.Standing(3*time.Second))
+	assert.Len(t, sendSummary(w, 3*time.Second, "b", 2, Count{Server: "s"}).Dues, 1)
+	assert.Equal(t, Status{Senders: 1, Configured: 2, Lent: 1, Servers: 1, Demand: 1, Unsure: true}, w.Status(3*time.Second))
 
 	w = NewRemoteSteward(Config{Name: "w", Life: 2})
-	tell(w, 3*ms, "b", 2)
-	tell(w, 3*ms, "c", 2)
-	_, ok = w.Hear(4*ms, s.Summary(4*ms, "w"))
+	sendSummary(w, 3*ms, "b", 2)
+	sendSummary(w, 3*ms, "c", 2)
+	_, ok = w.HandleSummary(4*ms, s.BuildSummary(4*ms, "w"))
 	require.True(t, ok)
-	assert.Zero(t, w.Standing(4*ms).Lent, "what was lent by a view of the life before, whatever its number")
+	assert.Zero(t, w.Status(4*ms).Lent, "what was lent by a view of the life before, whatever its number")
 }
 
-// TestHistory: what a sender sent before its first word to a steward's server came over a time not known:
+// TestFirstCountAddsNoRate: what a sender sent before its first word to a steward's server came over a time not known:
 // at a list that comes late, and where a server leaves the list and comes back.
-func TestHistory(t *testing.T) {
+func TestFirstCountAddsNoRate(t *testing.T) {
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: 30})
 	for i := range 8 {
 		now := Time(i) * period
 		switch i {
 		case 2, 5:
-			w.Know(now, map[string]float64{"s": 0})
+			w.SetServers(now, map[string]float64{"s": 0})
 		case 4:
-			w.Know(now, nil)
+			w.SetServers(now, nil)
 		}
 		for a := range 30 {
-			tell(w, now+Time(a), fmt.Sprint("a", a), 30, Count{Server: "s", Sent: 1000, Done: 999, Seen: Seen{Util: 0.5}})
+			sendSummary(w, now+Time(a), fmt.Sprint("a", a), 30, Count{Server: "s", Sent: 1000, Done: 999, Seen: Seen{Util: 0.5}})
 		}
 	}
-	assert.Zero(t, w.servers["s"].rate, "nothing was sent all this time")
-	assert.EqualValues(t, 30, w.servers["s"].out)
+	assert.Zero(t, w.servers["s"].capacity, "nothing was sent all this time")
+	assert.EqualValues(t, 30, w.servers["s"].outstanding)
 }
 
-// TestBounds: words that can't be are refused by name.
-func TestBounds(t *testing.T) {
+// TestSummaryBounds: words that can't be are refused by name.
+func TestSummaryBounds(t *testing.T) {
 	for want, s := range map[string]Summary{
 		"field n": {Senders: -1}, "field n: 65537": {Senders: 65537},
 		"field c[0].w: -1": {Counts: []Count{{Server: "s", Cold: -1}}}, "field c[0].w: NaN": {Counts: []Count{{Server: "s", Cold: math.NaN()}}},
@@ -321,21 +321,21 @@
 	assert.NoError(t, Summary{From: Stamp{"a", 1, 1}, Senders: 65536, Counts: []Count{{Server: "s", Cold: 5, Down: true}}}.Valid())
 }
 
-// TestWork: how many senders a steward goes through for each summary does not grow with their number.
-func TestWork(t *testing.T) {
+// TestWorkPerSummaryIsBounded: how many senders a steward goes through for each summary does not grow with their number.
+func TestWorkPerSummaryIsBounded(t *testing.T) {
 	for _, n := range []int{27, 243} {
 		w := NewRemoteSteward(Config{Name: "w", Life: 1})
 		for i := range 40 * n {
 			now := Time(i) * period / Time(n)
-			tell(w, now, fmt.Sprint("a", i%n), n, Count{Server: "s", Sent: uint64(i / n), Done: uint64(i / n)}, Count{Server: "idle"})
+			sendSummary(w, now, fmt.Sprint("a", i%n), n, Count{Server: "s", Sent: uint64(i / n), Done: uint64(i / n)}, Count{Server: "idle"})
 		}
-		assert.Less(t, float64(w.walked)/float64(40*n), 6.0, "%d senders", n)
+		assert.Less(t, float64(w.sendersVisited)/float64(40*n), 6.0, "%d senders", n)
 	}
 }
 
-// TestAsBefore: the sums that a steward keeps are those of the senders that it has, and its views of seeded
+// TestStewardMatchesReference: the sums that a steward keeps are those of the senders that it has, and its views of seeded
 // days those that it gave when it added up all senders for each view (their sums, taken at 162554c).
-func TestAsBefore(t *testing.T) {
+func TestStewardMatchesReference(t *testing.T) {
 	for seed, want := range []map[string]float64{
 		{"demand": 189263.625, "grant": 96, "hold": 0, "idle": 77.1999999999981, "out": 1.381454e+06, "rate": 1.2076190580001658e+07, "senders": 79757, "share": 889492.1298728046},
 		{"demand": 96453.75, "grant": 93, "hold": 0, "idle": 46.549999999999855, "out": 176157, "rate": 801416.8307097264, "senders": 40036, "share": 225922.80912621415},
@@ -343,11 +343,11 @@
 		{"demand": 180832.125, "grant": 93, "hold": 0, "idle": 92.14999999999752, "out": 1.232305e+06, "rate": 1.0855995560438689e+07, "senders": 73401, "share": 862273.7085373894},
 		{"demand": 67284.625, "grant": 99, "hold": 11.360252817690418, "idle": 53.54999999999962, "out": 128843, "rate": 457214.4155484845, "senders": 27642, "share": 154827.11444911998},
 	} {
-		got := day(uint64(seed), func(w *Steward, now Time) {
+		got := simulateDay(uint64(seed), func(w *Steward, now Time) {
 			demand, lent := 0.0, 0
 			for _, n := range w.senders {
 				demand += n.latest.Demand
-				if n.lent >= now+grantPeriods*w.cfg.period() {
+				if n.lentUntil >= now+grantPeriods*w.cfg.period() {
 					lent++
 				}
 			}
@@ -360,9 +360,9 @@
 	}
 }
 
-// day is the views of a day of 40 s, summed up: senders that come, go and begin anew, summaries and views lost,
+// simulateDay is the views of a day of 40 s, summed up: senders that come, go and begin anew, summaries and views lost,
 // loans, a server that is cold for a while.
-func day(seed uint64, each func(w *Steward, now Time)) map[string]float64 {
+func simulateDay(seed uint64, each func(w *Steward, now Time)) map[string]float64 {
 	rng, sum := rand.New(rand.NewPCG(seed, 7)), map[string]float64{}
 	senders, servers := 5+rng.IntN(40), 2+rng.IntN(8)
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: senders})
@@ -391,7 +391,7 @@
 		if now > 10*time.Second && now < 25*time.Second {
 			up["s0"] = 12
 		}
-		w.Know(now, up)
+		w.SetServers(now, up)
 		for i := range peers {
 			p := &peers[i]
 			if rng.IntN(2000) == 0 {
@@ -415,7 +415,7 @@
 			if rng.IntN(10) == 0 { // lost
 				continue
 			}
-			v, ok := w.Hear(now, s)
+			v, ok := w.HandleSummary(now, s)
 			if !ok {
 				panic("no news")
 			}
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -57,255 +57,255 @@
 
 // How long things hold, in periods.
 const (
-	viewPeriods  = 4 // a view is followed for so long without a newer one
-	lendPeriods  = 4 // a right is lent for so long
-	grantPeriods = 2 // and used by whoever it was granted to within so long
-	heardPeriods = 4 // a sender that was not heard for so long is not counted
+	viewTTLPeriods   = 4 // a view is followed for so long without a newer one
+	loanPeriods      = 4 // a right is lent for so long
+	grantPeriods     = 2 // and used by whoever it was granted to within so long
+	senderTTLPeriods = 4 // a sender that was not heard for so long is not counted
 )
 
-// server is what one sender keeps of a server.
-type server struct {
+// serverState is what one sender keeps of a server.
+type serverState struct {
 	sent, done, stood uint64  // set-ups of this sender, since its start
-	own               float64 // what the sender alone thinks that it can take
-	asked             bool    // for its order, since the last set-up
-	placed            bool    // place is known among those alive now
-	place             int
-	turn              float64 // set-ups of this sender until its turn, by its part of them
+	ownEstimate       float64 // what the sender alone thinks that it can take
+	queried           bool    // for its order, since the last set-up
+	rankKnown         bool    // place is known among those alive now
+	rank              int
+	pass              float64 // set-ups of this sender until its turn, by its part of them
 	share             float64 // of the joint load, by the view; 0: none given
-	seen              Seen    // figures of the server's own, as this sender has them
-	seenAt            Time
-	joint             float64 // what all senders may send it while it is cold, a second
-	right             right   // of a cold budget, alone
+	report            Seen    // figures of the server's own, as this sender has them
+	reportAt          Time
+	jointColdRate     float64   // what all senders may send it while it is cold, a second
+	coldRight         coldRight // of a cold budget, alone
 	grants            []grant
-	coldAt            Time // its budget was last asked for; it is while a server is cold
-	chilled           bool
+	coldQueriedAt     Time // its budget was last asked for; it is while a server is cold
+	wasCold           bool
 	up                bool
-	away              bool // it has no connection, nor the right to one
+	noConnection      bool // it has no connection, nor the right to one
 	due               Due
-	sentAt            Time // the latest set-up of this sender; below 0: none yet
+	lastSentAt        Time // the latest set-up of this sender; below 0: none yet
 }
 
-// Seat keeps where a server's part of a State is, once found.
-type Seat struct{ v *server }
+// ServerRef keeps where a server's part of a State is, once found.
+type ServerRef struct{ server *serverState }
 
 // State is one sender's part. It is not safe for concurrent use.
 type State struct {
-	cfg     Config
-	servers map[string]*server
-	demand  rate // set-ups of first tries
-	view    *View
-	told    bool // a view told shares, and is followed
-	viewAt  Time // when the latest that did came
-	heardAt Time // when the latest view of any kind came
-	lent    Time // its rights are lent until then; below 0: they never were
-	lentTo  string
-	seq     uint64
-	rng     *rand.Rand
-	alive   []string
-	asked   []*server // those asked for their order since the last set-up
-	turn    turn
-
-	summaries [8]sentAt // the latest, by number
+	cfg           Config
+	servers       map[string]*serverState
+	demand        rate // set-ups of first tries
+	view          *View
+	hasShares     bool // a view told shares, and is followed
+	sharesAt      Time // when the latest that did came
+	lastViewAt    Time // when the latest view of any kind came
+	lentUntil     Time // its rights are lent until then; below 0: they never were
+	lentTo        string
+	seq           uint64
+	rng           *rand.Rand
+	alive         []string
+	queried       []*serverState // those asked for their order since the last set-up
+	stewardChoice stewardChoice
+
+	recentSummaries [8]sentSummary // the latest, by number
 }
 
 // New returns the state of a sender.
 func New(cfg Config) *State {
-	return &State{cfg: cfg, servers: map[string]*server{}, demand: rate{span: demandSpan},
-		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Rank))), lent: -1}
+	return &State{cfg: cfg, servers: map[string]*serverState{}, demand: rate{timeConstant: demandWindow},
+		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Rank))), lentUntil: -1}
 }
 
-// demandSpan is the memory of a sender's own demand; it sees a call a second or so.
-const demandSpan = 4 * time.Second
+// demandWindow is the memory of a sender's own demand; it sees a call a second or so.
+const demandWindow = 4 * time.Second
 
-func (s *State) get(id string) *server {
-	v := s.servers[id]
-	if v == nil {
-		v = &server{turn: s.apart(), up: true, sentAt: -1}
-		s.servers[id] = v
+func (s *State) getOrCreate(id string) *serverState {
+	server := s.servers[id]
+	if server == nil {
+		server = &serverState{pass: s.initialPass(), up: true, lastSentAt: -1}
+		s.servers[id] = server
 	}
-	return v
+	return server
 }
 
-// apart is where a server's turn begins: an even draw (the stationary one) gives each the first call of
+// initialPass is where a server's turn begins: an even draw (the stationary one) gives each the first call of
 // as many senders as its part of the load, so that senders begin apart, and none turn to a new
 // server all at once.
-func (s *State) apart() float64 { return s.rng.Float64() }
+func (s *State) initialPass() float64 { return s.rng.Float64() }
 
-// Listed tells which servers are up; others are forgotten.
-func (s *State) Listed(id string, up bool) {
-	if !up && s.servers[id] == nil && !s.distant() {
+// UpdateServer tells which servers are up; others are forgotten.
+func (s *State) UpdateServer(id string, up bool) {
+	if !up && s.servers[id] == nil && !s.usesRemoteSteward() {
 		return // a distant steward must not hear of it as listed once this sender has a word of it
 	}
-	v := s.get(id)
-	if up && !v.up {
-		v.turn = s.apart()
+	server := s.getOrCreate(id)
+	if up && !server.up {
+		server.pass = s.initialPass()
 	}
-	v.up = up
+	server.up = up
 }
 
-// coldMost is how long after its budget was last asked for a server still counts as cold.
-const coldMost = time.Second
+// coldTTL is how long after its budget was last asked for a server still counts as cold.
+const coldTTL = time.Second
 
-func (v *server) cold(now Time) bool { return v.chilled && now-v.coldAt < coldMost }
+func (s *serverState) isCold(now Time) bool { return s.wasCold && now-s.coldQueriedAt < coldTTL }
 
-// Chill begins a server's cold budget.
-func (s *State) Chill(id string) {
-	v := s.get(id)
-	v.right, v.grants, v.turn = right{}, nil, s.apart()
+// StartWarmUp begins a server's cold budget.
+func (s *State) StartWarmUp(id string) {
+	server := s.getOrCreate(id)
+	server.coldRight, server.grants, server.pass = coldRight{}, nil, s.initialPass()
 }
 
-// Forget drops a server that is gone.
-func (s *State) Forget(id string) { delete(s.servers, id) }
+// RemoveServer drops a server that is gone.
+func (s *State) RemoveServer(id string) { delete(s.servers, id) }
 
-// Offered counts a first try that came to this sender.
-func (s *State) Offered(now Time) { s.demand.add(now, 1) }
+// RecordDemand counts a first try that came to this sender.
+func (s *State) RecordDemand(now Time) { s.demand.add(now, 1) }
 
-// Sent counts a set-up that went out. inOrder: it was chosen by Order among the servers that were
+// RecordSent counts a set-up that went out. inOrder: it was chosen by Order among the servers that were
 // asked for since the last one; time, as turns count it, goes on to the turn of the one chosen. One
 // that was not (a call's first choice) puts the server's next turn off.
-func (s *State) Sent(now Time, id string, inOrder bool) {
-	v := s.get(id)
-	passed := max(v.turn, 0) / max(v.weight(), 1e-9)
-	for _, o := range s.asked {
+func (s *State) RecordSent(now Time, id string, inOrder bool) {
+	server := s.getOrCreate(id)
+	passed := max(server.pass, 0) / max(server.weight(), 1e-9)
+	for _, other := range s.queried {
 		if inOrder {
-			o.turn = max(o.turn-passed*o.weight(), 0) // whose turn was passed over is next, and owed no more
+			other.pass = max(other.pass-passed*other.weight(), 0) // whose turn was passed over is next, and owed no more
 		}
-		o.asked = false
+		other.queried = false
 	}
-	s.asked = s.asked[:0]
-	v.turn++
-	v.sent++
-	v.sentAt, v.due.Duty = now, false
-	if v.cold(now) {
-		s.spend(now, v)
+	s.queried = s.queried[:0]
+	server.pass++
+	server.sent++
+	server.lastSentAt, server.due.Duty = now, false
+	if server.isCold(now) {
+		s.spendCold(now, server)
 	}
 }
 
-// Ended counts the end of a set-up: the call stands, or it was refused, lost or given up.
-func (s *State) Ended(id string, stands bool) {
-	v := s.servers[id]
-	if v == nil || v.done >= v.sent {
+// RecordEnd counts the end of a set-up: the call stands, or it was refused, lost or given up.
+func (s *State) RecordEnd(id string, stands bool) {
+	server := s.servers[id]
+	if server == nil || server.done >= server.sent {
 		return
 	}
-	v.done++
+	server.done++
 	if stands {
-		v.stood++
+		server.stood++
 	}
 }
 
-// Saw takes what this sender has of a server's own figures.
-func (s *State) Saw(now Time, id string, seen Seen) {
-	v := s.get(id)
-	if seen.Util < 0 && seen.Wait < 0 { // no word of its processor
-		v.seen.Lines = seen.Lines
+// RecordReport takes what this sender has of a server's own figures.
+func (s *State) RecordReport(now Time, id string, report Seen) {
+	server := s.getOrCreate(id)
+	if report.Util < 0 && report.Wait < 0 { // no word of its processor
+		server.report.Lines = report.Lines
 		return
 	}
-	v.seen, v.seenAt = seen, now
+	server.report, server.reportAt = report, now
 }
 
 // weight is a server's part of the joint load; where no view tells, the sender's own figure.
-func (v *server) weight() float64 {
-	if v.share > 0 {
-		return v.share
+func (s *serverState) weight() float64 {
+	if s.share > 0 {
+		return s.share
 	}
-	return max(v.own, 1e-3)
+	return max(s.ownEstimate, 1e-3)
 }
 
-// Follows tells whether this sender follows a view that is fresh.
-func (s *State) Follows(now Time) bool {
-	return s.told && now-s.viewAt < viewPeriods*s.cfg.period()
+// FollowsView tells whether this sender follows a view that is fresh.
+func (s *State) FollowsView(now Time) bool {
+	return s.hasShares && now-s.sharesAt < viewTTLPeriods*s.cfg.period()
 }
 
-// Order is a server's place among others that are equal to the module: the largest goes first.
+// Priority is a server's place among others that are equal to the module: the largest goes first.
 // The next is whose turn comes soonest at its weight (stride scheduling, Waldspurger and Weihl
 // 1995), so that this sender's set-ups lie evenly, however few they are.
 // own is what this sender alone thinks that the server can take beyond its load. The seat is the
 // caller's, one for each server until that is forgotten, and saves a look-up.
-func (s *State) Order(now Time, id string, seat *Seat, own float64) float64 {
-	if seat.v == nil {
-		seat.v = s.get(id)
+func (s *State) Priority(now Time, id string, ref *ServerRef, ownEstimate float64) float64 {
+	if ref.server == nil {
+		ref.server = s.getOrCreate(id)
 	}
-	v := seat.v
-	if v.own = own; !v.asked {
-		v.asked = true
-		s.asked = append(s.asked, v)
+	server := ref.server
+	if server.ownEstimate = ownEstimate; !server.queried {
+		server.queried = true
+		s.queried = append(s.queried, server)
 	}
-	if v.away {
-		return awayOrder - v.turn/v.weight()
+	if server.noConnection {
+		return noConnectionPriority - server.pass/server.weight()
 	}
-	if s.Follows(now) && s.onDuty(now, id, v) {
+	if s.FollowsView(now) && s.isOnDuty(now, id, server) {
 		return math.Inf(1)
 	}
-	if len(v.grants) > 0 && v.cold(now) { // a granted right is used or lost
+	if len(server.grants) > 0 && server.isCold(now) { // a granted right is used or lost
 		return 1
 	}
-	return -v.turn / v.weight()
+	return -server.pass / server.weight()
 }
 
-// awayOrder is below the place of every server that has a connection.
-const awayOrder = -1e9
+// noConnectionPriority is below the place of every server that has a connection.
+const noConnectionPriority = -1e9
 
-// Placed tells of servers that have lost the right to a connection, or come by it: among equals those
+// SetConnected tells of servers that have lost the right to a connection, or come by it: among equals those
 // that have it go first.
-func (s *State) Placed(ids []string, placed bool) {
+func (s *State) SetConnected(ids []string, connected bool) {
 	for _, id := range ids {
-		if v := s.servers[id]; v != nil {
-			v.away = !placed
+		if server := s.servers[id]; server != nil {
+			server.noConnection = !connected
 		}
 	}
 }
 
-// Look drops a view that is too old to follow.
-func (s *State) Look(now Time) {
-	if s.view != nil && now-s.heardAt >= viewPeriods*s.cfg.period() {
+// ExpireView drops a view that is too old to follow.
+func (s *State) ExpireView(now Time) {
+	if s.view != nil && now-s.lastViewAt >= viewTTLPeriods*s.cfg.period() {
 		s.view = nil
 	}
-	if s.told && !s.Follows(now) {
-		s.told = false
-		for _, v := range s.servers {
-			v.share, v.due = 0, Due{}
+	if s.hasShares && !s.FollowsView(now) {
+		s.hasShares = false
+		for _, server := range s.servers {
+			server.share, server.due = 0, Due{}
 		}
 	}
 }
 
 // rate is a flow, with a memory that fades.
 type rate struct {
-	span  time.Duration
-	x     float64 // events a second
-	at    Time
-	begun bool
-	first Time
+	timeConstant time.Duration
+	average      float64 // events a second
+	updatedAt    Time
+	started      bool
+	startedAt    Time
 }
 
-func (r *rate) add(now Time, n float64) {
-	if !r.begun {
-		r.begun, r.first, r.at = true, now, now
+func (r *rate) add(now Time, count float64) {
+	if !r.started {
+		r.started, r.startedAt, r.updatedAt = true, now, now
 	}
-	keep := math.Exp(-float64(now-r.at) / float64(r.span))
-	r.x, r.at = r.x*keep+n/r.span.Seconds(), now
+	decay := math.Exp(-float64(now-r.updatedAt) / float64(r.timeConstant))
+	r.average, r.updatedAt = r.average*decay+count/r.timeConstant.Seconds(), now
 }
 
-// per is the events a second; a young one is scaled by the part of its memory that is filled.
-func (r *rate) per(now Time) float64 {
-	if !r.begun {
+// perSecond is the events a second; a young one is scaled by the part of its memory that is filled.
+func (r *rate) perSecond(now Time) float64 {
+	if !r.started {
 		return 0
 	}
-	x := r.x * math.Exp(-float64(now-r.at)/float64(r.span))
-	filled := 1 - math.Exp(-float64(max(now-r.first, r.span/8))/float64(r.span))
-	return x / filled
+	average := r.average * math.Exp(-float64(now-r.updatedAt)/float64(r.timeConstant))
+	filled := 1 - math.Exp(-float64(max(now-r.startedAt, r.timeConstant/8))/float64(r.timeConstant))
+	return average / filled
 }
 
-// Known is what a steward needs of its own process's view: which servers are up, and what all
+// UpServers is what a steward needs of its own process's view: which servers are up, and what all
 // senders together may send to those that are cold, a second.
-func (s *State) Known(now Time) (up map[string]float64) {
-	up = map[string]float64{}
-	for id, v := range s.servers {
-		if v.up {
-			up[id] = 0
-			if v.cold(now) {
-				up[id] = v.joint
+func (s *State) UpServers(now Time) (coldRates map[string]float64) {
+	coldRates = map[string]float64{}
+	for id, server := range s.servers {
+		if server.up {
+			coldRates[id] = 0
+			if server.isCold(now) {
+				coldRates[id] = server.jointColdRate
 			}
 		}
 	}
-	return up
+	return coldRates
 }
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -22,122 +22,122 @@
 func TestRightsNeverDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perSecond, span, step = 8.0, 40 * time.Second, 50 * ms
-		n := rapid.IntRange(2, 12).Draw(t, "senders")
+		count := rapid.IntRange(2, 12).Draw(t, "senders")
 		loss := rapid.IntRange(0, 60).Draw(t, "loss")
-		slow := time.Duration(rapid.IntRange(1, 2500).Draw(t, "slowest")) * ms
-		flips := rapid.IntRange(0, 40).Draw(t, "flips")       // how often a sender turns to the other steward
+		maxDelay := time.Duration(rapid.IntRange(1, 2500).Draw(t, "slowest")) * ms
+		switches := rapid.IntRange(0, 40).Draw(t, "flips")    // how often a sender turns to the other steward
 		churn := rapid.IntRange(0, 20).Draw(t, "churn")       // how often somebody's period changes
 		restarts := rapid.IntRange(0, 10).Draw(t, "restarts") // of a steward, in a thousand steps
 		remote := rapid.Bool().Draw(t, "remote")
 		reload := remote && rapid.Bool().Draw(t, "senders differ")
-		late := rapid.IntRange(1, 5000).Draw(t, "news") // of the cold server, ms
+		maxNewsDelay := rapid.IntRange(1, 5000).Draw(t, "news") // of the cold server, ms
 		periods := []time.Duration{100 * ms, 500 * ms, 2 * time.Second}
 		rnd := rapid.Custom(func(t *rapid.T) int { return rapid.IntRange(0, 1<<30).Draw(t, "x") })
 		seed := uint64(rnd.Draw(t, "seed"))
 		draw := func(k int) int { seed = seed*6364136223846793005 + 1442695040888963407; return int(seed>>33) % k }
-		type letter struct {
+		type message struct {
 			at   Time
 			to   int // sender; -1, -2: a steward
 			sum  Summary
 			view View
 		}
-		var post []letter
-		send := func(now Time, l letter) {
+		var inFlight []message
+		send := func(now Time, m message) {
 			for range 1 + draw(2) { // some twice
 				if draw(100) >= loss {
-					l.at = now + time.Duration(draw(int(slow)))
-					post = append(post, l)
+					m.at = now + time.Duration(draw(int(maxDelay)))
+					inFlight = append(inFlight, m)
 				}
 			}
 		}
-		senders := make([]*State, n)
-		offset, stalled, with, told := make([]Time, n+2), make([]Time, n), make([]int, n), make([]Time, n)
+		senders := make([]*State, count)
+		offset, stalled, stewardOf, coldKnownAt := make([]Time, count+2), make([]Time, count), make([]int, count), make([]Time, count)
 		for i := range senders {
-			cfg := Config{Name: fmt.Sprint("a", i), Life: 1, Rank: i, Senders: n}
+			cfg := Config{Name: fmt.Sprint("a", i), Life: 1, Rank: i, Senders: count}
 			if remote {
-				cfg.Stewards, told[i] = []string{"w1", "w2"}, time.Duration(draw(late))*ms
+				cfg.Stewards, coldKnownAt[i] = []string{"w1", "w2"}, time.Duration(draw(maxNewsDelay))*ms
 			}
 			if reload && i%2 == 1 {
-				cfg.Senders = 2 * n
+				cfg.Senders = 2 * count
 			}
 			senders[i] = New(cfg)
-			senders[i].Listed("s", true)
+			senders[i].UpdateServer("s", true)
 		}
 		for i := range offset {
 			offset[i] = time.Duration(draw(1e9)) * 1000
 		}
 		stewards, lives := make([]*Steward, 2), []int64{0, 0}
-		begin := func(w int, now Time) {
+		startSteward := func(w int, now Time) {
 			lives[w]++
-			cfg := Config{Name: fmt.Sprint("w", w+1), Life: lives[w], Senders: n}
+			cfg := Config{Name: fmt.Sprint("w", w+1), Life: lives[w], Senders: count}
 			if stewards[w] = NewRemoteSteward(cfg); !remote {
 				stewards[w] = NewSteward(cfg)
-				stewards[w].Cold(now+offset[n+w], "s", perSecond)
+				stewards[w].SetColdRate(now+offset[count+w], "s", perSecond)
 			}
 		}
-		begin(0, 0)
-		begin(1, 0)
+		startSteward(0, 0)
+		startSteward(1, 0)
 		sent := 0
 		for now := Time(0); now < span; now += step {
-			slices.SortStableFunc(post, func(a, b letter) int { return int(a.at - b.at) })
-			for len(post) > 0 && post[0].at <= now {
-				l := post[0]
-				post = post[1:]
-				if l.to >= 0 {
-					senders[l.to].Hear(now+offset[l.to], l.view)
+			slices.SortStableFunc(inFlight, func(a, b message) int { return int(a.at - b.at) })
+			for len(inFlight) > 0 && inFlight[0].at <= now {
+				m := inFlight[0]
+				inFlight = inFlight[1:]
+				if m.to >= 0 {
+					senders[m.to].HandleView(now+offset[m.to], m.view)
 					continue
 				}
-				w := -1 - l.to
-				if v, ok := stewards[w].Hear(now+offset[n+w], l.sum); ok {
+				w := -1 - m.to
+				if v, ok := stewards[w].HandleSummary(now+offset[count+w], m.sum); ok {
 					var to int
-					fmt.Sscanf(l.sum.From.Name, "a%d", &to)
-					send(now, letter{to: to, view: v})
+					fmt.Sscanf(m.sum.From.Name, "a%d", &to)
+					send(now, message{to: to, view: v})
 				}
 			}
 			for w := range stewards {
 				if draw(1000) < restarts {
-					begin(w, now)
+					startSteward(w, now)
 				}
 			}
-			for i := range n + len(stewards) {
+			for i := range count + len(stewards) {
 				switch p := periods[draw(len(periods))]; {
 				case draw(1000) >= churn:
-				case i < n:
+				case i < count:
 					senders[i].SetPeriod(p)
 				default:
-					stewards[i-n].SetPeriod(p)
+					stewards[i-count].SetPeriod(p)
 				}
 			}
-			for i, s := range senders {
+			for i, sender := range senders {
 				if draw(400) == 0 {
 					stalled[i] = now + time.Duration(draw(5000))*ms
 				}
 				if now < stalled[i] {
 					continue
 				}
-				if draw(1000) < flips {
-					with[i] = 1 - with[i]
+				if draw(1000) < switches {
+					stewardOf[i] = 1 - stewardOf[i]
 				}
 				at := now + offset[i]
 				if int(now/step)%10 == i%10 {
-					s.demand.x, s.demand.at, s.demand.begun = 5, at, true
-					send(now, letter{to: -1 - with[i], sum: s.Summary(at, fmt.Sprint("w", with[i]+1))})
+					sender.demand.average, sender.demand.updatedAt, sender.demand.started = 5, at, true
+					send(now, message{to: -1 - stewardOf[i], sum: sender.BuildSummary(at, fmt.Sprint("w", stewardOf[i]+1))})
 				}
-				if now >= told[i] && s.ColdRoom(at, "s", at, perSecond, time.Second) {
-					s.Sent(at, "s", true)
+				if now >= coldKnownAt[i] && sender.MaySendCold(at, "s", at, perSecond, time.Second) {
+					sender.RecordSent(at, "s", true)
 					sent++
 				}
 			}
 		}
-		most := perSecond*span.Seconds() + float64(n) + 2*max(1, perSecond/2)
-		if float64(sent) > most {
-			t.Fatalf("%d set-ups to a cold server in %v, %.0f allowed", sent, span, most)
+		allowed := perSecond*span.Seconds() + float64(count) + 2*max(1, perSecond/2)
+		if float64(sent) > allowed {
+			t.Fatalf("%d set-ups to a cold server in %v, %.0f allowed", sent, span, allowed)
 		}
 	})
 }
 
-// TestLevel: shares even queues out, by rate; what has no queue is never left out.
-func TestLevel(t *testing.T) {
+// TestLevelSharesEvensOutQueues: shares even queues out, by rate; what has no queue is never left out.
+func TestLevelSharesEvensOutQueues(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		rate, out   []float64
@@ -152,10 +152,10 @@
 		w := NewSteward(Config{Senders: 3})
 		var got []float64
 		for i, r := range tc.rate {
-			j := w.joint(0, fmt.Sprint(i))
-			j.rate, j.out = r, tc.out[i]
+			j := w.getOrCreate(0, fmt.Sprint(i))
+			j.capacity, j.outstanding = r, tc.out[i]
 		}
-		w.level(0, tc.demand)
+		w.levelShares(0, tc.demand)
 		for i := range tc.rate {
 			got = append(got, math.Round(w.servers[fmt.Sprint(i)].share*10)/10)
 		}
@@ -163,38 +163,38 @@
 	}
 }
 
-// TestEven: one sender's set-ups lie by the weights, many senders' first ones lie apart, and the
+// TestSetupsFollowWeights: one sender's set-ups lie by the weights, many senders' first ones lie apart, and the
 // few that each sends lie more evenly together than independent draws would.
-func TestEven(t *testing.T) {
+func TestSetupsFollowWeights(t *testing.T) {
 	weights := map[string]float64{}
-	whole := 0.0
+	totalWeight := 0.0
 	for i := range 24 {
 		weights[fmt.Sprint("s", i)] = float64(1 + i%4)
-		whole += float64(1 + i%4)
+		totalWeight += float64(1 + i%4)
 	}
-	all := map[string]int{}
+	allSent := map[string]int{}
 	for rank := range 300 {
 		s := New(Config{Rank: rank, Senders: 300, Seed: 1})
 		for range 7 {
-			all[pick(s, weights)]++
+			allSent[sendInPriorityOrder(s, weights)]++
 		}
 	}
 	chi := 0.0
 	for id, w := range weights {
-		due := 300 * 7 * w / whole
-		chi += (float64(all[id]) - due) * (float64(all[id]) - due) / due
+		expected := 300 * 7 * w / totalWeight
+		chi += (float64(allSent[id]) - expected) * (float64(allSent[id]) - expected) / expected
 	}
-	assert.Less(t, chi/23, 1.0, "%v", all)
-	s, one := New(Config{Senders: 300}), map[string]int{}
+	assert.Less(t, chi/23, 1.0, "%v", allSent)
+	s, sentByOne := New(Config{Senders: 300}), map[string]int{}
 	for range 600 {
-		one[pick(s, weights)]++
+		sentByOne[sendInPriorityOrder(s, weights)]++
 	}
 	for id, w := range weights {
-		assert.InDelta(t, 600*w/whole, one[id], 2, id)
+		assert.InDelta(t, 600*w/totalWeight, sentByOne[id], 2, id)
 	}
 }
 
-func pick(s *State, weights map[string]float64) (best string) {
+func sendInPriorityOrder(s *State, weights map[string]float64) (best string) {
 	var ids []string
 	most := math.Inf(-1)
 	for id := range weights {
@@ -202,37 +202,37 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if o := s.Order(0, id, new(Seat), weights[id]); o > most {
+		if o := s.Priority(0, id, new(ServerRef), weights[id]); o > most {
 			best, most = id, o
 		}
 	}
-	s.Sent(0, best, true)
+	s.RecordSent(0, best, true)
 	return best
 }
 
-// TestViews: a view follows its summary, an old one is passed over, and without news for some
+// TestStaleViewsAndSilentSteward: a view follows its summary, an old one is passed over, and without news for some
 // periods the sender goes on alone and turns to the next steward.
-func TestViews(t *testing.T) {
+func TestStaleViewsAndSilentSteward(t *testing.T) {
 	s := New(Config{Name: "a", Life: 7, Senders: 2})
-	s.Alive([]string{"a", "b", "c"})
-	s.Listed("s", true)
+	s.SetAlive([]string{"a", "b", "c"})
+	s.UpdateServer("s", true)
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: 2})
-	w.Listed(0, "s", true)
+	w.UpdateServer(0, "s", true)
 	for i := range 4 {
-		v, ok := w.Hear(Time(i)*500*ms, s.Summary(Time(i)*500*ms, "w"))
+		v, ok := w.HandleSummary(Time(i)*500*ms, s.BuildSummary(Time(i)*500*ms, "w"))
 		require.True(t, ok)
-		s.Hear(Time(i)*500*ms, v)
+		s.HandleView(Time(i)*500*ms, v)
 	}
-	assert.True(t, s.Follows(1500*ms))
+	assert.True(t, s.FollowsView(1500*ms))
 	stale := *s.view
 	stale.From.Seq--
 	stale.Senders = 99
-	s.Hear(1600*ms, stale)
+	s.HandleView(1600*ms, stale)
 	assert.NotEqual(t, 99, s.view.Senders)
-	first := s.Steward(1600 * ms)
-	assert.NotEqual(t, first, s.Steward(4*time.Second), "the next, where the first is silent")
-	s.Look(5 * time.Second)
-	assert.False(t, s.Follows(5*time.Second))
+	first := s.CurrentSteward(1600 * ms)
+	assert.NotEqual(t, first, s.CurrentSteward(4*time.Second), "the next, where the first is silent")
+	s.ExpireView(5 * time.Second)
+	assert.False(t, s.FollowsView(5*time.Second))
 }
 
 // BenchmarkOrder is the cost of one choice among 24 servers.
@@ -242,52 +242,52 @@
 	for i := range 24 {
 		ids = append(ids, fmt.Sprint("s", i))
 	}
-	seats := make([]Seat, len(ids))
+	seats := make([]ServerRef, len(ids))
 	b.ReportAllocs()
 	for b.Loop() {
 		for i, id := range ids {
-			s.Order(0, id, &seats[i], float64(i+1))
+			s.Priority(0, id, &seats[i], float64(i+1))
 		}
-		s.Sent(0, ids[0], true)
+		s.RecordSent(0, ids[0], true)
 	}
 }
 
-// TestOver: nothing is held back until servers together can't take the demand, nor for queues that
+// TestExcessShare: nothing is held back until servers together can't take the demand, nor for queues that
 // do no harm; a server of which nothing is known holds nothing back.
-func TestOver(t *testing.T) {
+func TestExcessShare(t *testing.T) {
 	for _, tc := range []struct {
 		rate, out, demand, want float64
 	}{{10, 0, 9, 0}, {10, 6, 10, 0}, {10, 0, 20, 0.5}, {10, 21, 10, 1}, {0, 50, 10, 0}} {
 		w := NewSteward(Config{Senders: 3})
-		j := w.joint(0, "s")
-		j.rate, j.out = tc.rate, tc.out
-		assert.InDelta(t, tc.want, w.over(tc.demand), 1e-9, "%+v", tc)
+		j := w.getOrCreate(0, "s")
+		j.capacity, j.outstanding = tc.rate, tc.out
+		assert.InDelta(t, tc.want, w.excessShare(tc.demand), 1e-9, "%+v", tc)
 	}
 }
 
-// TestJoint: what is unanswered adds up over senders, whatever is lost or doubled, and a sender that
+// TestOutstandingOverAllSenders: what is unanswered adds up over senders, whatever is lost or doubled, and a sender that
 // dies or begins a new life takes its own off.
-func TestJoint(t *testing.T) {
+func TestOutstandingOverAllSenders(t *testing.T) {
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: 2})
-	w.Listed(0, "s", true)
-	tell := func(now Time, name string, life int64, seq, sent, done uint64) bool {
-		_, ok := w.Hear(now, Summary{From: Stamp{name, life, seq}, Counts: []Count{{Server: "s", Sent: sent, Done: done}}})
+	w.UpdateServer(0, "s", true)
+	send := func(now Time, name string, life int64, seq, sent, done uint64) bool {
+		_, ok := w.HandleSummary(now, Summary{From: Stamp{name, life, seq}, Counts: []Count{{Server: "s", Sent: sent, Done: done}}})
 		return ok
 	}
-	out := func() float64 { return w.servers["s"].out }
-	require.True(t, tell(0, "a", 1, 1, 5, 2))
-	require.True(t, tell(0, "b", 1, 1, 4, 4))
-	assert.EqualValues(t, 3, out())
-	require.True(t, tell(100*ms, "a", 1, 3, 9, 7)) // the second was lost
-	assert.False(t, tell(200*ms, "a", 1, 2, 6, 3), "and comes late")
-	assert.False(t, tell(200*ms, "a", 1, 3, 9, 7), "and the third twice")
-	assert.EqualValues(t, 2, out())
-	require.True(t, tell(300*ms, "a", 1, 4, 1, 0)) // counts never go back
-	assert.EqualValues(t, 2, out())
-	require.True(t, tell(400*ms, "a", 2, 1, 1, 0))
-	assert.EqualValues(t, 1, out(), "a new life has its own set-ups alone")
-	require.True(t, tell(5*time.Second, "b", 1, 2, 5, 4))
-	assert.EqualValues(t, 1, out(), "a was not heard for long")
+	outstanding := func() float64 { return w.servers["s"].outstanding }
+	require.True(t, send(0, "a", 1, 1, 5, 2))
+	require.True(t, send(0, "b", 1, 1, 4, 4))
+	assert.EqualValues(t, 3, outstanding())
+	require.True(t, send(100*ms, "a", 1, 3, 9, 7)) // the second was lost
+	assert.False(t, send(200*ms, "a", 1, 2, 6, 3), "and comes late")
+	assert.False(t, send(200*ms, "a", 1, 3, 9, 7), "and the third twice")
+	assert.EqualValues(t, 2, outstanding())
+	require.True(t, send(300*ms, "a", 1, 4, 1, 0)) // counts never go back
+	assert.EqualValues(t, 2, outstanding())
+	require.True(t, send(400*ms, "a", 2, 1, 1, 0))
+	assert.EqualValues(t, 1, outstanding(), "a new life has its own set-ups alone")
+	require.True(t, send(5*time.Second, "b", 1, 2, 5, 4))
+	assert.EqualValues(t, 1, outstanding(), "a was not heard for long")
 }
 
 // BenchmarkHear is a steward's work on one summary, of 300 senders to 24 servers.
@@ -296,7 +296,7 @@
 	var counts []Count
 	for i := range 24 {
 		id := fmt.Sprint("s", i)
-		w.Listed(0, id, true)
+		w.UpdateServer(0, id, true)
 		counts = append(counts, Count{Server: id, Seen: Seen{Lines: 100, Util: 0.7}})
 	}
 	b.ReportAllocs()
@@ -304,71 +304,71 @@
 		for c := range counts {
 			counts[c].Sent, counts[c].Done = uint64(i/300), uint64(i/300)
 		}
-		w.Hear(Time(i)*time.Millisecond, Summary{From: Stamp{fmt.Sprint("a", i%300), 1, uint64(i + 1)}, Demand: 1, Counts: slices.Clone(counts)})
+		w.HandleSummary(Time(i)*time.Millisecond, Summary{From: Stamp{fmt.Sprint("a", i%300), 1, uint64(i + 1)}, Demand: 1, Counts: slices.Clone(counts)})
 	}
 }
 
-// TestAllowance: a sender's choices follow its part of what a server takes; answers in time give
+// TestAllowanceAndFlowShare: a sender's choices follow its part of what a server takes; answers in time give
 // them back, so that an idle server is never closed to it, and late ones do not.
-func TestAllowance(t *testing.T) {
+func TestAllowanceAndFlowShare(t *testing.T) {
 	var slow, quick Allowance
 	sent := map[*Allowance]int{}
 	for i := range 200 { // 10 s, a call each 50 ms, a part of 1/10 of 20 a second
 		now := Time(i) * 50 * ms
 		for _, a := range []*Allowance{&slow, &quick} {
-			if a.Left(now, 0.1, 20, 0) >= 1 {
+			if a.Available(now, 0.1, 20, 0) >= 1 {
 				a.Spend()
-				a.Back(a == &quick, 1)
+				a.Refund(a == &quick, 1)
 				sent[a]++
 			}
 		}
 	}
-	assert.InDelta(t, 10*0.1*20*Grow, sent[&slow], 2)
+	assert.InDelta(t, 10*0.1*20*GrowthFactor, sent[&slow], 2)
 	assert.Greater(t, sent[&quick], 180)
-	var p Part
+	var p FlowShare
 	assert.InDelta(t, 0.25/300, p.Of(0, 100, 300), 1e-9, "one without calls is not shut out")
 	for i := range 300 {
-		p.Stood(Time(i) * 100 * ms)
+		p.RecordStood(Time(i) * 100 * ms)
 	}
 	assert.InDelta(t, 0.1, p.Of(30*time.Second, 100, 300), 0.01)
 }
 
-// TestLines: lines that are short for all senders together, and the gap for one sender's part.
-func TestLines(t *testing.T) {
-	l := Lines{Total: 100, Busy: 60, Flow: 6, Hold: 10, At: 0}
-	assert.False(t, l.Short(time.Second, Pace(time.Second)))
+// TestFreeLines: lines that are short for all senders together, and the gap for one sender's part.
+func TestFreeLines(t *testing.T) {
+	l := Lines{Total: 100, Busy: 60, Flow: 6, Hold: 10, ReportedAt: 0}
+	assert.False(t, l.NearlyFull(time.Second, ReportInterval(time.Second)))
 	l.Busy = 97
-	assert.True(t, l.Short(time.Second, Pace(time.Second)), "all may send 1 + 2 roots of 6 unseen")
-	l.Busy, l.Out = 10, true
-	assert.True(t, l.Short(0, 0), "it had none")
-	assert.InDelta(t, float64(30*time.Second), float64(l.Gap(300)), 1e6)
-	assert.True(t, math.IsInf(SpareLines(0, 0, 0, 0, 0, 0), 1))
+	assert.True(t, l.NearlyFull(time.Second, ReportInterval(time.Second)), "all may send 1 + 2 roots of 6 unseen")
+	l.Busy, l.Exhausted = 10, true
+	assert.True(t, l.NearlyFull(0, 0), "it had none")
+	assert.InDelta(t, float64(30*time.Second), float64(l.FreeInterval(300)), 1e6)
+	assert.True(t, math.IsInf(SpareRate(0, 0, 0, 0, 0, 0), 1))
 }
 
-// TestPeriodsDiffer: where periods differ or change, a right is lent for what its sender said, and
+// TestLoansAndGrantsWithDifferentPeriods: where periods differ or change, a right is lent for what its sender said, and
 // a grant holds no longer than its steward counts on.
-func TestPeriodsDiffer(t *testing.T) {
+func TestLoansAndGrantsWithDifferentPeriods(t *testing.T) {
 	const short, long = 100 * ms, 2 * time.Second
-	meet := func(sender, steward time.Duration) (*State, *Steward) { // lends at 10 ms by a view of 0
+	lendOnce := func(sender, steward time.Duration) (*State, *Steward) { // lends at 10 ms by a view of 0
 		s := New(Config{Name: "a", Life: 1, Senders: 1, Period: sender})
 		w := NewSteward(Config{Name: "w", Life: 1, Senders: 1, Period: steward})
-		s.Listed("s", true)
-		w.Cold(0, "s", 8)
+		s.UpdateServer("s", true)
+		w.SetColdRate(0, "s", 8)
 		for _, now := range []Time{0, 10 * ms} {
-			v, ok := w.Hear(now, s.Summary(now, "w"))
+			v, ok := w.HandleSummary(now, s.BuildSummary(now, "w"))
 			require.True(t, ok)
-			s.Hear(now, v)
+			s.HandleView(now, v)
 		}
 		return s, w
 	}
-	s, w := meet(short, long)
-	assert.Zero(t, w.held(10*ms), "the sender has its right back before a grant of it would end")
-	assert.False(t, s.lentOut(500*ms))
-	s, w = meet(long, short)
-	assert.EqualValues(t, 1, w.held(10*ms))
-	s.remember(20*ms, 9)
-	s.grant(20*ms, s.get("s"), 1, 9, short)
-	assert.Equal(t, 220*ms, s.get("s").grants[0].until, "the steward's period, not its own")
+	s, w := lendOnce(short, long)
+	assert.Zero(t, w.lentShare(10*ms), "the sender has its right back before a grant of it would end")
+	assert.False(t, s.rightsLent(500*ms))
+	s, w = lendOnce(long, short)
+	assert.EqualValues(t, 1, w.lentShare(10*ms))
+	s.recordSummary(20*ms, 9)
+	s.addGrant(20*ms, s.getOrCreate("s"), 1, 9, short)
+	assert.Equal(t, 220*ms, s.getOrCreate("s").grants[0].until, "the steward's period, not its own")
 	s.SetPeriod(short)
-	assert.True(t, s.lentOut(7*time.Second), "lent for what it was lent for")
+	assert.True(t, s.rightsLent(7*time.Second), "lent for what it was lent for")
 }
--- a/spread/view.go
+++ b/spread/view.go
@@ -74,13 +74,13 @@
 
 // StewardAt names who of those alive is to be told, by rendezvous hashing (Thaler and
 // Ravishankar 1998): place 0 is the first, and the next follow where it is silent.
-func StewardAt(alive []string, place int) string { return Rendezvous(alive, stewardKey, place) }
+func StewardAt(alive []string, rank int) string { return Rendezvous(alive, stewardKey, rank) }
 
 // stewardKey orders senders that are steward themselves.
 const stewardKey = "steward"
 
 // Rendezvous is the name at a place of the order that a key gives to names.
-func Rendezvous(names []string, key string, place int) string {
+func Rendezvous(names []string, key string, rank int) string {
 	if len(names) == 0 {
 		return ""
 	}
@@ -95,188 +95,188 @@
 	slices.SortFunc(all, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 	})
-	return all[place%len(all)].name
+	return all[rank%len(all)].name
 }
 
-// Alive tells which senders are thought alive, this one among them.
-func (s *State) Alive(names []string) {
+// SetAlive tells which senders are thought alive, this one among them.
+func (s *State) SetAlive(names []string) {
 	if slices.Equal(names, s.alive) {
 		return
 	}
 	s.alive = names
-	for _, v := range s.servers {
-		v.placed = false
+	for _, server := range s.servers {
+		server.rankKnown = false
 	}
 }
 
-// place is this sender's place in the order that a server's id gives to all of them.
-func (s *State) place(id string, v *server) int {
-	if !v.placed {
+// rankFor is this sender's place in the order that a server's id gives to all of them.
+func (s *State) rankFor(id string, server *serverState) int {
+	if !server.rankKnown {
 		mine := score(id, s.cfg.Name)
-		v.placed, v.place = true, 0
-		for _, n := range s.alive {
-			if x := score(id, n); x > mine || x == mine && n < s.cfg.Name {
-				v.place++
+		server.rankKnown, server.rank = true, 0
+		for _, name := range s.alive {
+			if other := score(id, name); other > mine || other == mine && name < s.cfg.Name {
+				server.rank++
 			}
 		}
 	}
-	return v.place
+	return server.rank
 }
 
 func score(key, name string) uint64 {
-	var room [2 * mostName]byte
-	return xxhash.Sum64(append(append(append(room[:0], key...), 0), name...))
+	var buffer [2 * maxNameBytes]byte
+	return xxhash.Sum64(append(append(append(buffer[:0], key...), 0), name...))
 }
 
-// Steward is whom this sender tells now: the first in order or, where its views have not come
+// CurrentSteward is whom this sender tells now: the first in order or, where its views have not come
 // for some periods, the next.
-func (s *State) Steward(now Time) string {
-	if s.distant() {
-		return s.stewardOf(now)
+func (s *State) CurrentSteward(now Time) string {
+	if s.usesRemoteSteward() {
+		return s.chooseRemoteSteward(now)
 	}
-	place := 0
-	if late := now - s.viewAt; s.seq > 2 {
-		place = int(late / (silentPeriods * s.cfg.period()))
+	rank := 0
+	if silence := now - s.sharesAt; s.seq > 2 {
+		rank = int(silence / (stewardTimeoutPeriods * s.cfg.period()))
 	}
-	return StewardAt(s.alive, place)
+	return StewardAt(s.alive, rank)
 }
 
-// distant tells whether stewards are no senders.
-func (s *State) distant() bool { return len(s.cfg.Stewards) > 0 }
+// usesRemoteSteward tells whether stewards are no senders.
+func (s *State) usesRemoteSteward() bool { return len(s.cfg.Stewards) > 0 }
 
-// turn is which of Config.Stewards a sender tells. Nobody takes a dead machine off that list, as the
+// stewardChoice is which of Config.Stewards a sender tells. Nobody takes a dead machine off that list, as the
 // membership takes a dead sender off those alive. So a sender stays with the next one for as long as that
 // answers, and turns to the first again with one summary now and then; by its first answer it comes back.
 // All senders are back within that time. While they are not, two stewards hear some of them each, and
 // one that hears less than half tells nothing.
-type turn struct {
-	begun bool
-	place int
-	at    Time // it turned to whom it tells
-	tried Time // it last tried the first
+type stewardChoice struct {
+	started      bool
+	rank         int
+	since        Time // it turned to whom it tells
+	triedFirstAt Time // it last tried the first
 }
 
 const (
-	silentPeriods = 3 // a steward whose views have not come for so long is passed over for the next
-	tryPeriods    = 8 // and tried again so long after
+	stewardTimeoutPeriods = 3 // a steward whose views have not come for so long is passed over for the next
+	stewardRetryPeriods   = 8 // and tried again so long after
 )
 
-// stewardOf is Steward where Config.Stewards names them.
-func (s *State) stewardOf(now Time) string {
-	t := &s.turn
+// chooseRemoteSteward is Steward where Config.Stewards names them.
+func (s *State) chooseRemoteSteward(now Time) string {
+	choice := &s.stewardChoice
 	switch {
-	case !t.begun:
-		*t = turn{begun: true, at: now}
-	case now-max(s.heardAt, t.at) >= silentPeriods*s.cfg.period():
-		t.place = (t.place + 1) % len(s.cfg.Stewards)
-		t.at, t.tried = now, now
-	case t.place > 0 && (now-t.tried >= tryPeriods*s.cfg.period() || now == t.tried && now > t.at):
-		t.tried = now
-		return s.stewardAt(0)
-	}
-	return s.stewardAt(t.place)
+	case !choice.started:
+		*choice = stewardChoice{started: true, since: now}
+	case now-max(s.lastViewAt, choice.since) >= stewardTimeoutPeriods*s.cfg.period():
+		choice.rank = (choice.rank + 1) % len(s.cfg.Stewards)
+		choice.since, choice.triedFirstAt = now, now
+	case choice.rank > 0 && (now-choice.triedFirstAt >= stewardRetryPeriods*s.cfg.period() || now == choice.triedFirstAt && now > choice.since):
+		choice.triedFirstAt = now
+		return s.remoteStewardAt(0)
+	}
+	return s.remoteStewardAt(choice.rank)
 }
 
-func (s *State) stewardAt(place int) string {
-	return Rendezvous(s.cfg.Stewards, cmp.Or(s.cfg.Service, stewardKey), place)
+func (s *State) remoteStewardAt(rank int) string {
+	return Rendezvous(s.cfg.Stewards, cmp.Or(s.cfg.Service, stewardKey), rank)
 }
 
-// Summary words what this sender knows, for the steward that it names.
-func (s *State) Summary(now Time, steward string) Summary {
+// BuildSummary words what this sender knows, for the steward that it names.
+func (s *State) BuildSummary(now Time, steward string) Summary {
 	s.seq++
-	out := Summary{From: Stamp{s.cfg.Name, s.cfg.Life, s.seq}, Demand: s.demand.per(now), Period: s.cfg.period()}
+	summary := Summary{From: Stamp{s.cfg.Name, s.cfg.Life, s.seq}, Demand: s.demand.perSecond(now), Period: s.cfg.period()}
 	if s.view != nil && s.view.From.Name == steward {
-		out.Echo = s.view.From
-		out.Lends = s.lend(now, steward)
-	}
-	for id, v := range s.servers {
-		if v.up || v.sent > v.done {
-			c := Count{Server: id, Sent: v.sent, Done: v.done, Stood: v.stood, Seen: v.seen, Age: now - v.seenAt}
-			if s.distant() {
-				if c.Down = !v.up; v.up && v.cold(now) {
-					c.Cold = v.joint
+		summary.Echo = s.view.From
+		summary.Lends = s.lendRights(now, steward)
+	}
+	for id, server := range s.servers {
+		if server.up || server.sent > server.done {
+			count := Count{Server: id, Sent: server.sent, Done: server.done, Stood: server.stood, Seen: server.report, Age: now - server.reportAt}
+			if s.usesRemoteSteward() {
+				if count.Down = !server.up; server.up && server.isCold(now) {
+					count.Cold = server.jointColdRate
 				}
 			}
-			out.Counts = append(out.Counts, c)
+			summary.Counts = append(summary.Counts, count)
 		}
 	}
-	if s.distant() {
-		out.Senders = max(s.cfg.Senders, 1)
+	if s.usesRemoteSteward() {
+		summary.Senders = max(s.cfg.Senders, 1)
 	}
-	slices.SortFunc(out.Counts, func(a, b Count) int { return cmp.Compare(a.Server, b.Server) })
-	s.remember(now, s.seq)
-	return out
+	slices.SortFunc(summary.Counts, func(a, b Count) int { return cmp.Compare(a.Server, b.Server) })
+	s.recordSummary(now, s.seq)
+	return summary
 }
 
-// Hear takes a view, and tells whether it is news: one that is older than another heard before,
+// HandleView takes a view, and tells whether it is news: one that is older than another heard before,
 // or answers an earlier life of this sender, is passed over.
-func (s *State) Hear(now Time, v View) bool {
-	if v.Echo.Name != s.cfg.Name || v.Echo.Life != s.cfg.Life {
+func (s *State) HandleView(now Time, view View) bool {
+	if view.Echo.Name != s.cfg.Name || view.Echo.Life != s.cfg.Life {
 		return false
 	}
-	if s.view != nil && v.From.Name == s.view.From.Name && v.From.Life == s.view.From.Life && v.From.Seq <= s.view.From.Seq {
+	if s.view != nil && view.From.Name == s.view.From.Name && view.From.Life == s.view.From.Life && view.From.Seq <= s.view.From.Seq {
 		return false
 	}
-	s.view, s.heardAt = &v, now
+	s.view, s.lastViewAt = &view, now
 	// A distant steward that is unsure tells no shares, and what was told before holds on.
-	tells := !s.distant() || slices.ContainsFunc(v.Dues, func(d Due) bool { return d.Share > 0 })
-	if tells {
-		s.told, s.viewAt = true, now
+	hasShares := !s.usesRemoteSteward() || slices.ContainsFunc(view.Dues, func(d Due) bool { return d.Share > 0 })
+	if hasShares {
+		s.hasShares, s.sharesAt = true, now
 	}
-	at := s.summaries[v.Echo.Seq%uint64(len(s.summaries))]
-	if t := &s.turn; t.place > 0 && at.seq == v.Echo.Seq && at.at >= t.at && v.From.Name == s.stewardAt(0) {
-		t.place, t.at = 0, now // the first is there again
+	answered := s.recentSummaries[view.Echo.Seq%uint64(len(s.recentSummaries))]
+	if choice := &s.stewardChoice; choice.rank > 0 && answered.seq == view.Echo.Seq && answered.sentAt >= choice.since && view.From.Name == s.remoteStewardAt(0) {
+		choice.rank, choice.since = 0, now // the first is there again
 	}
-	named := map[string]bool{}
-	for _, d := range v.Dues {
-		if s.distant() && s.servers[d.Server] == nil {
+	inView := map[string]bool{}
+	for _, due := range view.Dues {
+		if s.usesRemoteSteward() && s.servers[due.Server] == nil {
 			continue // it is on no list of this sender's, and none is made of a view
 		}
-		named[d.Server] = true
-		o := s.get(d.Server)
-		if tells {
-			o.share, o.due = max(d.Share, 1e-6), d
-			o.due.Duty = d.Duty && at.seq == v.Echo.Seq && o.sentAt < at.at // it has not done it since
+		inView[due.Server] = true
+		server := s.getOrCreate(due.Server)
+		if hasShares {
+			server.share, server.due = max(due.Share, 1e-6), due
+			server.due.Duty = due.Duty && answered.seq == view.Echo.Seq && server.lastSentAt < answered.sentAt // it has not done it since
 		}
-		if d.Grant > 0 {
-			s.grant(now, o, d.Grant, v.Echo.Seq, v.Period)
+		if due.Grant > 0 {
+			s.addGrant(now, server, due.Grant, view.Echo.Seq, view.Period)
 		}
 	}
-	for id, o := range s.servers {
-		if tells && !named[id] {
-			o.share, o.due = 0, Due{}
+	for id, server := range s.servers {
+		if hasShares && !inView[id] {
+			server.share, server.due = 0, Due{}
 		}
 	}
 	return true
 }
 
-// idleMost is how long a healthy server may get nothing before one sender's next call is
+// maxIdle is how long a healthy server may get nothing before one sender's next call is
 // called for, and each next sender in order after a period more.
-const idleMost = time.Second
+const maxIdle = time.Second
 
-// onDuty tells whether this sender is the one whose next call an idle server gets.
-func (s *State) onDuty(now Time, id string, v *server) bool {
-	if s.distant() { // who is alive only the steward knows
-		return v.due.Duty && !v.cold(now) && v.sent == v.done
+// isOnDuty tells whether this sender is the one whose next call an idle server gets.
+func (s *State) isOnDuty(now Time, id string, server *serverState) bool {
+	if s.usesRemoteSteward() { // who is alive only the steward knows
+		return server.due.Duty && !server.isCold(now) && server.sent == server.done
 	}
-	if v.cold(now) || v.due.Idle == 0 || len(s.alive) == 0 {
+	if server.isCold(now) || server.due.Idle == 0 || len(s.alive) == 0 {
 		return false
 	}
-	idle := v.due.Idle + now - s.viewAt
-	if idle < idleMost {
+	idle := server.due.Idle + now - s.sharesAt
+	if idle < maxIdle {
 		return false
 	}
 	// Those before it may have no call just now; and once is enough.
-	return s.place(id, v) <= int((idle-idleMost)/s.cfg.period()) && v.sent == v.done
+	return s.rankFor(id, server) <= int((idle-maxIdle)/s.cfg.period()) && server.sent == server.done
 }
 
 // The bounds of a message.
 const (
-	mostServers = 4096
-	mostName    = 256
-	mostRate    = 1e9
-	mostPeriod  = time.Minute
-	mostSenders = 1 << 16
+	maxServers   = 4096
+	maxNameBytes = 256
+	maxNumber    = 1e9
+	maxPeriod    = time.Minute
+	maxSenders   = 1 << 16
 )
 
 // Valid names the first field of a summary that can't be used.
@@ -284,30 +284,30 @@
 	if err := s.From.valid("f"); err != nil {
 		return err
 	}
-	if err := figure("d", s.Demand); err != nil {
+	if err := checkNumber("d", s.Demand); err != nil {
 		return err
 	}
-	if s.Period < 0 || s.Period > mostPeriod {
+	if s.Period < 0 || s.Period > maxPeriod {
 		return fmt.Errorf("field p: %v", s.Period)
 	}
-	if s.Senders < 0 || s.Senders > mostSenders {
+	if s.Senders < 0 || s.Senders > maxSenders {
 		return fmt.Errorf("field n: %d senders", s.Senders)
 	}
-	if len(s.Counts) > mostServers {
+	if len(s.Counts) > maxServers {
 		return fmt.Errorf("field c: %d servers", len(s.Counts))
 	}
-	for i, c := range s.Counts {
-		at := fmt.Sprintf("c[%d].", i)
+	for i, count := range s.Counts {
+		prefix := fmt.Sprintf("c[%d].", i)
 		switch {
-		case c.Server == "" || len(c.Server) > mostName:
-			return fmt.Errorf("field %ss: %.40q", at, c.Server)
-		case c.Done > c.Sent || c.Stood > c.Done:
-			return fmt.Errorf("field %sd: %d of %d done, %d stood", at, c.Done, c.Sent, c.Stood)
-		case c.Age < 0:
-			return fmt.Errorf("field %sa: %v", at, c.Age)
+		case count.Server == "" || len(count.Server) > maxNameBytes:
+			return fmt.Errorf("field %ss: %.40q", prefix, count.Server)
+		case count.Done > count.Sent || count.Stood > count.Done:
+			return fmt.Errorf("field %sd: %d of %d done, %d stood", prefix, count.Done, count.Sent, count.Stood)
+		case count.Age < 0:
+			return fmt.Errorf("field %sa: %v", prefix, count.Age)
 		}
-		for name, x := range map[string]float64{"t": c.Lines, "u": max(c.Util, 0), "q": max(c.Wait, 0), "w": c.Cold} {
-			if err := figure(at+name, x); err != nil {
+		for name, value := range map[string]float64{"t": count.Lines, "u": max(count.Util, 0), "q": max(count.Wait, 0), "w": count.Cold} {
+			if err := checkNumber(prefix+name, value); err != nil {
 				return err
 			}
 		}
@@ -323,22 +323,22 @@
 	if !(v.Hold >= 0 && v.Hold <= 1) {
 		return fmt.Errorf("field h: %v", v.Hold)
 	}
-	if v.Period < 0 || v.Period > mostPeriod {
+	if v.Period < 0 || v.Period > maxPeriod {
 		return fmt.Errorf("field p: %v", v.Period)
 	}
-	if len(v.Dues) > mostServers {
+	if len(v.Dues) > maxServers {
 		return fmt.Errorf("field v: %d servers", len(v.Dues))
 	}
-	for i, d := range v.Dues {
-		at := fmt.Sprintf("v[%d].", i)
-		if d.Server == "" || len(d.Server) > mostName {
-			return fmt.Errorf("field %ss: %.40q", at, d.Server)
+	for i, due := range v.Dues {
+		prefix := fmt.Sprintf("v[%d].", i)
+		if due.Server == "" || len(due.Server) > maxNameBytes {
+			return fmt.Errorf("field %ss: %.40q", prefix, due.Server)
 		}
-		if d.Grant < 0 || d.Idle < 0 {
-			return fmt.Errorf("field %sg: %d, %v", at, d.Grant, d.Idle)
+		if due.Grant < 0 || due.Idle < 0 {
+			return fmt.Errorf("field %sg: %d, %v", prefix, due.Grant, due.Idle)
 		}
-		for name, x := range map[string]float64{"x": d.Share, "r": d.Rate, "o": d.Out} {
-			if err := figure(at+name, x); err != nil {
+		for name, value := range map[string]float64{"x": due.Share, "r": due.Rate, "o": due.Out} {
+			if err := checkNumber(prefix+name, value); err != nil {
 				return err
 			}
 		}
@@ -347,15 +347,15 @@
 }
 
 func (s Stamp) valid(field string) error {
-	if s.Name == "" || len(s.Name) > mostName || s.Seq == 0 {
+	if s.Name == "" || len(s.Name) > maxNameBytes || s.Seq == 0 {
 		return fmt.Errorf("field %s: %.40q, number %d", field, s.Name, s.Seq)
 	}
 	return nil
 }
 
-func figure(field string, x float64) error {
-	if !(x >= 0 && x <= mostRate) {
-		return fmt.Errorf("field %s: %v", field, x)
+func checkNumber(field string, value float64) error {
+	if !(value >= 0 && value <= maxNumber) {
+		return fmt.Errorf("field %s: %v", field, value)
 	}
 	return nil
 }
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -18,17 +18,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// standingPart is the part of the places, one in so many, that the standing set has.
-const standingPart = 2
+// preferredDivisor is the part of the places, one in so many, that the standing set has.
+const preferredDivisor = 2
 
-// Need tells what a server's place is asked for.
-type Need int
+// Purpose tells what a server's place is asked for.
+type Purpose int
 
 // The needs. A call, or a release that is owed, takes the place of whoever is idle longest. So does
 // a server of the standing set, but for one that was not reached lately: it takes what is free.
 const (
-	Ready Need = iota
-	Call
+	Standby Purpose = iota
+	ForCall
 )
 
 // Use is what a server's place is used for.
@@ -38,40 +38,40 @@
 }
 
 type server struct {
-	id       string
-	score    uint64
-	up       bool
-	standing bool
-	placed   bool
-	use      Use
-	since    time.Time // not pinned since
-	beside   int       // connections beyond its first
+	id         string
+	score      uint64
+	up         bool
+	preferred  bool
+	hasSlot    bool
+	use        Use
+	lastUsedAt time.Time // not pinned since
+	extra      int       // connections beyond its first
 }
 
 // Table is the places of one agent. It is not safe for concurrent use.
 type Table struct {
-	name    string
-	places  int
-	most    int           // connections to all servers
-	quiet   time.Duration // a place not pinned for so long may be taken
-	servers map[string]*server
-	held    int
-	beside  int
+	name           string
+	slots          int
+	maxConnections int           // connections to all servers
+	minIdle        time.Duration // a place not pinned for so long may be taken
+	servers        map[string]*server
+	held           int
+	extra          int
 }
 
 // New returns the table of the agent of this name: with so many connections at most, of which an
 // eighth is left for those beside a first one, and servers idle for so long making room for others.
 // most 0: there is no bound.
-func New(name string, most int, quiet time.Duration) *Table {
-	return &Table{name: name, most: most, places: max(most-most/besidePart, min(most, 1)), quiet: quiet, servers: map[string]*server{}}
+func New(name string, maxConnections int, minIdle time.Duration) *Table {
+	return &Table{name: name, maxConnections: maxConnections, slots: max(maxConnections-maxConnections/extraDivisor, min(maxConnections, 1)), minIdle: minIdle, servers: map[string]*server{}}
 }
 
-// besidePart is the part of the connections, one in so many, that those beside a first one may have
+// extraDivisor is the part of the connections, one in so many, that those beside a first one may have
 // where the list does not fit.
-const besidePart = 8
+const extraDivisor = 8
 
-// Listed notes a server of the list and whether it is up.
-func (t *Table) Listed(id string, up bool) {
+// Update notes a server of the list and whether it is up.
+func (t *Table) Update(id string, up bool) {
 	s := t.servers[id]
 	if s == nil {
 		s = &server{id: id, score: xxhash.Sum64String(t.name + "\x00" + id)}
@@ -80,18 +80,18 @@
 	s.up = up
 }
 
-// Forget drops a server, and its place with it.
-func (t *Table) Forget(id string) {
+// Remove drops a server, and its place with it.
+func (t *Table) Remove(id string) {
 	if s := t.servers[id]; s != nil {
-		t.leave(s)
-		t.beside -= s.beside
+		t.release(s)
+		t.extra -= s.extra
 		delete(t.servers, id)
 	}
 }
 
-// Settle finds the standing set after news of the list, or of a server that was not reached, and
+// UpdatePreferred finds the standing set after news of the list, or of a server that was not reached, and
 // tells who has come into it. One that was not reached stays in it, and the next in order stands in.
-func (t *Table) Settle() (gained []string) {
+func (t *Table) UpdatePreferred() (gained []string) {
 	up := make([]*server, 0, len(t.servers))
 	for _, s := range t.servers {
 		if s.up {
@@ -101,129 +101,129 @@
 	slices.SortFunc(up, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
 	})
-	n := len(up)
+	remaining := len(up)
 	if !t.Fits() {
-		n = max(t.places/standingPart, 1)
+		remaining = max(t.slots/preferredDivisor, 1)
 	}
-	was := map[*server]bool{}
+	wasPreferred := map[*server]bool{}
 	for _, s := range t.servers {
-		was[s], s.standing = s.standing, false
+		wasPreferred[s], s.preferred = s.preferred, false
 	}
 	for _, s := range up {
-		if n == 0 {
+		if remaining == 0 {
 			break
 		}
-		if s.standing = true; !was[s] {
+		if s.preferred = true; !wasPreferred[s] {
 			gained = append(gained, s.id)
 		}
 		if !s.use.Failed || t.Fits() {
-			n--
+			remaining--
 		}
 	}
 	return gained
 }
 
 // Fits tells whether each server may have a place.
-func (t *Table) Fits() bool { return t.most <= 0 || len(t.servers) <= t.places }
+func (t *Table) Fits() bool { return t.maxConnections <= 0 || len(t.servers) <= t.slots }
 
-// Figures are how many servers are listed and how many places there are, and are held.
-func (t *Table) Figures() (listed, places, held int) { return len(t.servers), t.places, t.held }
+// Stats are how many servers are listed and how many places there are, and are held.
+func (t *Table) Stats() (listed, slots, held int) { return len(t.servers), t.slots, t.held }
 
-// Has tells whether a server has a place.
-func (t *Table) Has(id string) bool {
+// HasSlot tells whether a server has a place.
+func (t *Table) HasSlot(id string) bool {
 	s := t.servers[id]
-	return s != nil && s.placed
+	return s != nil && s.hasSlot
 }
 
-// Standing tells whether a server is of the standing set.
-func (t *Table) Standing(id string) bool {
+// IsPreferred tells whether a server is of the standing set.
+func (t *Table) IsPreferred(id string) bool {
 	s := t.servers[id]
-	return s != nil && s.standing
+	return s != nil && s.preferred
 }
 
-// Take gives a server a place, pinned until it tells otherwise, unless none is to be had: a free one,
+// Acquire gives a server a place, pinned until it tells otherwise, unless none is to be had: a free one,
 // or that of the one idle longest, which is told (from). A server that has one keeps it.
-func (t *Table) Take(now time.Time, id string, need Need) (from string, ok bool) {
+func (t *Table) Acquire(now time.Time, id string, purpose Purpose) (evicted string, ok bool) {
 	s := t.servers[id]
-	if s == nil || need == Ready && !s.standing && !t.Fits() {
+	if s == nil || purpose == Standby && !s.preferred && !t.Fits() {
 		return "", false
 	}
-	if !s.placed && !t.Fits() && t.held >= t.places {
-		if need == Ready && s.use.Failed {
+	if !s.hasSlot && !t.Fits() && t.held >= t.slots {
+		if purpose == Standby && s.use.Failed {
 			return "", false
 		}
-		idle := t.idlest(now)
-		if idle == nil {
+		victim := t.victim(now)
+		if victim == nil {
 			return "", false
 		}
-		t.leave(idle)
-		from = idle.id
+		t.release(victim)
+		evicted = victim.id
 	}
-	if !s.placed {
-		s.placed = true
+	if !s.hasSlot {
+		s.hasSlot = true
 		t.held++
 	}
 	s.use.Pinned = true
-	return from, true
+	return evicted, true
 }
 
-// idlest is whose place may be taken first: one that was not reached, else the one not in use for
+// victim is whose place may be taken first: one that was not reached, else the one not in use for
 // the longest. The standing set keeps its places but for those that were not reached.
-func (t *Table) idlest(now time.Time) (least *server) {
+func (t *Table) victim(now time.Time) (victim *server) {
 	for _, s := range t.servers {
 		switch {
-		case !s.placed, s.use.Pinned:
-		case !s.use.Failed && (s.standing || now.Sub(s.since) < t.quiet):
-		case least == nil, s.before(least):
-			least = s
+		case !s.hasSlot, s.use.Pinned:
+		case !s.use.Failed && (s.preferred || now.Sub(s.lastUsedAt) < t.minIdle):
+		case victim == nil, s.evictedBefore(victim):
+			victim = s
 		}
 	}
-	return least
+	return victim
 }
 
-func (s *server) before(o *server) bool {
-	if s.use.Failed != o.use.Failed {
+func (s *server) evictedBefore(other *server) bool {
+	if s.use.Failed != other.use.Failed {
 		return s.use.Failed
 	}
-	return cmp.Or(s.since.Compare(o.since), cmp.Compare(s.id, o.id)) < 0
+	return cmp.Or(s.lastUsedAt.Compare(other.lastUsedAt), cmp.Compare(s.id, other.id)) < 0
 }
 
-// Used tells what a server's place is used for from now on. Where it has none, nothing changes.
-func (t *Table) Used(now time.Time, id string, use Use) {
+// SetUse tells what a server's place is used for from now on. Where it has none, nothing changes.
+func (t *Table) SetUse(now time.Time, id string, use Use) {
 	if s := t.servers[id]; s != nil {
-		s.use, s.since = use, now
+		s.use, s.lastUsedAt = use, now
 	}
 }
 
-// Leave gives a server's place back.
-func (t *Table) Leave(id string) {
+// Release gives a server's place back.
+func (t *Table) Release(id string) {
 	if s := t.servers[id]; s != nil {
-		t.leave(s)
+		t.release(s)
 	}
 }
 
-func (t *Table) leave(s *server) {
-	if s.placed {
-		s.placed, s.use.Pinned = false, false
+func (t *Table) release(s *server) {
+	if s.hasSlot {
+		s.hasSlot, s.use.Pinned = false, false
 		t.held--
 	}
 }
 
-// Another tells whether a connection beside a server's first may be opened, and counts it.
-func (t *Table) Another(id string) bool {
+// AddExtra tells whether a connection beside a server's first may be opened, and counts it.
+func (t *Table) AddExtra(id string) bool {
 	s := t.servers[id]
-	if s == nil || t.most > 0 && t.beside >= t.most-min(len(t.servers), t.places) {
+	if s == nil || t.maxConnections > 0 && t.extra >= t.maxConnections-min(len(t.servers), t.slots) {
 		return false
 	}
-	s.beside++
-	t.beside++
+	s.extra++
+	t.extra++
 	return true
 }
 
-// Beside tells how many connections a server has beyond its first.
-func (t *Table) Beside(id string, n int) {
+// SetExtra tells how many connections a server has beyond its first.
+func (t *Table) SetExtra(id string, count int) {
 	if s := t.servers[id]; s != nil {
-		t.beside += n - s.beside
-		s.beside = n
+		t.extra += count - s.extra
+		s.extra = count
 	}
 }
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-const quiet = time.Second
+const minIdle = time.Second
 
-func (t *Table) standing() (ids []string) {
+func (t *Table) preferredIDs() (ids []string) {
 	for id, s := range t.servers {
-		if s.standing {
+		if s.preferred {
 			ids = append(ids, id)
 		}
 	}
@@ -35,89 +35,89 @@
 	return n
 }
 
-// TestBounds: whatever comes, no more servers have a place than there are places, none in use and
+// TestTableInvariants: whatever comes, no more servers have a place than there are places, none in use and
 // none of the standing set that was reached loses its own, a call is turned away only where no place
 // is to be had, connections beside first ones leave room for those, and a change of the list moves
 // one reached server into the standing set and one out of it.
-func TestBounds(t *testing.T) {
+func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 40).Draw(t, "most")
-		table, now := New("a", most, quiet), time.Unix(0, 0)
+		maxConnections := rapid.IntRange(1, 40).Draw(t, "most")
+		table, now := New("a", maxConnections, minIdle), time.Unix(0, 0)
 		ids := rapid.SampledFrom([]string{"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "sa", "sb", "sc", "sd", "se", "sf", "sg", "sh", "si", "sj"})
-		whole := true // it fitted before
+		fitted := true // it fitted before
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
-			id, before := ids.Draw(t, "id"), table.standing()
+			id, before := ids.Draw(t, "id"), table.preferredIDs()
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1:
-				table.Listed(id, rapid.IntRange(0, 4).Draw(t, "up") > 0)
+				table.Update(id, rapid.IntRange(0, 4).Draw(t, "up") > 0)
 			case 2:
-				table.Forget(id)
+				table.Remove(id)
 			case 3:
-				table.Used(now, id, Use{Pinned: rapid.Bool().Draw(t, "pinned"), Failed: rapid.IntRange(0, 4).Draw(t, "failed") == 0})
+				table.SetUse(now, id, Use{Pinned: rapid.Bool().Draw(t, "pinned"), Failed: rapid.IntRange(0, 4).Draw(t, "failed") == 0})
 			case 4:
-				need := rapid.SampledFrom([]Need{Ready, Call}).Draw(t, "need")
-				was := map[string]server{}
+				purpose := rapid.SampledFrom([]Purpose{Standby, ForCall}).Draw(t, "need")
+				previous := map[string]server{}
 				for _, s := range table.servers {
-					was[s.id] = *s
+					previous[s.id] = *s
 				}
-				from, ok := table.Take(now, id, need)
-				if v := was[from]; from != "" {
-					require.True(t, ok && !table.Has(from) && !v.use.Pinned && (v.use.Failed || !v.standing && now.Sub(v.since) >= quiet), "%+v", v)
+				evicted, ok := table.Acquire(now, id, purpose)
+				if v := previous[evicted]; evicted != "" {
+					require.True(t, ok && !table.HasSlot(evicted) && !v.use.Pinned && (v.use.Failed || !v.preferred && now.Sub(v.lastUsedAt) >= minIdle), "%+v", v)
 				}
-				require.True(t, !ok || table.Has(id))
-				if s := table.servers[id]; s != nil && !ok && need == Call {
-					require.Nil(t, table.idlest(now), "somebody is idle")
-					require.GreaterOrEqual(t, table.held, table.places)
+				require.True(t, !ok || table.HasSlot(id))
+				if s := table.servers[id]; s != nil && !ok && purpose == ForCall {
+					require.Nil(t, table.victim(now), "somebody is idle")
+					require.GreaterOrEqual(t, table.held, table.slots)
 				}
 			case 5:
-				table.Leave(id)
+				table.Release(id)
 			case 6:
-				if table.Another(id) {
-					require.LessOrEqual(t, table.beside+min(len(table.servers), table.places), most)
+				if table.AddExtra(id) {
+					require.LessOrEqual(t, table.extra+min(len(table.servers), table.slots), maxConnections)
 				}
-				table.Beside(id, rapid.IntRange(0, 2).Draw(t, "beside"))
+				table.SetExtra(id, rapid.IntRange(0, 2).Draw(t, "beside"))
 			}
-			gained := table.Settle()
-			after := table.standing()
+			gained := table.UpdatePreferred()
+			after := table.preferredIDs()
 			require.Equal(t, len(gained), table.missing(before, after, false))
-			if !whole && !table.Fits() {
+			if !fitted && !table.Fits() {
 				require.LessOrEqual(t, max(table.missing(before, after, true), table.missing(after, before, true)), 1, "%v to %v", before, after)
 			}
-			whole = table.Fits()
+			fitted = table.Fits()
 			held := 0
 			for _, s := range table.servers {
-				if s.placed {
+				if s.hasSlot {
 					held++
 				}
 			}
 			require.Equal(t, held, table.held)
-			require.LessOrEqual(t, held, table.places)
-			if whole {
+			require.LessOrEqual(t, held, table.slots)
+			if fitted {
 				for _, s := range table.servers {
-					require.Equal(t, s.up, s.standing)
-					_, ok := table.Take(now, s.id, Ready)
+					require.Equal(t, s.up, s.preferred)
+					_, ok := table.Acquire(now, s.id, Standby)
 					require.True(t, ok, "where the list fits nobody is turned away")
-					table.Used(now, s.id, Use{})
+					table.SetUse(now, s.id, Use{})
 				}
 			}
 		}
 	})
 }
 
-// TestBalance: the standing sets of a fleet lie evenly over the servers, within what independent draws
+// TestPreferredSetsAreBalanced: the standing sets of a fleet lie evenly over the servers, within what independent draws
 // give (five standard deviations), and an agent more moves nothing at the others.
-func TestBalance(t *testing.T) {
+func TestPreferredSetsAreBalanced(t *testing.T) {
 	for _, size := range []struct{ agents, servers, most int }{{730, 730, 96}, {270, 730, 228}, {60, 300, 96}} {
 		degree := map[string]int{}
 		k := 0
 		for a := range size.agents {
-			table := New(fmt.Sprint("agent-", a), size.most, quiet)
+			table := New(fmt.Sprint("agent-", a), size.most, minIdle)
 			for s := range size.servers {
-				table.Listed(fmt.Sprint("s-", s), true)
+				table.Update(fmt.Sprint("s-", s), true)
 			}
-			k = len(table.Settle())
-			for _, id := range table.standing() {
+			k = len(table.UpdatePreferred())
+			for _, id := range table.preferredIDs() {
 				degree[id]++
 			}
 		}
@@ -130,40 +130,40 @@
 	}
 }
 
-// TestOrder: a call takes the place of a server that was not reached, else of the one idle longest;
+// TestEvictionOrder: a call takes the place of a server that was not reached, else of the one idle longest;
 // never that of one in use or idle for less than the quiet time.
-func TestOrder(t *testing.T) {
-	table, now := New("a", 5, quiet), time.Unix(100, 0) // five places, two of them standing
+func TestEvictionOrder(t *testing.T) {
+	table, now := New("a", 5, minIdle), time.Unix(100, 0) // five places, two of them standing
 	for i := range 10 {
-		table.Listed(fmt.Sprint("s", i), true)
+		table.Update(fmt.Sprint("s", i), true)
 	}
-	standing := table.Settle()
-	require.Len(t, standing, 2)
+	preferred := table.UpdatePreferred()
+	require.Len(t, preferred, 2)
 	var others []string
 	for i := range 10 {
-		if id := fmt.Sprint("s", i); !slices.Contains(standing, id) {
+		if id := fmt.Sprint("s", i); !slices.Contains(preferred, id) {
 			others = append(others, id)
 		}
 	}
-	for _, id := range append(slices.Clone(standing), others[:3]...) {
-		_, ok := table.Take(now, id, Call)
+	for _, id := range append(slices.Clone(preferred), others[:3]...) {
+		_, ok := table.Acquire(now, id, ForCall)
 		require.True(t, ok)
 	}
 	take := func(id string) string {
-		from, ok := table.Take(now, id, Call)
-		require.Equal(t, from != "", ok)
-		return from
+		evicted, ok := table.Acquire(now, id, ForCall)
+		require.Equal(t, evicted != "", ok)
+		return evicted
 	}
 	assert.Empty(t, take(others[3]), "all are in use")
 	for i, id := range others[:3] {
-		table.Used(now.Add(time.Duration(-i)*time.Millisecond), id, Use{})
+		table.SetUse(now.Add(time.Duration(-i)*time.Millisecond), id, Use{})
 	}
-	table.Used(now.Add(-time.Hour), standing[0], Use{})
+	table.SetUse(now.Add(-time.Hour), preferred[0], Use{})
 	assert.Empty(t, take(others[3]), "idle just now, or standing")
-	now = now.Add(quiet)
+	now = now.Add(minIdle)
 	assert.Equal(t, others[2], take(others[3]))
-	table.Used(now, standing[1], Use{Failed: true})
-	assert.Equal(t, standing[1], take(others[4]))
-	assert.Len(t, table.Settle(), 1, "the next in order stands in")
-	assert.True(t, table.Standing(standing[1]), "and it stays in it")
+	table.SetUse(now, preferred[1], Use{Failed: true})
+	assert.Equal(t, preferred[1], take(others[4]))
+	assert.Len(t, table.UpdatePreferred(), 1, "the next in order stands in")
+	assert.True(t, table.IsPreferred(preferred[1]), "and it stays in it")
 }
