--- a/failover/bench_test.go
+++ b/failover/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// summaries are those of n agents in five zones, each of which sees all five.
-func summaries(n int) (Topology, []Summary) {
+// testSummaries are those of n agents in five zones, each of which sees all five.
+func testSummaries(n int) (Topology, []Summary) {
 	t := Topology{Zones: []Zone{{"z0", "a"}, {"z1", "a"}, {"z2", "b"}, {"z3", "b"}, {"z4", "b"}}}
 	var all []Summary
 	for i := range n {
@@ -25,11 +25,11 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 27, 100, 300, 730, 1460} {
 		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
-			t, all := summaries(n)
+			t, all := testSummaries(n)
 			var p Plan
 			b.ReportAllocs()
 			for b.Loop() {
-				p, _ = Decide(p, t, Defaults, Look(all, 0, second), second, "d")
+				p, _ = Decide(p, t, Defaults, Aggregate(all, 0, secondUs), secondUs, "d")
 			}
 			s, _ := json.Marshal(all[0])
 			plan, _ := json.Marshal(p)
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -13,10 +13,10 @@
 
 // The modes, from the calmest on.
 const (
-	Local    Mode = "local"    // all at home
-	Spill    Mode = "spill"    // what home can't carry goes to zones of the region
-	Evacuate Mode = "evacuate" // home is lost: all of it goes to zones of the region
-	Region   Mode = "region"   // the region's zones can't carry its load: some leaves the region
+	ModeLocal    Mode = "local"    // all at home
+	ModeSpill    Mode = "spill"    // what home can't carry goes to zones of the region
+	ModeEvacuate Mode = "evacuate" // home is lost: all of it goes to zones of the region
+	ModeRegion   Mode = "region"   // the region's zones can't carry its load: some leaves the region
 )
 
 // Share is a part of a zone's calls, in (0, 1], that goes to another zone.
@@ -34,8 +34,8 @@
 	Caps map[string]float64 `json:"caps,omitempty"`
 }
 
-// away is the part of the zone's calls that leaves it, before caps.
-func (p Placement) away() (sum float64) {
+// awayShare is the part of the zone's calls that leaves it, before caps.
+func (p Placement) awayShare() (sum float64) {
 	for _, s := range p.Shares {
 		sum += s.Part
 	}
@@ -73,16 +73,16 @@
 // Decide gives the plan that follows prev; changed is false where prev stays in force. Equal
 // arguments give equal plans, whoever decides.
 func Decide(prev Plan, t Topology, s Settings, v View, nowUs int64, by string) (next Plan, changed bool) {
-	d := decision{t: t, s: s, v: v, nowUs: nowUs, states: map[string]State{}, room: map[string]float64{}}
+	d := decision{topology: t, settings: s, view: v, nowUs: nowUs, states: map[string]State{}, freeCapacity: map[string]float64{}}
 	for _, z := range t.Zones {
-		d.states[z.Name] = d.state(z.Name, prev.States[z.Name])
+		d.states[z.Name] = d.nextState(z.Name, prev.States[z.Name])
 	}
 	for _, z := range t.Zones {
-		d.room[z.Name] = d.usable(z.Name)
+		d.freeCapacity[z.Name] = d.usableCapacity(z.Name)
 	}
-	next = Plan{Epoch: prev.Epoch, AtUs: prev.AtUs, By: prev.By, States: d.states, Zones: d.place()}
+	next = Plan{Epoch: prev.Epoch, AtUs: prev.AtUs, By: prev.By, States: d.states, Zones: d.placeAll()}
 	for zone, p := range next.Zones {
-		if was, ok := prev.Zones[zone]; ok && s.alike(was, p) {
+		if was, ok := prev.Zones[zone]; ok && s.similar(was, p) {
 			next.Zones[zone] = was
 		}
 	}
@@ -96,51 +96,51 @@
 
 // decision is one run of Decide.
 type decision struct {
-	t      Topology
-	s      Settings
-	v      View
-	nowUs  int64
-	states map[string]State
-	room   map[string]float64 // calls a second that a zone still takes
-	short  map[string]float64 // calls a second of a zone that found no room
+	topology     Topology
+	settings     Settings
+	view         View
+	nowUs        int64
+	states       map[string]State
+	freeCapacity map[string]float64 // calls a second that a zone still takes
+	unplaced     map[string]float64 // calls a second of a zone that found no room
 }
 
-// state follows a zone's health. Without news of it the state stays: silence of its viewers
+// nextState follows a zone's health. Without news of it the state stays: silence of its viewers
 // is no proof against a zone.
-func (d *decision) state(zone string, was State) State {
-	h, seen := d.v.best(zone)
+func (d *decision) nextState(zone string, was State) State {
+	h, seen := d.view.bestHealth(zone)
 	if !seen {
 		return was
 	}
-	if h.Up < d.s.LostAt || h.Failing > 1-d.s.LostAt {
+	if h.Up < d.settings.LostAt || h.Failing > 1-d.settings.LostAt {
 		return State{Lost: true, BackUs: was.BackUs}
 	}
 	if was.HealthyUs == 0 {
 		was.HealthyUs = d.nowUs
 	}
-	if was.Lost && d.nowUs-was.HealthyUs >= d.s.DwellUs {
+	if was.Lost && d.nowUs-was.HealthyUs >= d.settings.DwellUs {
 		was.Lost, was.BackUs = false, d.nowUs
 	}
 	return was
 }
 
-// usable is the calls a second that a zone may be planned to take, with the margin left free.
+// usableCapacity is the calls a second that a zone may be planned to take, with the margin left free.
 // An unknown capacity is no bound, unless tries there meet "full": then what it takes now is.
-func (d *decision) usable(zone string) float64 {
+func (d *decision) usableCapacity(zone string) float64 {
 	if d.states[zone].Lost {
 		return 0
 	}
-	h, _ := d.v.best(zone)
+	h, _ := d.view.bestHealth(zone)
 	room := math.Inf(1)
 	if h.Capacity > 0 {
-		room = h.Capacity * (1 - d.s.Margin)
+		room = h.Capacity * (1 - d.settings.Margin)
 	}
-	if h.Full > d.s.FullAt {
-		room = min(room, d.v.load(zone)*(1-h.Full))
+	if h.Full > d.settings.FullAt {
+		room = min(room, d.view.totalLoad(zone)*(1-h.Full))
 	}
-	if back := d.states[zone].BackUs; back > 0 && d.s.RampUs > 0 && !math.IsInf(room, 1) {
-		warm := float64(d.nowUs-back) / float64(d.s.RampUs)
-		room *= min(1, d.s.RampFrom+(1-d.s.RampFrom)*warm)
+	if back := d.states[zone].BackUs; back > 0 && d.settings.RampUs > 0 && !math.IsInf(room, 1) {
+		warm := float64(d.nowUs-back) / float64(d.settings.RampUs)
+		room *= min(1, d.settings.RampFrom+(1-d.settings.RampFrom)*warm)
 	}
 	return room
 }
@@ -151,66 +151,66 @@
 	if d.states[to].Lost {
 		return false
 	}
-	if h, ok := d.v.at(from, to); ok {
-		return h.Up >= d.s.LostAt && h.Failing <= 1-d.s.LostAt
+	if h, ok := d.view.healthSeenBy(from, to); ok {
+		return h.Up >= d.settings.LostAt && h.Failing <= 1-d.settings.LostAt
 	}
 	return true
 }
 
-// move is room that one zone has for another's calls.
-type move struct {
-	from, to string
-	cost     float64
-	abroad   int
+// zonePair is room that one zone has for another's calls.
+type zonePair struct {
+	from, to       string
+	cost           float64
+	regionsCrossed int
 }
 
-// place fills each zone with its own calls, then moves what is left over, nearest first over
+// placeAll fills each zone with its own calls, then moves what is left over, nearest first over
 // all zones alike: within regions, and across only what the regions could not take.
-func (d *decision) place() map[string]Placement {
+func (d *decision) placeAll() map[string]Placement {
 	zones := map[string]Placement{}
 	left, kept := map[string]float64{}, map[string]float64{}
 	sent := map[string][]Share{}
-	for _, z := range d.t.Zones {
+	for _, z := range d.topology.Zones {
 		load := d.demand(z.Name)
 		if d.reaches(z.Name, z.Name) {
-			kept[z.Name] = min(load, d.room[z.Name])
+			kept[z.Name] = min(load, d.freeCapacity[z.Name])
 		}
 		left[z.Name] = load - kept[z.Name]
-		d.room[z.Name] -= kept[z.Name]
+		d.freeCapacity[z.Name] -= kept[z.Name]
 	}
-	for _, m := range d.moves() {
-		n := min(left[m.from], d.room[m.to])
+	for _, m := range d.zonePairs() {
+		n := min(left[m.from], d.freeCapacity[m.to])
 		if n <= 0 {
 			continue
 		}
-		d.room[m.to] -= n
+		d.freeCapacity[m.to] -= n
 		left[m.from] -= n
 		sent[m.from] = append(sent[m.from], Share{m.to, n / d.demand(m.from)})
 	}
-	d.short = left
-	for _, z := range d.t.Zones {
+	d.unplaced = left
+	for _, z := range d.topology.Zones {
 		zones[z.Name] = d.placement(z.Name, kept[z.Name], sent[z.Name])
 	}
 	return zones
 }
 
-// trickle is the load of a zone that has none: it is placed, so that a next call has a way.
-const trickle = 1e-6
+// minDemandPerS is the load of a zone that has none: it is placed, so that a next call has a way.
+const minDemandPerS = 1e-6
 
-func (d *decision) demand(zone string) float64 { return max(d.v.load(zone), trickle) }
+func (d *decision) demand(zone string) float64 { return max(d.view.totalLoad(zone), minDemandPerS) }
 
-// moves are the pairs of zones in the order in which room is given: near ones before far ones,
+// zonePairs are the pairs of zones in the order in which room is given: near ones before far ones,
 // so that no zone's calls go past another's on the way out.
-func (d *decision) moves() (out []move) {
-	for _, a := range d.t.Zones {
-		for _, b := range d.t.Zones {
+func (d *decision) zonePairs() (out []zonePair) {
+	for _, a := range d.topology.Zones {
+		for _, b := range d.topology.Zones {
 			if a.Name != b.Name && d.reaches(a.Name, b.Name) {
-				out = append(out, move{a.Name, b.Name, d.t.far(a.Name, b.Name), d.t.abroad(a.Name, b.Name)})
+				out = append(out, zonePair{a.Name, b.Name, d.topology.cost(a.Name, b.Name), d.topology.regionsCrossed(a.Name, b.Name)})
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b move) int {
-		return cmp.Or(cmp.Compare(a.abroad, b.abroad), cmp.Compare(a.cost, b.cost), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
+	slices.SortFunc(out, func(a, b zonePair) int {
+		return cmp.Or(cmp.Compare(a.regionsCrossed, b.regionsCrossed), cmp.Compare(a.cost, b.cost), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
 	})
 	return out
 }
@@ -220,20 +220,20 @@
 // be reached, for the module there.
 func (d *decision) placement(zone string, kept float64, sent []Share) Placement {
 	home := d.reaches(zone, zone)
-	p := Placement{Mode: Local, Shares: sent}
+	p := Placement{Mode: ModeLocal, Shares: sent}
 	if !home {
-		p.Shares = d.complete(zone, sent)
+		p.Shares = d.sendRemainder(zone, sent)
 	}
 	switch {
-	case slices.ContainsFunc(p.Shares, func(s Share) bool { return d.t.abroad(zone, s.Zone) > 0 }):
-		p.Mode = Region
+	case slices.ContainsFunc(p.Shares, func(s Share) bool { return d.topology.regionsCrossed(zone, s.Zone) > 0 }):
+		p.Mode = ModeRegion
 	case len(p.Shares) > 0 && !home:
-		p.Mode = Evacuate
+		p.Mode = ModeEvacuate
 	case len(p.Shares) > 0:
-		p.Mode = Spill
+		p.Mode = ModeSpill
 	}
-	for class, most := range d.s.Budget {
-		if most < p.away() {
+	for class, most := range d.settings.Budget {
+		if most < p.awayShare() {
 			if p.Caps == nil {
 				p.Caps = map[string]float64{}
 			}
@@ -243,13 +243,13 @@
 	return p
 }
 
-// complete has the rest of a lost zone's calls go to its nearest reachable zone too.
-func (d *decision) complete(zone string, sent []Share) []Share {
-	rest := 1 - Placement{Shares: sent}.away()
+// sendRemainder has the rest of a lost zone's calls go to its nearest reachable zone too.
+func (d *decision) sendRemainder(zone string, sent []Share) []Share {
+	rest := 1 - Placement{Shares: sent}.awayShare()
 	if rest <= 1e-9 {
 		return sent
 	}
-	for _, to := range d.t.Nearest(zone) {
+	for _, to := range d.topology.Nearest(zone) {
 		if !d.reaches(zone, to) {
 			continue
 		}
@@ -264,9 +264,9 @@
 	return sent // nothing can be reached: home it is, and the module refuses
 }
 
-// alike tells whether a placement is near enough to the former one to leave that in force.
+// similar tells whether a placement is near enough to the former one to leave that in force.
 // Another mode or zone never is: a share that ends must end.
-func (s Settings) alike(was, now Placement) bool {
+func (s Settings) similar(was, now Placement) bool {
 	if was.Mode != now.Mode || len(was.Shares) != len(now.Shares) || !maps.Equal(was.Caps, now.Caps) {
 		return false
 	}
@@ -281,15 +281,15 @@
 // trades says plainly what is given up: calls that the budget keeps in a zone which can't
 // carry them, and calls that no zone has room for.
 func (d *decision) trades(zones map[string]Placement) (out []Trade) {
-	for _, z := range d.t.Zones {
+	for _, z := range d.topology.Zones {
 		p := zones[z.Name]
 		for _, class := range slices.Sorted(maps.Keys(p.Caps)) {
-			if n := d.v.Load[z.Name][class] * (p.away() - p.Caps[class]); n > 0 {
+			if n := d.view.Load[z.Name][class] * (p.awayShare() - p.Caps[class]); n > 0 {
 				out = append(out, Trade{Zone: z.Name, For: "budget", Class: class, PerSecond: round(n)})
 			}
 		}
-		if d.v.load(z.Name) > 0 && d.short[z.Name] > 1e-9 {
-			out = append(out, Trade{Zone: z.Name, For: "capacity", PerSecond: round(d.short[z.Name])})
+		if d.view.totalLoad(z.Name) > 0 && d.unplaced[z.Name] > 1e-9 {
+			out = append(out, Trade{Zone: z.Name, For: "capacity", PerSecond: round(d.unplaced[z.Name])})
 		}
 	}
 	return out
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -112,8 +112,8 @@
 	return ""
 }
 
-// far is the cost between two zones.
-func (t Topology) far(a, b string) float64 {
+// cost is the cost between two zones.
+func (t Topology) cost(a, b string) float64 {
 	for _, d := range t.Distances {
 		if d.Between == [2]string{a, b} || d.Between == [2]string{b, a} {
 			return d.Cost
@@ -137,12 +137,12 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b string) int {
-		return cmp.Or(cmp.Compare(t.abroad(zone, a), t.abroad(zone, b)), cmp.Compare(t.far(zone, a), t.far(zone, b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(t.regionsCrossed(zone, a), t.regionsCrossed(zone, b)), cmp.Compare(t.cost(zone, a), t.cost(zone, b)), cmp.Compare(a, b))
 	})
 	return out
 }
 
-func (t Topology) abroad(a, b string) int {
+func (t Topology) regionsCrossed(a, b string) int {
 	if t.Region(a) == t.Region(b) {
 		return 0
 	}
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-const second = 1_000_000
+const secondUs = 1_000_000
 
-// four zones in two regions; a1 and a2 are near each other, as are b1 and b2.
-var four = Topology{Zones: []Zone{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}},
+// testTopology zones in two regions; a1 and a2 are near each other, as are b1 and b2.
+var testTopology = Topology{Zones: []Zone{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}},
 	Distances: []Distance{{[2]string{"a1", "b2"}, 5}, {[2]string{"a2", "b1"}, 7}}}
 
-// world words a view: each zone's load and capacity, all servers up but in the zones named.
-func world(load, capacity map[string]float64, down ...string) View {
+// testView words a view: each zone's load and capacity, all servers up but in the zones named.
+func testView(load, capacity map[string]float64, down ...string) View {
 	var all []Summary
-	for _, z := range four.Zones {
+	for _, z := range testTopology.Zones {
 		s := Summary{Agent: z.Name, Zone: z.Name, Offered: map[string]float64{"voice": load[z.Name]}, Seen: map[string]Sight{}}
-		for _, o := range four.Zones {
+		for _, o := range testTopology.Zones {
 			s.Seen[o.Name] = Sight{Listed: 4, Up: 4, Capacity: capacity[o.Name]}
 		}
 		for _, d := range down {
@@ -27,14 +27,14 @@
 		}
 		all = append(all, s)
 	}
-	return Look(all, 0, second)
+	return Aggregate(all, 0, secondUs)
 }
 
-func each(n float64) map[string]float64 {
+func allZones(n float64) map[string]float64 {
 	return map[string]float64{"a1": n, "a2": n, "b1": n, "b2": n}
 }
 
-func with(m map[string]float64, zone string, n float64) map[string]float64 { m[zone] = n; return m }
+func withZone(m map[string]float64, zone string, n float64) map[string]float64 { m[zone] = n; return m }
 
 func TestDecide(t *testing.T) {
 	tight := Defaults
@@ -46,19 +46,19 @@
 		want string // a1's placement
 		for_ string // what is traded
 	}{
-		{"calm: all at home", Defaults, world(each(80), each(100)), "local []", ""},
-		{"capacity not known: all at home", Defaults, world(each(80), each(0)), "local []", ""},
-		{"over the margin: the rest to the region's other zone", Defaults, world(with(each(50), "a1", 100), each(100)), "spill [{a2 0.1}]", ""},
-		{"the region is full: the rest to the nearest of the other", Defaults, world(map[string]float64{"a1": 150, "a2": 80, "b1": 0, "b2": 0}, each(100)),
+		{"calm: all at home", Defaults, testView(allZones(80), allZones(100)), "local []", ""},
+		{"capacity not known: all at home", Defaults, testView(allZones(80), allZones(0)), "local []", ""},
+		{"over the margin: the rest to the region's other zone", Defaults, testView(withZone(allZones(50), "a1", 100), allZones(100)), "spill [{a2 0.1}]", ""},
+		{"the region is full: the rest to the nearest of the other", Defaults, testView(map[string]float64{"a1": 150, "a2": 80, "b1": 0, "b2": 0}, allZones(100)),
 			"region [{a2 0.067} {b2 0.333}]", ""},
-		{"home lost: all of it to the region's other zone", Defaults, world(each(40), each(100), "a1"), "evacuate [{a2 1}]", ""},
-		{"region lost: all of it to the nearest", Defaults, world(each(40), each(100), "a1", "a2"), "region [{b2 1}]", ""},
-		{"everything lost: home, and the module refuses", Defaults, world(each(40), each(100), "a1", "a2", "b1", "b2"), "local []", "[{a1 capacity  40} {a2 capacity  40} {b1 capacity  40} {b2 capacity  40}]"},
-		{"everything full: home", Defaults, world(each(100), each(100)), "local []", "[{a1 capacity  10} {a2 capacity  10} {b1 capacity  10} {b2 capacity  10}]"},
-		{"the budget keeps calls in a lost zone, and says so", tight, world(each(40), each(100), "a1"), "evacuate [{a2 1}] map[voice:0.1]", "[{a1 budget voice 36}]"},
+		{"home lost: all of it to the region's other zone", Defaults, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}]", ""},
+		{"region lost: all of it to the nearest", Defaults, testView(allZones(40), allZones(100), "a1", "a2"), "region [{b2 1}]", ""},
+		{"everything lost: home, and the module refuses", Defaults, testView(allZones(40), allZones(100), "a1", "a2", "b1", "b2"), "local []", "[{a1 capacity  40} {a2 capacity  40} {b1 capacity  40} {b2 capacity  40}]"},
+		{"everything full: home", Defaults, testView(allZones(100), allZones(100)), "local []", "[{a1 capacity  10} {a2 capacity  10} {b1 capacity  10} {b2 capacity  10}]"},
+		{"the budget keeps calls in a lost zone, and says so", tight, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}] map[voice:0.1]", "[{a1 budget voice 36}]"},
 	}
 	for _, c := range cases {
-		p, changed := Decide(Plan{}, four, c.s, c.v, second, "d")
+		p, changed := Decide(Plan{}, testTopology, c.s, c.v, secondUs, "d")
 		z := p.Zones["a1"]
 		for i := range z.Shares {
 			z.Shares[i].Part = round(z.Shares[i].Part)
@@ -80,61 +80,61 @@
 // TestDwell: a zone that flaps faster than the dwell gets nothing back; one that stays healthy
 // does after it, and its capacity ramps up.
 func TestDwell(t *testing.T) {
-	load, caps := each(40), each(100)
-	up, down := world(load, caps), world(load, caps, "a1")
-	p, _ := Decide(Plan{}, four, Defaults, up, 0, "d")
+	load, caps := allZones(40), allZones(100)
+	up, down := testView(load, caps), testView(load, caps, "a1")
+	p, _ := Decide(Plan{}, testTopology, Defaults, up, 0, "d")
 	epochs := p.Epoch
 	now := int64(0)
 	for range 5 { // down 2 s, up 8 s
-		p, _ = Decide(p, four, Defaults, down, now+second, "d")
+		p, _ = Decide(p, testTopology, Defaults, down, now+secondUs, "d")
 		for i := range int64(8) {
-			p, _ = Decide(p, four, Defaults, up, now+(3+i)*second, "d")
-			if p.Zones["a1"].Mode != Evacuate {
-				t.Fatalf("at %d s a flapping zone has calls again: %+v", now/second+3+i, p.Zones["a1"])
+			p, _ = Decide(p, testTopology, Defaults, up, now+(3+i)*secondUs, "d")
+			if p.Zones["a1"].Mode != ModeEvacuate {
+				t.Fatalf("at %d s a flapping zone has calls again: %+v", now/secondUs+3+i, p.Zones["a1"])
 			}
 		}
-		now += 10 * second
+		now += 10 * secondUs
 	}
 	if p.Epoch-epochs > 11 {
 		t.Errorf("%d epochs for five flaps", p.Epoch-epochs)
 	}
-	back, _ := Decide(p, four, Defaults, up, now+3*second, "d")
-	if a := back.Zones["a1"].away(); round(a) != 0.438 { // 22.5 of 40 at home: a quarter of 90
+	back, _ := Decide(p, testTopology, Defaults, up, now+3*secondUs, "d")
+	if a := back.Zones["a1"].awayShare(); round(a) != 0.438 { // 22.5 of 40 at home: a quarter of 90
 		t.Errorf("taken back at once for all but %.2f of its calls", a)
 	}
-	warm, _ := Decide(back, four, Defaults, up, now+30*second, "d")
-	if warm.Zones["a1"].Mode != Local {
+	warm, _ := Decide(back, testTopology, Defaults, up, now+30*secondUs, "d")
+	if warm.Zones["a1"].Mode != ModeLocal {
 		t.Errorf("warm and not local: %+v", warm.Zones["a1"])
 	}
 }
 
-// TestDecideHolds: what holds for every view. Equal arguments give equal plans; a plan decided
+// TestDecideInvariants: what holds for every view. Equal arguments give equal plans; a plan decided
 // again on the same view stays; nothing goes to a zone that is lost or not reached; a zone's
 // planned load stays within its room unless nowhere has any; and no call leaves its region
 // while the region has room.
-func TestDecideHolds(t *testing.T) {
+func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		load, caps := map[string]float64{}, map[string]float64{}
 		var down []string
-		for _, z := range four.Zones {
+		for _, z := range testTopology.Zones {
 			load[z.Name] = float64(rapid.IntRange(0, 200).Draw(t, "load"))
 			caps[z.Name] = float64(rapid.IntRange(1, 200).Draw(t, "capacity"))
 			if rapid.IntRange(0, 4).Draw(t, "down") == 0 {
 				down = append(down, z.Name)
 			}
 		}
-		v := world(load, caps, down...)
-		p, _ := Decide(Plan{}, four, Defaults, v, second, "d")
-		q, _ := Decide(Plan{}, four, Defaults, v, second, "d")
+		v := testView(load, caps, down...)
+		p, _ := Decide(Plan{}, testTopology, Defaults, v, secondUs, "d")
+		q, _ := Decide(Plan{}, testTopology, Defaults, v, secondUs, "d")
 		if !reflect.DeepEqual(p, q) {
 			t.Fatal("two decisions on one view differ")
 		}
-		if _, changed := Decide(p, four, Defaults, v, second, "e"); changed {
+		if _, changed := Decide(p, testTopology, Defaults, v, secondUs, "e"); changed {
 			t.Fatalf("decided anew without news: %+v", p)
 		}
 		into := map[string]float64{}
 		for zone, place := range p.Zones {
-			if a := place.away(); a < 0 || a > 1+1e-9 {
+			if a := place.awayShare(); a < 0 || a > 1+1e-9 {
 				t.Fatalf("%s sends %v away", zone, a)
 			}
 			for _, s := range place.Shares {
@@ -143,7 +143,7 @@
 				}
 				into[s.Zone] += s.Part * load[zone]
 			}
-			into[zone] += (1 - place.away()) * load[zone]
+			into[zone] += (1 - place.awayShare()) * load[zone]
 		}
 		short := map[string]float64{}
 		for _, tr := range p.Trades {
@@ -161,9 +161,9 @@
 		if over > total+0.01 {
 			t.Fatalf("%.1f a second planned over capacity, %.1f said to be short: %+v", over, total, p)
 		}
-		for _, z := range four.Zones {
-			for _, o := range four.Zones {
-				if z.Region == o.Region && p.Zones[z.Name].Mode == Region && !p.States[o.Name].Lost && into[o.Name] < caps[o.Name]*0.9-0.01 {
+		for _, z := range testTopology.Zones {
+			for _, o := range testTopology.Zones {
+				if z.Region == o.Region && p.Zones[z.Name].Mode == ModeRegion && !p.States[o.Name].Lost && into[o.Name] < caps[o.Name]*0.9-0.01 {
 					t.Fatalf("%s leaves its region while %s has room: %+v", z.Name, o.Name, p)
 				}
 			}
@@ -171,14 +171,14 @@
 	})
 }
 
-// TestLook: the median of a zone's viewers stands, whatever one of them says, and old words
+// TestAggregate: the median of a zone's viewers stands, whatever one of them says, and old words
 // do not count.
-func TestLook(t *testing.T) {
+func TestAggregate(t *testing.T) {
 	see := func(agent string, up int, at int64) Summary {
 		return Summary{Agent: agent, Zone: "a1", AtUs: at, Offered: map[string]float64{"voice": 2}, Seen: map[string]Sight{"a1": {Listed: 4, Up: up, Capacity: 50, Tries: 4, Full: 1}}}
 	}
 	failing := func(agent string, dead float64) Summary {
-		return Summary{Agent: agent, Zone: "a1", AtUs: 9 * second, Seen: map[string]Sight{"a1": {Listed: 4, Up: 4, Tries: 3, Dead: dead}}}
+		return Summary{Agent: agent, Zone: "a1", AtUs: 9 * secondUs, Seen: map[string]Sight{"a1": {Listed: 4, Up: 4, Tries: 3, Dead: dead}}}
 	}
 	for _, c := range []struct {
 		dead [3]float64
@@ -188,41 +188,41 @@
 		for i, d := range c.dead {
 			all = append(all, failing(fmt.Sprint(i), d))
 		}
-		if p, _ := Decide(Plan{}, four, Defaults, Look(all, 10*second, 5*second), second, "d"); p.States["a1"].Lost != c.lost {
+		if p, _ := Decide(Plan{}, testTopology, Defaults, Aggregate(all, 10*secondUs, 5*secondUs), secondUs, "d"); p.States["a1"].Lost != c.lost {
 			t.Errorf("dead tries %v: lost %v", c.dead, !c.lost)
 		}
 	}
-	v := Look([]Summary{see("1", 4, 9*second), see("2", 4, 9*second), see("deaf", 0, 9*second), see("old", 0, 0)}, 10*second, 5*second)
-	h, ok := v.at("a1", "a1")
-	if !ok || h.Up != 1 || h.Capacity != 50 || h.Full != 0.25 || v.Agents["a1"] != 3 || v.load("a1") != 6 {
-		t.Errorf("%+v, %d agents, load %v", h, v.Agents["a1"], v.load("a1"))
+	v := Aggregate([]Summary{see("1", 4, 9*secondUs), see("2", 4, 9*secondUs), see("deaf", 0, 9*secondUs), see("old", 0, 0)}, 10*secondUs, 5*secondUs)
+	h, ok := v.healthSeenBy("a1", "a1")
+	if !ok || h.Up != 1 || h.Capacity != 50 || h.Full != 0.25 || v.Agents["a1"] != 3 || v.totalLoad("a1") != 6 {
+		t.Errorf("%+v, %d agents, load %v", h, v.Agents["a1"], v.totalLoad("a1"))
 	}
 }
 
-// TestChoose: calls are shared as planned, a class's cap holds, and a larger share moves only
+// TestChooseZone: calls are shared as planned, a class's cap holds, and a larger share moves only
 // the calls it adds.
-func TestChoose(t *testing.T) {
+func TestChooseZone(t *testing.T) {
 	plan := func(part float64) Plan {
-		return Plan{Zones: map[string]Placement{"a1": {Mode: Spill, Shares: []Share{{"a2", part}}, Caps: map[string]float64{"group": 0.05}}}}
+		return Plan{Zones: map[string]Placement{"a1": {Mode: ModeSpill, Shares: []Share{{"a2", part}}, Caps: map[string]float64{"group": 0.05}}}}
 	}
 	n, capped := 0, 0
 	for i := range 20_000 {
 		call := fmt.Sprintf("%016x", i)
-		small, big := plan(0.2).Choose("a1", "voice", call), plan(0.3).Choose("a1", "voice", call)
+		small, big := plan(0.2).ChooseZone("a1", "voice", call), plan(0.3).ChooseZone("a1", "voice", call)
 		if small == "a2" {
 			n++
 			if big != "a2" {
 				t.Fatalf("call %s came home as more were sent away", call)
 			}
 		}
-		if plan(0.2).Choose("a1", "group", call) == "a2" {
+		if plan(0.2).ChooseZone("a1", "group", call) == "a2" {
 			capped++
 		}
 	}
 	if n < 3800 || n > 4200 || capped < 900 || capped > 1100 {
 		t.Errorf("%d of 20000 sent away, %d of the capped class", n, capped)
 	}
-	if z := plan(1).Choose("b1", "voice", "x"); z != "b1" {
+	if z := plan(1).ChooseZone("b1", "voice", "x"); z != "b1" {
 		t.Errorf("a zone without placement sends to %s", z)
 	}
 }
@@ -231,7 +231,7 @@
 	bad := Defaults
 	bad.Margin, bad.Budget = 1, map[string]float64{"voice": 2}
 	refused := append(bad.Check(), Topology{Zones: []Zone{{"a", ""}, {"b", "r"}, {"b", "r"}}, Distances: []Distance{{[2]string{"b", "c"}, -1}}}.Check()...)
-	if len(refused) != 5 || len(Defaults.Check())+len(four.Check()) > 0 {
+	if len(refused) != 5 || len(Defaults.Check())+len(testTopology.Check()) > 0 {
 		t.Errorf("%v", refused)
 	}
 }
--- a/failover/view.go
+++ b/failover/view.go
@@ -55,9 +55,9 @@
 	Agents map[string]int                // that tell of themselves, by zone
 }
 
-// Look puts summaries together. A zone's health is the median of its viewers: one agent that
+// Aggregate puts summaries together. A zone's health is the median of its viewers: one agent that
 // is deaf, or wrong, moves nothing. Summaries older than freshUs before nowUs do not count.
-func Look(all []Summary, nowUs, freshUs int64) View {
+func Aggregate(all []Summary, nowUs, freshUs int64) View {
 	v := View{Load: map[string]map[string]float64{}, Health: map[string]map[string]Health{}, Agents: map[string]int{}}
 	type key struct{ by, of string }
 	sights := map[key][]Sight{}
@@ -80,12 +80,12 @@
 		if v.Health[k.by] == nil {
 			v.Health[k.by] = map[string]Health{}
 		}
-		v.Health[k.by][k.of] = health(list)
+		v.Health[k.by][k.of] = aggregateHealth(list)
 	}
 	return v
 }
 
-func health(list []Sight) Health {
+func aggregateHealth(list []Sight) Health {
 	var up, capacity []float64
 	tries, full, trying, failing := 0.0, 0.0, 0, 0
 	for _, s := range list {
@@ -125,29 +125,29 @@
 	return list[(len(list)-1)/2]
 }
 
-// load is a zone's calls a second, all classes.
-func (v View) load(zone string) (sum float64) {
+// totalLoad is a zone's calls a second, all classes.
+func (v View) totalLoad(zone string) (sum float64) {
 	for _, n := range v.Load[zone] {
 		sum += n
 	}
 	return sum
 }
 
-// at is how agents of one zone see another; ok tells whether any does.
-func (v View) at(by, of string) (Health, bool) {
+// healthSeenBy is how agents of one zone see another; ok tells whether any does.
+func (v View) healthSeenBy(by, of string) (Health, bool) {
 	h, ok := v.Health[by][of]
 	return h, ok && h.Seen
 }
 
-// best is a zone's health as its own agents see it, or, where none of them tells, as the zone
+// bestHealth is a zone's health as its own agents see it, or, where none of them tells, as the zone
 // that sees it best: a zone without live agents may still have servers for others' calls.
-func (v View) best(zone string) (Health, bool) {
-	if h, ok := v.at(zone, zone); ok {
+func (v View) bestHealth(zone string) (Health, bool) {
+	if h, ok := v.healthSeenBy(zone, zone); ok {
 		return h, true
 	}
 	var top Health
 	for by := range v.Health {
-		if h, ok := v.at(by, zone); ok && (!top.Seen || h.Up > top.Up || h.Up == top.Up && h.Capacity > top.Capacity) {
+		if h, ok := v.healthSeenBy(by, zone); ok && (!top.Seen || h.Up > top.Up || h.Up == top.Up && h.Capacity > top.Capacity) {
 			top = h
 		}
 	}
--- a/internal/daemon/promisecmd.go
+++ b/internal/daemon/promisecmd.go
@@ -86,13 +86,13 @@
 	if err != nil {
 		return err
 	}
-	for _, found := range c.Ring.Spread() {
+	for _, found := range c.Ring.CheckZones() {
 		fmt.Fprintf(out, "%s: warning: %v\n", file, found)
 	}
 	fmt.Fprintf(out, "%s: ring %d of %d groups, lawful\n", file, c.Ring.Version, len(c.Ring.Groups))
 	if c.Previous != nil {
 		fmt.Fprintf(out, "%s: replaces ring %d of %d groups; about %.0f %% of calls move\n", file, c.Previous.Version, len(c.Previous.Groups),
-			100*shard.Moved(*c.Previous, c.Ring, sampleCalls()))
+			100*shard.MovedShare(*c.Previous, c.Ring, sampleCalls()))
 	}
 	return nil
 }
@@ -162,14 +162,14 @@
 	if err != nil {
 		return err
 	}
-	ring, left, err := shard.Place(agents, c.Size)
+	ring, left, err := shard.BuildRing(agents, c.Size)
 	if err != nil {
 		return fmt.Errorf("--size: %w", err)
 	}
 	if err := errors.Join(ring.Check()...); err != nil {
 		return fmt.Errorf("%s: %w", c.Agents, err)
 	}
-	for _, found := range ring.Spread() {
+	for _, found := range ring.CheckZones() {
 		fmt.Fprintf(out, "# warning: %v\n", found)
 	}
 	for _, m := range left {
@@ -199,7 +199,7 @@
 	for _, id := range c.Gone {
 		gone[id] = true
 	}
-	next, steps, stuck := shard.Mend(conf.Ring, gone, spares)
+	next, steps, stuck := shard.ReplaceLost(conf.Ring, gone, spares)
 	for _, s := range steps {
 		fmt.Fprintln(out, "# "+say(s))
 		if !c.Apply {
@@ -223,14 +223,14 @@
 	return nil
 }
 
-func say(s shard.Change) string {
+func say(s shard.MembershipChange) string {
 	if s.Remove != "" {
 		return fmt.Sprintf("group %s: remove %s", s.Group, s.Remove)
 	}
 	return fmt.Sprintf("group %s: add %s (%s, %s)", s.Group, s.Add.ID, s.Add.Zone, s.Add.Raft)
 }
 
-func carryOut(ctx context.Context, g shard.Group, s shard.Change) error {
+func carryOut(ctx context.Context, g shard.Group, s shard.MembershipChange) error {
 	client := keeper.Client(g)
 	defer client.Close()
 	return replica.Patiently(ctx, func() error {
--- a/internal/daemon/promises.go
+++ b/internal/daemon/promises.go
@@ -49,7 +49,7 @@
 }
 
 func (p *promises) take(file keeper.Config) {
-	for _, found := range file.Ring.Spread() {
+	for _, found := range file.Ring.CheckZones() {
 		p.log.Warn("ring: a zone's loss would stop a group", "found", found)
 	}
 	p.cfg.Store(&file)
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -62,7 +62,7 @@
 }
 
 func revision(kind string, number uint64, text string) rollout.WatchReply {
-	return rollout.WatchReply{Machine: "c1", Version: number, Docs: []rollout.Document{{Name: rollout.Name{Kind: kind, Scope: rollout.Scope{Level: rollout.All}},
+	return rollout.WatchReply{Machine: "c1", Version: number, Docs: []rollout.Document{{Name: rollout.Name{Kind: kind, Scope: rollout.Scope{Level: rollout.LevelAll}},
 		Revision: number, Text: []byte(text), Sum: rollout.Sum([]byte(text)), Removed: text == ""}}}
 }
 
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -210,7 +210,7 @@
 	_, err = g.put(rollout.Entry{Name: routes, Base: first - 1, Text: []byte("routes: 2")})
 	require.ErrorIs(t, err, rollout.ErrConflict)
 	require.ErrorContains(t, err, "ann")
-	for _, e := range []rollout.Entry{{Name: routes, Base: first, Text: []byte("routes: [")}, {Name: routes, Base: first, Text: make([]byte, rollout.MaxText+1)},
+	for _, e := range []rollout.Entry{{Name: routes, Base: first, Text: []byte("routes: [")}, {Name: routes, Base: first, Text: make([]byte, rollout.MaxTextBytes+1)},
 		{Name: rollout.Name{Kind: "a@b"}, Text: []byte("a: 1")}} {
 		_, err = g.put(e)
 		require.ErrorIs(t, err, rollout.ErrEntry)
--- a/internal/fleet/control/fault_test.go
+++ b/internal/fleet/control/fault_test.go
@@ -172,7 +172,7 @@
 	leader := g.nodes[g.leader()]
 	require.Eventually(t, func() bool {
 		o, _ := leader.overview("")
-		return len(o.Names) == 1 && o.Names[0].Latest.Stage == rollout.Everywhere && o.Names[0].Coverage.InForce <= 1
+		return len(o.Names) == 1 && o.Names[0].Latest.Stage == rollout.StageEverywhere && o.Names[0].Coverage.InForce <= 1
 	}, wait, 10*time.Millisecond)
 	for _, op := range []rollout.Op{rollout.OpStart, rollout.OpAdvance, rollout.OpHalt} {
 		r, answer, err := leader.Propose(rollout.Encode(rollout.Entry{Op: op, Revision: number, First: []string{"a4"}, Why: "late"}))
@@ -185,7 +185,7 @@
 	o, err := leader.overview("routes@all")
 	require.NoError(t, err)
 	require.Equal(t, number, o.Names[0].Latest.Revision)
-	require.Equal(t, rollout.Everywhere, o.Names[0].Latest.Stage)
+	require.Equal(t, rollout.StageEverywhere, o.Names[0].Latest.Stage)
 }
 
 // scripted is a machine whose answers a test gives.
--- a/internal/fleet/control/node.go
+++ b/internal/fleet/control/node.go
@@ -24,7 +24,7 @@
 
 	table struct {
 		sync.Mutex
-		*rollout.Table
+		*rollout.ReportTable
 	}
 	watchers  atomic.Int64
 	stewards  *stewards.Stewards
@@ -117,7 +117,7 @@
 	n := &Node{cfg: cfg, settings: settings, log: log, fsm: newMachine(log),
 		answering: make(chan struct{}, mostAnswering), stewards: stewards.New(cfg.ID, time.Now().UnixNano(), log)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	n.table.Table = rollout.NewTable()
+	n.table.ReportTable = rollout.NewReportTable()
 	if n.Member, err = quorum.Open(cfg.Config, n.fsm, log); err != nil {
 		n.cancel()
 		return nil, err
@@ -198,7 +198,7 @@
 // two leaders propose late changes nothing: the entries name the revision and its stage.
 func (n *Node) steer() {
 	leads := n.Raft.LeaderCh()
-	steward, sure := rollout.NewSteward(n.settings), false                                // sure: of what was committed before this lead
+	steward, sure := rollout.NewStageController(n.settings), false                        // sure: of what was committed before this lead
 	n.fsm.read(func(s *rollout.State) { steward.Decide(s, nil, time.Now().UnixMicro()) }) // its time begins: who was not heard may yet be
 	timer := time.NewTimer(steerEvery)
 	defer timer.Stop()
@@ -224,7 +224,7 @@
 }
 
 // decide proposes what the steward decides now, and tells whether a revision is still open.
-func (n *Node) decide(steward *rollout.Steward) (open bool) {
+func (n *Node) decide(steward *rollout.StageController) (open bool) {
 	n.fsm.read(func(s *rollout.State) { open = len(s.Open()) > 0 })
 	var reports []rollout.Report
 	if open {
@@ -258,5 +258,5 @@
 func (n *Node) hear(r rollout.Report) {
 	n.table.Lock()
 	defer n.table.Unlock()
-	n.table.Hear(r, time.Now().UnixMicro())
+	n.table.Update(r, time.Now().UnixMicro())
 }
--- a/internal/fleet/control/peers.go
+++ b/internal/fleet/control/peers.go
@@ -87,8 +87,8 @@
 	n.table.Lock()
 	defer n.table.Unlock()
 	now := time.Now()
-	n.table.Forget(now.Add(-forgetAfter).UnixMicro())
-	all, next := n.table.Changed(mark)
+	n.table.Expire(now.Add(-forgetAfter).UnixMicro())
+	all, next := n.table.ChangedSince(mark)
 	oldest := now.Add(-n.settings.Fresh).UnixMicro()
 	for _, r := range all {
 		if r.Machine == n.cfg.ID && r.AtUs >= oldest {
--- a/internal/fleet/control/service.go
+++ b/internal/fleet/control/service.go
@@ -118,12 +118,12 @@
 	// A process that was stopped may answer before watchLag has looked.
 	lagging := m.lagging || n.deaf()
 	l.reply = rollout.WatchReply{Machine: n.cfg.ID, Version: m.state.Applied(), Lagging: lagging}
-	for _, d := range m.state.For(agent) {
+	for _, d := range m.state.DocumentsFor(agent) {
 		if d.Revision > call.Have[d.Name.String()] {
 			l.reply.Docs = append(l.reply.Docs, d)
 		}
 	}
-	if m.state.InFirst(agent) {
+	if m.state.InFirstStage(agent) {
 		l.reply.AgainMs = firstAgain.Milliseconds()
 	}
 	// An agent without anything hears all there is, if it be nothing, as soon as there is a log.
@@ -162,7 +162,7 @@
 		if !word(f.Name.Kind) || !word(string(f.Name.Scope.Level)) || !word(f.Name.Scope.Of) {
 			return fmt.Errorf("%w: field report.refused[%d].name: over %d bytes", errAsked, i, mostWord)
 		}
-		r.Refused[i].Why = f.Why[:min(len(f.Why), rollout.MaxWhy)]
+		r.Refused[i].Why = f.Why[:min(len(f.Why), rollout.MaxWhyBytes)]
 	}
 	return nil
 }
@@ -214,8 +214,8 @@
 	if name, err := rollout.ParseName(e.Name.String()); err != nil || name != e.Name {
 		return fmt.Errorf("%w: field name: %.200q is not as KIND@SCOPE is read", rollout.ErrEntry, e.Name)
 	}
-	if len(e.Text) > rollout.MaxText {
-		return fmt.Errorf("%w: field text: %d bytes, most %d", rollout.ErrEntry, len(e.Text), rollout.MaxText)
+	if len(e.Text) > rollout.MaxTextBytes {
+		return fmt.Errorf("%w: field text: %d bytes, most %d", rollout.ErrEntry, len(e.Text), rollout.MaxTextBytes)
 	}
 	var any any
 	if err := yamlfile.Decode(e.Text, &any); err != nil {
@@ -297,7 +297,7 @@
 		if !ok {
 			continue
 		}
-		v := NameView{Latest: head, Coverage: rollout.Cover(st, at, reports, now, n.settings.Fresh.Microseconds())}
+		v := NameView{Latest: head, Coverage: rollout.ComputeCoverage(st, at, reports, now, n.settings.Fresh.Microseconds())}
 		if name == "" {
 			v.Latest.Text = nil
 		} else {
--- a/internal/fleet/keeper/keeper.go
+++ b/internal/fleet/keeper/keeper.go
@@ -179,7 +179,7 @@
 func (k *Keeper) claim(ctx context.Context, call, token string, comeBack time.Duration) agent.Kept {
 	v := k.view.Load()
 	var stands *promise.Resolution
-	for _, step := range shard.Path(v.now, v.previous, call) {
+	for _, step := range shard.ClaimSteps(v.now, v.previous, call) {
 		r, err := proposeClaim(ctx, v.groups[step.Group], promise.Entry{Op: promise.OpClaim, Call: call, Token: token,
 			Ring: step.Ring, ComeBackUs: comeBack.Microseconds(), AtUs: time.Now().UnixMicro()})
 		if err != nil {
@@ -234,7 +234,7 @@
 func (k *Keeper) resolve(ctx context.Context, e promise.Entry) agent.Kept {
 	v, mine := k.view.Load(), e
 	var stands promise.Resolution
-	for _, step := range shard.Path(v.now, v.previous, e.Call) {
+	for _, step := range shard.ClaimSteps(v.now, v.previous, e.Call) {
 		r, err := v.groups[step.Group].ProposePatiently(ctx, e)
 		if err != nil {
 			return k.unkept("resolution", e.Call, step.Group, err)
@@ -271,7 +271,7 @@
 		ctx, cancel := context.WithTimeout(k.ctx, endWait)
 		defer cancel()
 		v := k.view.Load()
-		for _, step := range shard.Path(v.now, v.previous, id) {
+		for _, step := range shard.ClaimSteps(v.now, v.previous, id) {
 			if _, err := v.groups[step.Group].ProposePatiently(ctx, promise.Entry{Op: promise.OpEnd, Call: id, AtUs: time.Now().UnixMicro()}); err != nil {
 				k.Counts.EndsDropped.Add(1)
 				k.log.Warn("end of a call not copied", "call", id, "group", step.Group, "error", err)
--- a/internal/fleet/keeper/keeper_test.go
+++ b/internal/fleet/keeper/keeper_test.go
@@ -75,7 +75,7 @@
 	old, next := ring(1, "g1", "g2"), ring(2, "g1", "g2", "g3")
 	moved := ""
 	for i := 0; moved == ""; i++ {
-		if c := fmt.Sprintf("%016x", i); len(shard.Path(next, &old, c)) == 2 {
+		if c := fmt.Sprintf("%016x", i); len(shard.ClaimSteps(next, &old, c)) == 2 {
 			moved = c
 		}
 	}
--- a/internal/fleet/placer/placer.go
+++ b/internal/fleet/placer/placer.go
@@ -196,7 +196,7 @@
 		return
 	}
 	now := p.live.Load()
-	v := failover.Look([]failover.Summary{s}, s.AtUs, now.fresh.Microseconds())
+	v := failover.Aggregate([]failover.Summary{s}, s.AtUs, now.fresh.Microseconds())
 	if next, changed := failover.Decide(*p.plan.Load(), p.topology(now, s), now.settings, v, s.AtUs, p.self.Name); changed {
 		p.take(next)
 	}
@@ -228,7 +228,7 @@
 		return
 	}
 	now, by := time.Now().UnixMicro(), p.live.Load()
-	v := failover.Look(p.members.Summaries(), now, by.fresh.Microseconds())
+	v := failover.Aggregate(p.members.Summaries(), now, by.fresh.Microseconds())
 	next, changed := failover.Decide(*p.plan.Load(), by.topology, by.settings, v, now, p.self.Name)
 	if !changed {
 		return
@@ -313,7 +313,7 @@
 // the next epoch says better.
 func (p *Placer) Zone(class, call string) (zone string, pools []int) {
 	seen := *p.seen.Load()
-	zone = p.plan.Load().Choose(p.self.Zone, class, call)
+	zone = p.plan.Load().ChooseZone(p.self.Zone, class, call)
 	if z := seen[zone]; zone != p.self.Zone && z.Up == 0 && seen[p.self.Zone].Up > 0 {
 		p.keptHome.Add(1)
 		zone = p.self.Zone
--- a/internal/fleet/watcher/disk.go
+++ b/internal/fleet/watcher/disk.go
@@ -15,8 +15,8 @@
 
 // recall reads the last known good. A file that can't be used is named in the log and moved
 // aside; it costs a fetch, never the start.
-func (w *Watcher) recall() *rollout.Held {
-	none := rollout.NewHeld(w.agent)
+func (w *Watcher) recall() *rollout.DocumentSet {
+	none := rollout.NewDocumentSet(w.agent)
 	if w.cfg.Data == "" {
 		return none
 	}
@@ -30,7 +30,7 @@
 		w.log.Error("rollout: the last known good can't be read; it is fetched", "file", path, "error", err)
 		return none
 	}
-	held, err := rollout.DecodeHeld(w.agent, data)
+	held, err := rollout.DecodeDocumentSet(w.agent, data)
 	if err == nil {
 		return held
 	}
--- a/internal/fleet/watcher/watcher.go
+++ b/internal/fleet/watcher/watcher.go
@@ -71,7 +71,7 @@
 	order  []Machine // the first choice first
 	write  func(path string, data []byte) error
 
-	held   *rollout.Held
+	held   *rollout.DocumentSet
 	force  map[string]uint64 // by kind, as the loader last took it
 	seq    uint64
 	saved  map[string]uint64 // what was accepted, as it stands on disk
@@ -248,7 +248,7 @@
 		seen = w.saved
 	}
 	calls, failed := w.loader.Calls()
-	return rollout.WatchArgs{Have: w.held.Have(), Version: w.held.Version(), PatienceMs: patience.Milliseconds(),
+	return rollout.WatchArgs{Have: w.held.KnownRevisions(), Version: w.held.Version(), PatienceMs: patience.Milliseconds(),
 		Report: rollout.Report{Agent: w.agent, Life: w.cfg.Life, Seq: w.seq, Seen: seen, InForce: maps.Clone(w.force),
 			Refused: refused, Calls: calls, Failed: failed}}
 }
@@ -256,11 +256,11 @@
 // take proves an answer and has what is new in it judged, put in force and saved.
 func (w *Watcher) take(r rollout.WatchReply) (news bool, err error) {
 	machine := w.order[w.at].ID
-	if w.held.Behind(r) {
+	if w.held.IsBehind(r) {
 		w.counts.behind.Add(1)
 		return false, fmt.Errorf("%w: version %d, held %d", errBehind, r.Version, w.held.Version())
 	}
-	fresh, err := w.held.Take(r)
+	fresh, err := w.held.Receive(r)
 	if err != nil {
 		w.counts.forged.Add(1)
 		w.log.Error("rollout: answer not taken; its watch ends", "machine", machine, "error", err)
@@ -383,7 +383,7 @@
 // publish lets others see how things stand.
 func (w *Watcher) publish() {
 	v := &view{heard: w.heard, version: w.held.Version(), lagging: w.lagging, unsaved: !w.saveAt.IsZero(),
-		force: maps.Clone(w.force), names: map[string]string{}, have: maps.Clone(w.held.Have())}
+		force: maps.Clone(w.force), names: map[string]string{}, have: maps.Clone(w.held.KnownRevisions())}
 	if w.connected {
 		v.machine = w.order[w.at].ID
 	}
--- a/internal/fleet/watcher/watcher_test.go
+++ b/internal/fleet/watcher/watcher_test.go
@@ -240,7 +240,7 @@
 	file := filepath.Join(s.cfg.Data, heldName)
 	whole, err := os.ReadFile(file)
 	require.NoError(t, err)
-	foreign := rollout.NewHeld(rollout.Agent{Name: "n2"}).Bytes()
+	foreign := rollout.NewDocumentSet(rollout.Agent{Name: "n2"}).Bytes()
 	for name, tc := range map[string]struct {
 		data []byte
 		want string
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -93,7 +93,7 @@
 		f.Agents[name] = &Agent{Name: name, Listen: at[0], Console: at[1], Gossip: at[4], Member: m}
 		members = append(members, m)
 	}
-	if f.Ring, _, err = shard.Place(members, cmp.Or(site.Size, 3)); err == nil {
+	if f.Ring, _, err = shard.BuildRing(members, cmp.Or(site.Size, 3)); err == nil {
 		err = f.link(members, seed)
 	}
 	for name, a := range f.Agents {
@@ -263,7 +263,7 @@
 	if err != nil {
 		return fmt.Errorf("mend: %w: %s", err, said)
 	}
-	f.Ring, _, _ = shard.Mend(f.Ring, map[string]bool{lost: true}, []shard.Member{a.Member})
+	f.Ring, _, _ = shard.ReplaceLost(f.Ring, map[string]bool{lost: true}, []shard.Member{a.Member})
 	return nil
 }
 
--- a/internal/lab/rolloutlab/history.go
+++ b/internal/lab/rolloutlab/history.go
@@ -119,7 +119,7 @@
 	defer h.mu.Unlock()
 	for _, r := range revs {
 		h.stands(r.Revision, content{r.Name.String(), sum(string(r.Text), r.Removed), r.Removed}, machine)
-		if r.Stage == rollout.Halted {
+		if r.Stage == rollout.StageHalted {
 			h.halted[r.Revision] = true
 		}
 		if was, ok := h.log[r.Revision]; ok && (was.Base != r.Base || was.Author != r.Author) {
@@ -133,7 +133,7 @@
 
 // came is how far a stage is on a revision's way.
 func came(s rollout.Stage) int {
-	return slices.Index([]rollout.Stage{rollout.Waiting, rollout.First, rollout.Everywhere, rollout.Superseded, rollout.Halted}, s)
+	return slices.Index([]rollout.Stage{rollout.StageWaiting, rollout.StageFirst, rollout.StageEverywhere, rollout.StageSuperseded, rollout.StageHalted}, s)
 }
 
 // Sight enters what an agent has from now on.
@@ -266,7 +266,7 @@
 		stood[k] = p
 		for _, r := range h.of(p.Name) {
 			// A halt restores the former text beside one that waits, which stays what authors see.
-			beside := r.Author == rollout.ByRollout && r.Base < p.Base
+			beside := r.Author == rollout.AuthorRollout && r.Base < p.Base
 			if r.Revision > p.Base && r.Revision < p.Revision && !beside {
 				out = append(out, fmt.Sprintf("%s: %d by %s on base %d stands, though %d came between", p.Name, p.Revision, p.Author, p.Base, r.Revision))
 			}
@@ -385,10 +385,10 @@
 	again := map[uint64]uint64{} // began under another number
 	for _, r := range h.log {
 		was, ok := h.log[r.Restores]
-		if ok && r.Author != rollout.ByRollout && r.Base == was.Base {
+		if ok && r.Author != rollout.AuthorRollout && r.Base == was.Base {
 			again[r.Restores] = r.Revision
 		}
-		if r.Author == rollout.ByRollout {
+		if r.Author == rollout.AuthorRollout {
 			at := time.UnixMicro(r.AtUs).Sub(h.start)
 			out = append(out, Put{Name: r.Name.String(), Base: r.Base, Author: r.Author, Text: string(r.Text), Remove: r.Removed, Called: at, Told: at, Revision: r.Revision})
 		}
@@ -428,7 +428,7 @@
 // due is when an agent must have a put that stands; false: never, or not to be seen there.
 func (h *History) due(a rollout.Agent, p Put) (time.Duration, bool) {
 	n, err := rollout.ParseName(p.Name)
-	if err != nil || !n.Scope.Holds(a) || h.shadowed(a, n, p.Told) {
+	if err != nil || !n.Scope.Contains(a) || h.shadowed(a, n, p.Told) {
 		return 0, false
 	}
 	due := p.Told + Within
@@ -447,7 +447,7 @@
 // shadowed tells whether a narrower document of the kind may have held at an agent since.
 func (h *History) shadowed(a rollout.Agent, n rollout.Name, since time.Duration) bool {
 	for name, o := range h.docs {
-		if o.Kind == n.Kind && narrower(o, n) && o.Scope.Holds(a) && !h.goneBefore(name, a, since) {
+		if o.Kind == n.Kind && narrower(o, n) && o.Scope.Contains(a) && !h.goneBefore(name, a, since) {
 			return true
 		}
 	}
@@ -520,7 +520,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.duties() {
-		if p.Author == rollout.ByRollout {
+		if p.Author == rollout.AuthorRollout {
 			continue
 		}
 		s := Spread{Put: p}
@@ -564,7 +564,7 @@
 		return rollout.Revision{}, false
 	}
 	last := all[len(all)-1]
-	return last, last.Stage == rollout.Everywhere
+	return last, last.Stage == rollout.StageEverywhere
 }
 
 // Has tells whether an agent has a standing revision, in force or refused.
@@ -573,7 +573,7 @@
 	defer h.mu.Unlock()
 	a, n := h.agents[agent], r.Name
 	p := Put{Name: n.String(), Revision: r.Revision, Remove: r.Removed, Text: string(r.Text)}
-	if !n.Scope.Holds(a) || h.shadowed(a, n, never) {
+	if !n.Scope.Contains(a) || h.shadowed(a, n, never) {
 		return true
 	}
 	_, ok := h.at(a, p, true)
@@ -585,7 +585,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, ok := h.log[revision]
-	return ok && r.Stage != rollout.Waiting
+	return ok && r.Stage != rollout.StageWaiting
 }
 
 // Halted tells whether a revision was given up.
--- a/internal/lab/rolloutlab/history_test.go
+++ b/internal/lab/rolloutlab/history_test.go
@@ -19,7 +19,7 @@
 		return Put{Name: doc, Base: base, Author: author, Text: text, Called: at, Told: at + sec, Outcome: o, Revision: revision}
 	}
 	rev := func(n, base uint64, author, text string) rollout.Revision {
-		return rollout.Revision{Document: rollout.Document{Name: name, Revision: n, Text: []byte(text)}, Base: base, Author: author, Stage: rollout.Everywhere}
+		return rollout.Revision{Document: rollout.Document{Name: name, Revision: n, Text: []byte(text)}, Base: base, Author: author, Stage: rollout.StageEverywhere}
 	}
 	has := func(agent string, n uint64, text string, at time.Duration) Sight {
 		return Sight{Agent: agent, Kind: "routes", Name: doc, Revision: n, Sum: sum(text, false), At: at}
@@ -73,8 +73,8 @@
 			h.sights["b"][1] = Sight{Agent: "b", Kind: "routes", Sum: 7, Refused: true, At: 12 * sec}
 		}, "due at b"},
 		"a restored text comes late": {func(h *History) {
-			bad, back := rev(11, 8, "bob", "bad"), rev(12, 11, rollout.ByRollout, "two")
-			bad.Stage, back.Restores, back.AtUs = rollout.Halted, 8, h.start.Add(22*sec).UnixMicro()
+			bad, back := rev(11, 8, "bob", "bad"), rev(12, 11, rollout.AuthorRollout, "two")
+			bad.Stage, back.Restores, back.AtUs = rollout.StageHalted, 8, h.start.Add(22*sec).UnixMicro()
 			h.Put(put(8, 11, "bob", "bad", 20*sec, Stood))
 			h.Logged("c1", []rollout.Revision{bad, back})
 			h.Sight(has("a", 12, "two", 23*sec))
@@ -106,8 +106,8 @@
 		"not told, and does not": func(h *History) { h.Put(put(8, 0, "bob", "seven", 20*sec, Unknown)) },
 		"halted, and restored": func(h *History) {
 			h.Put(put(8, 11, "bob", "bad", 20*sec, Stood))
-			bad, back := rev(11, 8, "bob", "bad"), rev(12, 11, rollout.ByRollout, "two")
-			bad.Stage, back.Restores, back.AtUs = rollout.Halted, 8, h.start.Add(22*sec).UnixMicro()
+			bad, back := rev(11, 8, "bob", "bad"), rev(12, 11, rollout.AuthorRollout, "two")
+			bad.Stage, back.Restores, back.AtUs = rollout.StageHalted, 8, h.start.Add(22*sec).UnixMicro()
 			h.Logged("c1", []rollout.Revision{bad, back})
 			h.Sight(has("a", 11, "bad", 21*sec))
 			h.Sight(has("a", 12, "two", 23*sec))
@@ -116,8 +116,8 @@
 		"one that waited behind a halted one": func(h *History) {
 			h.Put(put(8, 11, "bob", "bad", 20*sec, Stood))
 			h.Put(put(11, 12, "ann", "next", 20*sec, Stood))
-			bad, waited, back, began := rev(11, 8, "bob", "bad"), rev(12, 11, "ann", "next"), rev(13, 11, rollout.ByRollout, "two"), rev(14, 11, "ann", "next")
-			bad.Stage, waited.Stage, back.Stage = rollout.Halted, rollout.Superseded, rollout.Superseded
+			bad, waited, back, began := rev(11, 8, "bob", "bad"), rev(12, 11, "ann", "next"), rev(13, 11, rollout.AuthorRollout, "two"), rev(14, 11, "ann", "next")
+			bad.Stage, waited.Stage, back.Stage = rollout.StageHalted, rollout.StageSuperseded, rollout.StageSuperseded
 			back.Restores, back.AtUs, began.Restores = 8, h.start.Add(22*sec).UnixMicro(), 12
 			h.Logged("c1", []rollout.Revision{bad, waited, back, began})
 			for _, agent := range []string{"a", "b"} {
@@ -137,9 +137,9 @@
 // removed takes the document away; the agents are back at their own file then.
 func removed(at time.Duration) func(*History) {
 	return func(h *History) {
-		name := rollout.Name{Kind: "routes", Scope: rollout.Scope{Level: rollout.All}}
+		name := rollout.Name{Kind: "routes", Scope: rollout.Scope{Level: rollout.LevelAll}}
 		h.Put(Put{Name: name.String(), Base: 8, Author: "ann", Remove: true, Called: 30 * time.Second, Told: 31 * time.Second, Outcome: Stood, Revision: 20})
-		h.Logged("c1", []rollout.Revision{{Document: rollout.Document{Name: name, Revision: 20, Removed: true}, Base: 8, Author: "ann", Stage: rollout.Everywhere}})
+		h.Logged("c1", []rollout.Revision{{Document: rollout.Document{Name: name, Revision: 20, Removed: true}, Base: 8, Author: "ann", Stage: rollout.StageEverywhere}})
 		for _, agent := range []string{"a", "b"} {
 			h.Sight(Sight{Agent: agent, Kind: "routes", At: at})
 		}
--- a/internal/lab/scalelab/control.go
+++ b/internal/lab/scalelab/control.go
@@ -203,7 +203,7 @@
 		open := false
 		for _, m := range machines {
 			o, err := c.client.Overview(ctx, m.ID, revised+"@all")
-			if err != nil || len(o.Names) != 1 || o.Names[0].Latest.Stage != rollout.Everywhere {
+			if err != nil || len(o.Names) != 1 || o.Names[0].Latest.Stage != rollout.StageEverywhere {
 				open = true
 			}
 		}
--- a/internal/lab/zonelab/zonelab.go
+++ b/internal/lab/zonelab/zonelab.go
@@ -175,7 +175,7 @@
 
 func (r *run) call(a *agentModel) {
 	home := name(a.zone)
-	to := a.plan.Choose(home, "call", fmt.Sprintf("%016x", r.rng.Uint64()))
+	to := a.plan.ChooseZone(home, "call", fmt.Sprintf("%016x", r.rng.Uint64()))
 	z := 0
 	fmt.Sscanf(to, "z%d", &z)
 	z--
@@ -263,7 +263,7 @@
 func (r *run) alone(a *agentModel) {
 	s := r.summary(0, a)
 	s.Offered["call"] *= float64(r.Agents) / float64(r.Zones)
-	v := failover.Look([]failover.Summary{s}, r.us(), 5e6)
+	v := failover.Aggregate([]failover.Summary{s}, r.us(), 5e6)
 	if next, changed := failover.Decide(a.plan, r.top, r.set, v, r.us(), "self"); changed {
 		r.adopt(a, next)
 	}
@@ -274,7 +274,7 @@
 	for i, a := range r.agents {
 		all = append(all, r.summary(i, a))
 	}
-	next, changed := failover.Decide(r.common, r.top, r.set, failover.Look(all, r.us(), 5e6), r.us(), "leader")
+	next, changed := failover.Decide(r.common, r.top, r.set, failover.Aggregate(all, r.us(), 5e6), r.us(), "leader")
 	if !changed {
 		return
 	}
--- a/promise/ages.go
+++ b/promise/ages.go
@@ -1,21 +1,21 @@
 package promise
 
-// ages finds records by age without looking at the young ones: calls by the second of their
+// ageIndex finds records by age without looking at the young ones: calls by the second of their
 // time. A call stands in it once for each time it had (its claim's, its resolution's), so
 // what is found must be looked up again. Half a million records of ten minutes cost an
 // expiry of the oldest ten seconds a walk over those ten seconds alone.
-type ages map[int64][]string
+type ageIndex map[int64][]string
 
 const secondUs = 1_000_000
 
-func (a ages) add(atUs int64, call string) {
-	at := floorDiv(atUs)
+func (a ageIndex) add(atUs int64, call string) {
+	at := floorSecond(atUs)
 	a[at] = append(a[at], call)
 }
 
-// before hands over each call of the seconds that begin before a time, and forgets those that
+// forEachOlder hands over each call of the seconds that begin before a time, and forgets those that
 // lie wholly before it. A second that the time cuts is looked at again by a later call.
-func (a ages) before(us int64, each func(call string)) {
+func (a ageIndex) forEachOlder(us int64, each func(call string)) {
 	for at, calls := range a {
 		if at*secondUs >= us {
 			continue
@@ -29,8 +29,8 @@
 	}
 }
 
-// floorDiv is the second a time lies in, also for times before 0.
-func floorDiv(us int64) int64 {
+// floorSecond is the second a time lies in, also for times before 0.
+func floorSecond(us int64) int64 {
 	at := us / secondUs
 	if us%secondUs < 0 {
 		at--
--- a/promise/bench_test.go
+++ b/promise/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// promised is a call's claim and its resolution as the log holds them.
-func promised(i int) (claim, resolve []byte) {
+// claimAndResolve is a call's claim and its resolution as the log holds them.
+func claimAndResolve(i int) (claim, resolve []byte) {
 	call, token := fmt.Sprintf("%016x", i), fmt.Sprintf("agent%d/1/%d", i%300, i)
 	at := int64(i) * 1000
 	return Encode(Entry{Op: OpClaim, Call: call, AtUs: at, Token: token, Ring: 1}),
@@ -30,7 +30,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			for i := range held {
-				claim, resolve := promised(i)
+				claim, resolve := claimAndResolve(i)
 				apply(claim)
 				apply(resolve)
 			}
@@ -38,7 +38,7 @@
 			runtime.ReadMemStats(&after)
 			var claims, resolves [][]byte
 			for i := range 1024 {
-				claim, resolve := promised(held + i)
+				claim, resolve := claimAndResolve(held + i)
 				claims, resolves = append(claims, claim), append(resolves, resolve)
 			}
 			b.ReportAllocs()
--- a/promise/promise.go
+++ b/promise/promise.go
@@ -54,12 +54,12 @@
 	AnswerFailed  = "failed"
 )
 
-// MaxDescription bounds a served call's description: a message of the platform's protocol
+// MaxDescriptionBytes bounds a served call's description: a message of the platform's protocol
 // holds 16 KiB at most.
-const MaxDescription = 16 << 10
+const MaxDescriptionBytes = 16 << 10
 
-// MaxPlan bounds a plan of zones: some hundred zones fit.
-const MaxPlan = 64 << 10
+// MaxPlanBytes bounds a plan of zones: some hundred zones fit.
+const MaxPlanBytes = 64 << 10
 
 // Entry is one log entry. Only the fields of its Op are read.
 type Entry struct {
@@ -132,7 +132,7 @@
 	fence    uint64
 	claims   map[string]Claim // of calls without a resolution
 	calls    map[string]Resolution
-	ages     ages // of both
+	ages     ageIndex // of both
 	drained  map[string]bool
 	versions map[string]string
 	circuits map[int]string
@@ -142,7 +142,7 @@
 
 // New returns the empty state, at index 0.
 func New() *State {
-	return &State{claims: map[string]Claim{}, calls: map[string]Resolution{}, ages: ages{}, drained: map[string]bool{},
+	return &State{claims: map[string]Claim{}, calls: map[string]Resolution{}, ages: ageIndex{}, drained: map[string]bool{},
 		versions: map[string]string{}, circuits: map[int]string{}}
 }
 
@@ -163,9 +163,9 @@
 	s.applied = index
 	var e Entry
 	if err := json.Unmarshal(data, &e); err != nil {
-		return Result{}, fmt.Errorf("%w %d: %v", ErrEntry, index, describe(data, err))
+		return Result{}, fmt.Errorf("%w %d: %v", ErrEntry, index, describeJSONError(data, err))
 	}
-	if err := e.valid(); err != nil {
+	if err := e.validate(); err != nil {
 		return Result{}, fmt.Errorf("%w %d: %v", ErrEntry, index, err)
 	}
 	return s.apply(index, e)
@@ -216,7 +216,7 @@
 	case ok && held.Token == e.Token:
 		return Result{Claimed: true}, nil
 	case ok:
-		r := s.stand(e.Call, Resolution{Answer: AnswerRefused, ComeBackUs: e.ComeBackUs, AtUs: e.AtUs, Index: index})
+		r := s.recordResolution(e.Call, Resolution{Answer: AnswerRefused, ComeBackUs: e.ComeBackUs, AtUs: e.AtUs, Index: index})
 		return Result{Resolution: r, Resolved: true}, nil
 	case e.Ring < s.fence:
 		return Result{}, fmt.Errorf("%w: ring %d, fence %d", ErrStale, e.Ring, s.fence)
@@ -235,13 +235,13 @@
 	if held, ok := s.claims[e.Call]; ok && held.Token != e.Token {
 		return Result{}, fmt.Errorf("%w %d: field token: the call is claimed by another", ErrEntry, index)
 	}
-	r := s.stand(e.Call, Resolution{Answer: e.Answer, Description: e.Description, Server: e.Server,
+	r := s.recordResolution(e.Call, Resolution{Answer: e.Answer, Description: e.Description, Server: e.Server,
 		ComeBackUs: e.ComeBackUs, AtUs: e.AtUs, Index: index})
 	return Result{Resolution: r, First: true}, nil
 }
 
-// stand enters a call's first resolution in place of its claim.
-func (s *State) stand(call string, r Resolution) Resolution {
+// recordResolution enters a call's first resolution in place of its claim.
+func (s *State) recordResolution(call string, r Resolution) Resolution {
 	delete(s.claims, call)
 	s.calls[call] = r
 	s.ages.add(r.AtUs, call)
@@ -251,7 +251,7 @@
 // expire forgets what is older than a time: claims by when they were made, resolutions by
 // when they were.
 func (s *State) expire(beforeUs int64) (n int) {
-	s.ages.before(beforeUs, func(call string) {
+	s.ages.forEachOlder(beforeUs, func(call string) {
 		if c, ok := s.claims[call]; ok && c.AtUs < beforeUs {
 			delete(s.claims, call)
 			n++
@@ -264,8 +264,8 @@
 	return n
 }
 
-// valid names the first field of an entry that can't be applied.
-func (e Entry) valid() error {
+// validate names the first field of an entry that can't be applied.
+func (e Entry) validate() error {
 	switch e.Op {
 	case OpClaim, OpResolve, OpEnd:
 		switch {
@@ -281,8 +281,8 @@
 			return fmt.Errorf("field answer: %q is none of served, refused, failed", e.Answer)
 		case e.Answer == AnswerServed && e.Server == "":
 			return errors.New("field server: a served call names the server that took it")
-		case len(e.Description) > MaxDescription:
-			return fmt.Errorf("field description: %d bytes, most %d", len(e.Description), MaxDescription)
+		case len(e.Description) > MaxDescriptionBytes:
+			return fmt.Errorf("field description: %d bytes, most %d", len(e.Description), MaxDescriptionBytes)
 		}
 	case OpDrain, OpUndrain:
 		if e.Server == "" {
@@ -297,8 +297,8 @@
 			return fmt.Errorf("field cic: %d outside 0 to 16383", e.CIC)
 		}
 	case OpPlan:
-		if len(e.Plan) == 0 || len(e.Plan) > MaxPlan {
-			return fmt.Errorf("field plan: %d bytes, 1 to %d", len(e.Plan), MaxPlan)
+		if len(e.Plan) == 0 || len(e.Plan) > MaxPlanBytes {
+			return fmt.Errorf("field plan: %d bytes, 1 to %d", len(e.Plan), MaxPlanBytes)
 		}
 	case OpExpire, OpFence:
 	default:
@@ -307,8 +307,8 @@
 	return nil
 }
 
-// describe words a JSON error with the byte it stands at.
-func describe(data []byte, err error) string {
+// describeJSONError words a JSON error with the byte it stands at.
+func describeJSONError(data []byte, err error) string {
 	var syn *json.SyntaxError
 	if errors.As(err, &syn) {
 		return fmt.Sprintf("byte %d: %v", syn.Offset, err)
--- a/promise/promise_test.go
+++ b/promise/promise_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func claim(token string, ring uint64) []byte {
+func encodeClaim(token string, ring uint64) []byte {
 	return Encode(Entry{Op: OpClaim, Call: "c1", Token: token, Ring: ring, ComeBackUs: 7, AtUs: 5})
 }
 
@@ -30,23 +30,23 @@
 		{"versions and circuits", [][]byte{Encode(Entry{Op: OpVersion, Kind: "routes", Version: "ab"}),
 			Encode(Entry{Op: OpCircuit, CIC: 7, State: "busy"})},
 			func(s *State) bool { return s.Version("routes") == "ab" && s.Circuit(7) == "busy" }, 0},
-		{"a claim is its token's alone, and claimed again by it", [][]byte{claim("a", 0), claim("a", 0)},
+		{"a claim is its token's alone, and claimed again by it", [][]byte{encodeClaim("a", 0), encodeClaim("a", 0)},
 			func(s *State) bool { c, ok := s.Claimed("c1"); return ok && c.Token == "a" && s.Calls() == 0 }, 0},
-		{"a second claimant closes the call for both", [][]byte{claim("a", 0), claim("b", 0),
+		{"a second claimant closes the call for both", [][]byte{encodeClaim("a", 0), encodeClaim("b", 0),
 			Encode(Entry{Op: OpResolve, Call: "c1", Token: "a", Answer: AnswerServed, Server: "s1", AtUs: 12})},
 			func(s *State) bool {
 				r, _ := s.Resolution("c1")
 				return r.Answer == AnswerRefused && r.ComeBackUs == 7 && r.Index == 2 && s.Claims() == 0
 			}, 0},
-		{"another's claim is not resolved", [][]byte{claim("a", 0),
+		{"another's claim is not resolved", [][]byte{encodeClaim("a", 0),
 			Encode(Entry{Op: OpResolve, Call: "c1", Token: "b", Answer: AnswerFailed})},
 			func(s *State) bool { return s.Claims() == 1 && s.Calls() == 0 }, 1},
-		{"a resolved call is not claimed; its end is kept", [][]byte{Encode(served), claim("b", 0), Encode(Entry{Op: OpEnd, Call: "c1"})},
+		{"a resolved call is not claimed; its end is kept", [][]byte{Encode(served), encodeClaim("b", 0), Encode(Entry{Op: OpEnd, Call: "c1"})},
 			func(s *State) bool { r, _ := s.Resolution("c1"); return s.Claims() == 0 && r.Over && r.Server == "s1" }, 0},
 		{"a fence refuses older rings, and only rises", [][]byte{Encode(Entry{Op: OpFence, Ring: 3}),
-			Encode(Entry{Op: OpFence, Ring: 2}), claim("a", 2), claim("b", 3)},
+			Encode(Entry{Op: OpFence, Ring: 2}), encodeClaim("a", 2), encodeClaim("b", 3)},
 			func(s *State) bool { c, _ := s.Claimed("c1"); return s.Fence() == 3 && c.Token == "b" }, 0},
-		{"expire forgets claims, and spares what is younger in the same second", [][]byte{claim("a", 0),
+		{"expire forgets claims, and spares what is younger in the same second", [][]byte{encodeClaim("a", 0),
 			Encode(Entry{Op: OpResolve, Call: "c2", Answer: AnswerFailed, AtUs: 900_000}), Encode(Entry{Op: OpExpire, BeforeUs: 500_000}),
 			Encode(Entry{Op: OpExpire, BeforeUs: 900_000})},
 			func(s *State) bool { return s.Claims() == 0 && s.Calls() == 1 }, 0},
@@ -95,14 +95,14 @@
 func BenchmarkExpire(b *testing.B) {
 	s := New()
 	for i := range 500_000 {
-		s.stand(fmt.Sprint("c", i), Resolution{Answer: AnswerFailed, AtUs: int64(i) * 1200})
+		s.recordResolution(fmt.Sprint("c", i), Resolution{Answer: AnswerFailed, AtUs: int64(i) * 1200})
 	}
 	b.ResetTimer()
 	for i := range b.N {
 		s.expire(10 * secondUs)
 		b.StopTimer()
 		for j := range 8333 {
-			s.stand(fmt.Sprint("c", i, "-", j), Resolution{AtUs: int64(j) * 1200})
+			s.recordResolution(fmt.Sprint("c", i, "-", j), Resolution{AtUs: int64(j) * 1200})
 		}
 		b.StartTimer()
 	}
--- a/promise/snapshot.go
+++ b/promise/snapshot.go
@@ -50,7 +50,7 @@
 // whose checksum does not match is refused with ErrSnapshot naming the byte.
 func Restore(data []byte) (*State, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
-		return nil, fmt.Errorf("%w: byte 0: no snapshot of promises (it begins %q)", ErrSnapshot, head(data))
+		return nil, fmt.Errorf("%w: byte 0: no snapshot of promises (it begins %q)", ErrSnapshot, firstBytes(data))
 	}
 	if len(data) < len(snapshotMagic)+4 {
 		return nil, fmt.Errorf("%w: byte %d: cut short", ErrSnapshot, len(data))
@@ -61,7 +61,7 @@
 	}
 	var m image
 	if err := json.Unmarshal(img, &m); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrSnapshot, describe(img, err))
+		return nil, fmt.Errorf("%w: %v", ErrSnapshot, describeJSONError(img, err))
 	}
 	s := New()
 	s.applied, s.fence, s.epoch, s.plan = m.Applied, m.Fence, m.Epoch, m.Plan
@@ -81,7 +81,7 @@
 
 // Image is a state's copy that later entries do not change, so that a snapshot can be written
 // while the log goes on. Descriptions are shared: nothing writes into one.
-type Image struct{ i image }
+type Image struct{ image image }
 
 // Image copies the state.
 func (s *State) Image() Image {
@@ -90,6 +90,6 @@
 }
 
 // Bytes is the snapshot of the copied state, as State.Snapshot words it.
-func (i Image) Bytes() []byte { return i.i.bytes() }
+func (i Image) Bytes() []byte { return i.image.bytes() }
 
-func head(b []byte) []byte { return b[:min(len(b), 8)] }
+func firstBytes(b []byte) []byte { return b[:min(len(b), 8)] }
--- a/rollout/api.go
+++ b/rollout/api.go
@@ -22,10 +22,10 @@
 
 // Bounds of what may be kept.
 const (
-	MaxText      = 256 << 10 // bytes of a document
-	MaxDocuments = 1024      // names, removed ones among them
-	MaxTotal     = 32 << 20  // bytes of all texts that are kept, history among them
-	MaxHistory   = 16        // former revisions kept of a document
+	MaxTextBytes       = 256 << 10 // bytes of a document
+	MaxDocuments       = 1024      // names, removed ones among them
+	MaxTotalBytes      = 32 << 20  // bytes of all texts that are kept, history among them
+	MaxFormerRevisions = 16        // former revisions kept of a document
 )
 
 // Agent is who a call agent is, by its own configuration.
@@ -41,15 +41,15 @@
 
 // The levels, the widest first: of two documents of a kind the narrower one is in force.
 const (
-	All     Level = "all"
-	Region  Level = "region"
-	Zone    Level = "zone"
-	Service Level = "service"
-	One     Level = "agent"
+	LevelAll     Level = "all"
+	LevelRegion  Level = "region"
+	LevelZone    Level = "zone"
+	LevelService Level = "service"
+	LevelAgent   Level = "agent"
 )
 
 // Levels are the levels in order, the widest first.
-var Levels = []Level{All, Region, Zone, Service, One}
+var Levels = []Level{LevelAll, LevelRegion, LevelZone, LevelService, LevelAgent}
 
 // Scope is the part of the fleet that a document is for.
 type Scope struct {
@@ -57,18 +57,18 @@
 	Of    string `json:"of,omitempty"` // the region's, zone's, service's or agent's name; "" for All
 }
 
-// Holds tells whether an agent is in the scope.
-func (s Scope) Holds(a Agent) bool {
+// Contains tells whether an agent is in the scope.
+func (s Scope) Contains(a Agent) bool {
 	switch s.Level {
-	case All:
+	case LevelAll:
 		return true
-	case Region:
+	case LevelRegion:
 		return s.Of == a.Region
-	case Zone:
+	case LevelZone:
 		return s.Of == a.Zone
-	case Service:
+	case LevelService:
 		return s.Of == a.Service
-	case One:
+	case LevelAgent:
 		return s.Of == a.Name
 	}
 	return false
@@ -76,8 +76,8 @@
 
 // String words a scope as ParseName reads it: "all", "zone/z1".
 func (s Scope) String() string {
-	if s.Level == All {
-		return string(All)
+	if s.Level == LevelAll {
+		return string(LevelAll)
 	}
 	return string(s.Level) + "/" + s.Of
 }
@@ -94,31 +94,31 @@
 // ErrName is a name that can't be read.
 var ErrName = errors.New("rollout: name of a document")
 
-// maxWord bounds each word of a name.
-const maxWord = 128
+// maxWordBytes bounds each word of a name.
+const maxWordBytes = 128
 
 // ParseName reads KIND@SCOPE, SCOPE being all or LEVEL/OF. An error wraps ErrName.
 func ParseName(text string) (Name, error) {
 	kind, scope, ok := strings.Cut(text, "@")
-	if !ok || !word(kind) {
+	if !ok || !isNamePart(kind) {
 		return Name{}, fmt.Errorf("%w: %.80q is not KIND@SCOPE, as routes@all or spread@zone/z1", ErrName, text)
 	}
 	level, of, named := strings.Cut(scope, "/")
 	n := Name{Kind: kind, Scope: Scope{Level: Level(level), Of: of}}
-	if level == string(All) && !named {
+	if level == string(LevelAll) && !named {
 		return n, nil
 	}
 	for _, l := range Levels[1:] {
-		if string(l) == level && word(of) {
+		if string(l) == level && isNamePart(of) {
 			return n, nil
 		}
 	}
 	return Name{}, fmt.Errorf("%w: scope %.80q is none of all, region/NAME, zone/NAME, service/NAME, agent/NAME", ErrName, scope)
 }
 
-// word tells whether a text may be a part of a name: it goes through a line of the console.
-func word(s string) bool {
-	return s != "" && len(s) <= maxWord && strings.IndexFunc(s, func(r rune) bool {
+// isNamePart tells whether a text may be a part of a name: it goes through a line of the console.
+func isNamePart(s string) bool {
+	return s != "" && len(s) <= maxWordBytes && strings.IndexFunc(s, func(r rune) bool {
 		return r <= ' ' || r == '@' || r == 0x7f || r == '/'
 	}) < 0
 }
@@ -137,11 +137,11 @@
 
 // The stages of a revision.
 const (
-	Waiting    Stage = "waiting"    // behind another of its document, or not begun
-	First      Stage = "first"      // at some agents of each service
-	Everywhere Stage = "everywhere" // for all agents of its scope
-	Superseded Stage = "superseded" // a later one took its place before it began, or after
-	Halted     Stage = "halted"     // refused or worse at the first stage; the former text came back
+	StageWaiting    Stage = "waiting"    // behind another of its document, or not begun
+	StageFirst      Stage = "first"      // at some agents of each service
+	StageEverywhere Stage = "everywhere" // for all agents of its scope
+	StageSuperseded Stage = "superseded" // a later one took its place before it began, or after
+	StageHalted     Stage = "halted"     // refused or worse at the first stage; the former text came back
 )
 
 // Revision is a change, as operators see it.
@@ -205,8 +205,8 @@
 	Why      string `json:"why"` // the loader's words: file, line and field; MaxWhy bytes at most
 }
 
-// MaxWhy bounds a refusal's words.
-const MaxWhy = 400
+// MaxWhyBytes bounds a refusal's words.
+const MaxWhyBytes = 400
 
 // Report is what an agent last said of itself, beside when a control machine heard it.
 type Report struct {
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -11,34 +11,34 @@
 // text4k is a document's text of 4 KiB.
 var text4k = bytes.Repeat([]byte("0123456789abcde\n"), 256)
 
-// many is a state of documents everywhere: one in ten for a1, the others each for one of other agents.
-func many(b *testing.B, documents int) *log {
-	l := &log{t: b, State: New()}
+// settledLog is a state of documents everywhere: one in ten for a1, the others each for one of other agents.
+func settledLog(b *testing.B, documents int) *testLog {
+	l := &testLog{t: b, State: New()}
 	for i := range documents {
-		n := Name{fmt.Sprint("kind", i), Scope{One, fmt.Sprint("other", i)}}
+		n := Name{fmt.Sprint("kind", i), Scope{LevelAgent, fmt.Sprint("other", i)}}
 		if i%10 == 0 {
-			n.Scope = []Scope{{Level: All}, {Zone, "z1"}, {Service, "s"}}[i/10%3]
+			n.Scope = []Scope{{Level: LevelAll}, {LevelZone, "z1"}, {LevelService, "s"}}[i/10%3]
 		}
-		l.settled(n, string(text4k))
+		l.putEverywhere(n, string(text4k))
 	}
 	return l
 }
 
 func BenchmarkFor(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		l := many(b, n)
+		l := settledLog(b, n)
 		b.Run(fmt.Sprint("documents=", n), func(b *testing.B) {
-			b.ReportMetric(float64(len(l.For(a1))), "mine")
+			b.ReportMetric(float64(len(l.DocumentsFor(a1))), "mine")
 			b.ReportAllocs()
 			for b.Loop() {
-				l.For(a1)
+				l.DocumentsFor(a1)
 			}
 		})
 	}
 }
 
-// crowd is the reports of agents in services of 30.
-func crowd(agents int) []Report {
+// testReports is the reports of agents in services of 30.
+func testReports(agents int) []Report {
 	out := make([]Report, agents)
 	for i := range out {
 		out[i] = Report{Agent: Agent{fmt.Sprint("agent", i), fmt.Sprint("s", i/30), fmt.Sprint("z", i%4), "r"}, Life: 1, Seq: 1,
@@ -49,23 +49,23 @@
 
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 100, 730, 1460} {
-		reports := crowd(n)
-		idle := &log{t: b, State: New()}
-		idle.settled(routes, "x")
-		first := &log{t: b, State: New()}
-		first.settled(routes, "x")
+		reports := testReports(n)
+		idle := &testLog{t: b, State: New()}
+		idle.putEverywhere(routes, "x")
+		first := &testLog{t: b, State: New()}
+		first.putEverywhere(routes, "x")
 		first.put(routes, "y")
-		for _, e := range NewSteward(Defaults).Decide(first.State, reports, 1e9) {
-			first.must(e)
+		for _, e := range NewStageController(Defaults).Decide(first.State, reports, 1e9) {
+			first.mustApply(e)
 		}
-		waiting := &log{t: b, State: New()}
+		waiting := &testLog{t: b, State: New()}
 		waiting.put(routes, "x")
 		for _, c := range []struct {
 			name string
-			l    *log
+			l    *testLog
 		}{{"idle", idle}, {"start", waiting}, {"first", first}} {
 			b.Run(fmt.Sprint("agents=", n, "/", c.name), func(b *testing.B) {
-				w := NewSteward(Defaults)
+				w := NewStageController(Defaults)
 				b.ReportAllocs()
 				for b.Loop() {
 					w.Decide(c.l.State, reports, 1e9)
@@ -76,23 +76,23 @@
 }
 
 func BenchmarkHear(b *testing.B) {
-	reports := crowd(1460)
-	t := NewTable()
+	reports := testReports(1460)
+	t := NewReportTable()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		r := reports[i%len(reports)]
 		r.Seq = uint64(i)
-		t.Hear(r, int64(i))
+		t.Update(r, int64(i))
 	}
 }
 
 func BenchmarkTake(b *testing.B) {
-	h := NewHeld(a1)
-	docs := []Document{document(routes, 1, string(text4k)), document(byZone, 2, string(text4k)), {}}
+	h := NewDocumentSet(a1)
+	docs := []Document{testDocument(routes, 1, string(text4k)), testDocument(byZone, 2, string(text4k)), {}}
 	b.ReportAllocs()
 	for n := uint64(2); b.Loop(); n++ {
-		docs[2] = document(Name{"spread", Scope{Level: All}}, n+1, string(text4k))
-		if _, err := h.Take(WatchReply{Version: n + 1, Docs: docs}); err != nil {
+		docs[2] = testDocument(Name{"spread", Scope{Level: LevelAll}}, n+1, string(text4k))
+		if _, err := h.Receive(WatchReply{Version: n + 1, Docs: docs}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -103,7 +103,7 @@
 // of a second message: net/rpc sends the types once a connection.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		l := many(b, n)
+		l := settledLog(b, n)
 		b.Run(fmt.Sprint("snapshot/documents=", n), func(b *testing.B) {
 			for b.Loop() {
 				l.Image().Bytes()
@@ -111,12 +111,12 @@
 			b.ReportMetric(float64(len(l.Image().Bytes())), "bytes")
 		})
 	}
-	h := NewHeld(a1)
+	h := NewDocumentSet(a1)
 	var docs []Document
 	for i := range 4 {
-		docs = append(docs, document(Name{fmt.Sprint("kind", i), Scope{Level: All}}, uint64(i+1), string(text4k)))
+		docs = append(docs, testDocument(Name{fmt.Sprint("kind", i), Scope{Level: LevelAll}}, uint64(i+1), string(text4k)))
 	}
-	if _, err := h.Take(WatchReply{Version: 4, Docs: docs}); err != nil {
+	if _, err := h.Receive(WatchReply{Version: 4, Docs: docs}); err != nil {
 		b.Fatal(err)
 	}
 	for _, d := range docs {
@@ -132,7 +132,7 @@
 	report := Report{Agent: a1, Life: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).UnixMicro(), Seq: 1000, Seen: seen,
 		InForce: map[string]uint64{"kind0": 1, "kind1": 2, "kind2": 3, "kind3": 4}, Calls: 100000, Failed: 1000}
 	for name, message := range map[string]any{
-		"args":       WatchArgs{Report: report, Have: h.Have(), Version: 4, PatienceMs: 2000},
+		"args":       WatchArgs{Report: report, Have: h.KnownRevisions(), Version: 4, PatienceMs: 2000},
 		"empty":      WatchReply{Machine: "c1", Version: 4},
 		"one4k":      WatchReply{Machine: "c1", Version: 5, Docs: docs[:1]},
 		"whole4x4k":  WatchReply{Machine: "c1", Version: 5, Whole: true, Docs: docs},
--- a/rollout/coverage.go
+++ b/rollout/coverage.go
@@ -36,10 +36,10 @@
 	Refusal
 }
 
-// Cover tells where the latest revision of a document is in force, from the last report of each
+// ComputeCoverage tells where the latest revision of a document is in force, from the last report of each
 // agent in any order. An agent is in reach whose report is at most freshUs microseconds old, by
 // the clock of the reports' AtUs. The cost grows with the agents.
-func Cover(s *State, n Name, reports []Report, nowUs, freshUs int64) Coverage {
+func ComputeCoverage(s *State, n Name, reports []Report, nowUs, freshUs int64) Coverage {
 	latest, _ := s.Latest(n)
 	c := Coverage{Name: n, Revision: latest.Revision, Stage: latest.Stage, Zones: map[string]ZoneCoverage{}}
 	if c.Revision == 0 {
@@ -49,19 +49,19 @@
 	heard := map[string]bool{}
 	for i := range reports {
 		r := &reports[i]
-		if !n.Scope.Holds(r.Agent) {
+		if !n.Scope.Contains(r.Agent) {
 			continue
 		}
 		heard[r.Agent.Name] = true
 		z := c.Zones[r.Agent.Zone]
 		z.Agents++
 		c.Agents++
-		why, refused := refusal(r, n, c.Revision)
+		why, refused := findRefusal(r, n, c.Revision)
 		if refused {
 			c.Refused = append(c.Refused, AgentRefusal{r.Agent.Name, Refusal{n, c.Revision, why}})
 		}
-		has := r.Seen[key] == c.Revision && (latest.Removed || r.InForce[n.Kind] == c.Revision || s.shadowed(r.Agent, n))
-		d := s.docs[n].at(r.Agent)
+		has := r.Seen[key] == c.Revision && (latest.Removed || r.InForce[n.Kind] == c.Revision || s.isShadowed(r.Agent, n))
+		d := s.docs[n].revisionFor(r.Agent)
 		switch {
 		case has:
 			z.InForce++
@@ -74,7 +74,7 @@
 		}
 		c.Zones[r.Agent.Zone] = z
 	}
-	if latest.Stage == First {
+	if latest.Stage == StageFirst {
 		for _, a := range latest.First {
 			if !heard[a] {
 				c.OutOfReach = append(c.OutOfReach, a)
@@ -87,13 +87,13 @@
 	return c
 }
 
-// shadowed tells whether an agent has a narrower document of the kind, with a text.
-func (s *State) shadowed(a Agent, n Name) bool {
+// isShadowed tells whether an agent has a narrower document of the kind, with a text.
+func (s *State) isShadowed(a Agent, n Name) bool {
 	scopes := a.scopes()
 	at := slices.Index(Levels, n.Scope.Level)
 	for _, scope := range scopes[at+1:] {
 		if d := s.docs[Name{n.Kind, scope}]; d != nil {
-			if r := d.at(a); r != nil && !r.Removed {
+			if r := d.revisionFor(a); r != nil && !r.Removed {
 				return true
 			}
 		}
--- a/rollout/held_test.go
+++ b/rollout/held_test.go
@@ -11,13 +11,13 @@
 
 var a1 = Agent{Name: "a1", Service: "s", Zone: "z1", Region: "r"}
 
-func document(n Name, revision uint64, text string) Document {
+func testDocument(n Name, revision uint64, text string) Document {
 	return Document{Name: n, Revision: revision, Text: []byte(text), Sum: Sum([]byte(text)), Removed: text == ""}
 }
 
-// TestHeld plays orders to an agent's set: "take N:TEXT" tells it of a document, "ok" and "no"
+// TestDocumentSet plays orders to an agent's set: "take N:TEXT" tells it of a document, "ok" and "no"
 // are what its loader makes of it; "" as a text is a removal. Wide is routes@all, near routes@zone/z1.
-func TestHeld(t *testing.T) {
+func TestDocumentSet(t *testing.T) {
 	cases := []struct {
 		name, play, force, seen, refused string
 	}{
@@ -37,7 +37,7 @@
 		{"the former accepted late", "wide 1:x old wide 2:y late", "1 x", "map[routes@all:1]", ""},
 	}
 	for _, c := range cases {
-		h := NewHeld(a1)
+		h := NewDocumentSet(a1)
 		n := routes
 		var last, old Document
 		for _, w := range strings.Fields(c.play) {
@@ -58,13 +58,13 @@
 				var revision uint64
 				number, text, _ := strings.Cut(w, ":")
 				fmt.Sscan(number, &revision)
-				if fresh, err := h.Take(WatchReply{Version: revision, Docs: []Document{document(n, revision, text)}}); err != nil {
+				if fresh, err := h.Receive(WatchReply{Version: revision, Docs: []Document{testDocument(n, revision, text)}}); err != nil {
 					t.Fatalf("%s: %v", c.name, err)
 				} else if len(fresh) > 0 {
 					last = fresh[0]
 				}
 			}
-			back, err := DecodeHeld(a1, h.Bytes())
+			back, err := DecodeDocumentSet(a1, h.Bytes())
 			if err != nil || !bytes.Equal(back.Bytes(), h.Bytes()) {
 				t.Fatalf("%s: after %s: %v", c.name, w, err)
 			}
@@ -83,83 +83,83 @@
 			t.Errorf("%s: in force %s, seen %v, refused %s; want %s, %s, %s", c.name, force, seen, got, c.force, c.seen, c.refused)
 		}
 	}
-	h := NewHeld(a1)
-	if _, err := h.Take(WatchReply{Version: 7, Docs: []Document{document(routes, 5, "x"), document(byZone, 4, "y")}}); err != nil {
+	h := NewDocumentSet(a1)
+	if _, err := h.Receive(WatchReply{Version: 7, Docs: []Document{testDocument(routes, 5, "x"), testDocument(byZone, 4, "y")}}); err != nil {
 		t.Fatal(err)
 	}
-	h.Accept(document(routes, 5, "x"))
-	h.Accept(document(routes, 9, "z")) // never told of
-	h.Refuse(document(byZone, 3, "y"), "an older one")
-	if p := h.Pending(); len(p) != 1 || p[0].Revision != 4 || h.Version() != 7 || !h.Behind(WatchReply{Version: 6}) || h.Behind(WatchReply{Version: 7}) ||
-		!maps.Equal(h.Have(), map[string]uint64{"routes@all": 5, "routes@zone/z1": 4}) {
-		t.Errorf("pending %v, version %d, have %v", p, h.Version(), h.Have())
+	h.Accept(testDocument(routes, 5, "x"))
+	h.Accept(testDocument(routes, 9, "z")) // never told of
+	h.Refuse(testDocument(byZone, 3, "y"), "an older one")
+	if p := h.Pending(); len(p) != 1 || p[0].Revision != 4 || h.Version() != 7 || !h.IsBehind(WatchReply{Version: 6}) || h.IsBehind(WatchReply{Version: 7}) ||
+		!maps.Equal(h.KnownRevisions(), map[string]uint64{"routes@all": 5, "routes@zone/z1": 4}) {
+		t.Errorf("pending %v, version %d, have %v", p, h.Version(), h.KnownRevisions())
 	}
-	h.Refuse(document(byZone, 4, "y"), strings.Repeat("é", MaxWhy))
-	for words, want := range map[string]string{"line 1:\nEOT\x00": "line 1: EOT ", "\xff\xfe": "?", strings.Repeat("\xff", 2*MaxWhy): "?"} {
-		if got := plain(words, MaxWhy); got != want {
+	h.Refuse(testDocument(byZone, 4, "y"), strings.Repeat("é", MaxWhyBytes))
+	for words, want := range map[string]string{"line 1:\nEOT\x00": "line 1: EOT ", "\xff\xfe": "?", strings.Repeat("\xff", 2*MaxWhyBytes): "?"} {
+		if got := singleLine(words, MaxWhyBytes); got != want {
 			t.Errorf("%.20q: %.20q", words, got)
 		}
 	}
-	if _, refused := h.Report(); len(refused) != 1 || refused[0].Why != strings.Repeat("é", MaxWhy/2) {
+	if _, refused := h.Report(); len(refused) != 1 || refused[0].Why != strings.Repeat("é", MaxWhyBytes/2) {
 		t.Errorf("refused %v", refused)
 	}
 }
 
-func TestForged(t *testing.T) {
+func TestInvalidReplies(t *testing.T) {
 	with := func(d Document, change func(*Document)) Document { change(&d); return d }
-	good := document(routes, 2, "x")
+	good := testDocument(routes, 2, "x")
 	cases := []struct {
 		name string
 		docs []Document
 	}{
 		{"field sum", []Document{with(good, func(d *Document) { d.Sum++ })}},
-		{"not a document of agent a1", []Document{document(Name{"routes", Scope{Zone, "z2"}}, 2, "x")}},
-		{"not a document of agent a1", []Document{document(Name{"", Scope{Level: All}}, 2, "x")}},
-		{"field text: 262145 bytes", []Document{document(routes, 2, strings.Repeat("x", MaxText+1))}},
-		{"outside 1 to 9", []Document{document(routes, 10, "x")}},
-		{"outside 1 to 9", []Document{document(routes, 0, "x")}},
-		{"had another text", []Document{document(routes, 1, "y")}},
-		{"had another text", []Document{document(routes, 1, "")}},
-		{"that number is routes@all", []Document{document(byZone, 1, "x")}},
-		{"that number is routes@all", []Document{good, document(byZone, 2, "x")}},
-		{"twice in one answer", []Document{document(routes, 3, "x"), good}},
+		{"not a document of agent a1", []Document{testDocument(Name{"routes", Scope{LevelZone, "z2"}}, 2, "x")}},
+		{"not a document of agent a1", []Document{testDocument(Name{"", Scope{Level: LevelAll}}, 2, "x")}},
+		{"field text: 262145 bytes", []Document{testDocument(routes, 2, strings.Repeat("x", MaxTextBytes+1))}},
+		{"outside 1 to 9", []Document{testDocument(routes, 10, "x")}},
+		{"outside 1 to 9", []Document{testDocument(routes, 0, "x")}},
+		{"had another text", []Document{testDocument(routes, 1, "y")}},
+		{"had another text", []Document{testDocument(routes, 1, "")}},
+		{"that number is routes@all", []Document{testDocument(byZone, 1, "x")}},
+		{"that number is routes@all", []Document{good, testDocument(byZone, 2, "x")}},
+		{"twice in one answer", []Document{testDocument(routes, 3, "x"), good}},
 		{"of a removed document", []Document{with(good, func(d *Document) { d.Removed = true })}},
 	}
 	for _, c := range cases {
-		h := NewHeld(a1)
-		if _, err := h.Take(WatchReply{Version: 1, Docs: []Document{document(routes, 1, "x")}}); err != nil {
+		h := NewDocumentSet(a1)
+		if _, err := h.Receive(WatchReply{Version: 1, Docs: []Document{testDocument(routes, 1, "x")}}); err != nil {
 			t.Fatal(err)
 		}
 		was := h.Bytes()
-		fresh, err := h.Take(WatchReply{Version: 9, Docs: append([]Document{document(Name{"spread", Scope{Level: All}}, 8, "z")}, c.docs...)})
-		if !errors.Is(err, ErrForged) || !strings.Contains(err.Error(), c.name) || fresh != nil || !bytes.Equal(was, h.Bytes()) {
+		fresh, err := h.Receive(WatchReply{Version: 9, Docs: append([]Document{testDocument(Name{"spread", Scope{Level: LevelAll}}, 8, "z")}, c.docs...)})
+		if !errors.Is(err, ErrInvalidReply) || !strings.Contains(err.Error(), c.name) || fresh != nil || !bytes.Equal(was, h.Bytes()) {
 			t.Errorf("%s: %v, %v", c.name, fresh, err)
 		}
 	}
 }
 
-// TestTornHeld: each cut and each flipped byte of what is kept is refused, naming a byte.
-func TestTornHeld(t *testing.T) {
-	h := NewHeld(a1)
+// TestCorruptDocumentSet: each cut and each flipped byte of what is kept is refused, naming a byte.
+func TestCorruptDocumentSet(t *testing.T) {
+	h := NewDocumentSet(a1)
 	for i, text := range []string{"x", "y"} {
-		if _, err := h.Take(WatchReply{Version: 9, Docs: []Document{document(routes, uint64(i+1), text)}}); err != nil {
+		if _, err := h.Receive(WatchReply{Version: 9, Docs: []Document{testDocument(routes, uint64(i+1), text)}}); err != nil {
 			t.Fatal(err)
 		}
 		if i == 0 {
-			h.Accept(document(routes, 1, "x"))
+			h.Accept(testDocument(routes, 1, "x"))
 		}
 	}
-	h.Refuse(document(routes, 2, "y"), "line 1: no")
+	h.Refuse(testDocument(routes, 2, "y"), "line 1: no")
 	data := h.Bytes()
 	for i := range data {
 		for bit := range 8 {
 			flipped := bytes.Clone(data)
 			flipped[i] ^= 1 << bit
-			if _, err := DecodeHeld(a1, flipped); !errors.Is(err, ErrHeld) || !strings.Contains(err.Error(), "byte ") {
+			if _, err := DecodeDocumentSet(a1, flipped); !errors.Is(err, ErrDocumentSet) || !strings.Contains(err.Error(), "byte ") {
 				t.Fatalf("bit %d of byte %d: %v", bit, i, err)
 			}
 		}
-		if _, err := DecodeHeld(a1, data[:i]); !errors.Is(err, ErrHeld) || !strings.Contains(err.Error(), "byte ") {
+		if _, err := DecodeDocumentSet(a1, data[:i]); !errors.Is(err, ErrDocumentSet) || !strings.Contains(err.Error(), "byte ") {
 			t.Fatalf("cut at byte %d: %v", i, err)
 		}
 	}
@@ -172,14 +172,14 @@
 		"another agent's": {Agent{Name: "a2"}, data}, "of a zone left": {moved, data}, "longer": {a1, append(bytes.Clone(data), 0)},
 		"a snapshot": {a1, New().Image().Bytes()}, "junk": {a1, []byte("\x00\xff\x00\xff\x00\xff\x00\xff\x00\xff\x00\xff\x00\xff\x00\xff\x00")},
 	} {
-		if _, err := DecodeHeld(c.a, c.data); !errors.Is(err, ErrHeld) || !strings.Contains(err.Error(), "byte ") {
+		if _, err := DecodeDocumentSet(c.a, c.data); !errors.Is(err, ErrDocumentSet) || !strings.Contains(err.Error(), "byte ") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	doc := `{"name":{"kind":"routes","scope":{"level":"all"}},"revision":1,"sum":17241709254077376921}`
 	for _, docs := range []string{"null", `{"told":` + doc + `,"taken":true,"refused":true}`, `{"told":` + doc + `},{"told":` + doc + `}`, `{"told":{}}`} {
 		img := `{"agent":{"name":"a1","service":"s","zone":"z1","region":"r"},"version":1,"docs":[` + docs + `]}`
-		if _, err := DecodeHeld(a1, seal(heldMagic, []byte(img))); !errors.Is(err, ErrHeld) || !strings.Contains(err.Error(), "docs[") {
+		if _, err := DecodeDocumentSet(a1, encodeFrame(documentSetMagic, []byte(img))); !errors.Is(err, ErrDocumentSet) || !strings.Contains(err.Error(), "docs[") {
 			t.Errorf("%s: %v", docs, err)
 		}
 	}
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -19,7 +19,7 @@
 
 // Image is a state's copy that later entries do not change, so that a snapshot can be written
 // while the log goes on.
-type Image struct{ i image }
+type Image struct{ image image }
 
 type image struct {
 	Applied uint64     `json:"applied"`
@@ -36,8 +36,8 @@
 // Image copies the state. Texts and revisions are shared: nothing writes into them.
 func (s *State) Image() Image {
 	i := image{Applied: s.applied, Docs: make([]docImage, 0, len(s.docs))}
-	for _, d := range s.byKey() {
-		i.Docs = append(i.Docs, docImage{d.now, d.first, d.next, d.former})
+	for _, d := range s.sortedDocs() {
+		i.Docs = append(i.Docs, docImage{d.current, d.first, d.waiting, d.former})
 	}
 	return Image{i}
 }
@@ -45,20 +45,20 @@
 // Bytes is the snapshot of the copied state: the magic, the JSON image (documents by name, so
 // that equal states give equal bytes) and the image's xxhash64, big-endian, in the last 8 bytes.
 func (i Image) Bytes() []byte {
-	img, _ := json.Marshal(i.i)
-	return seal(snapshotMagic, img)
+	img, _ := json.Marshal(i.image)
+	return encodeFrame(snapshotMagic, img)
 }
 
 // Restore returns the state that a snapshot holds. One that is none, is cut short, or whose
 // checksum does not match is refused with ErrSnapshot naming the byte.
 func Restore(data []byte) (*State, error) {
-	img, err := unseal(snapshotMagic, data)
+	img, err := decodeFrame(snapshotMagic, data)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	var m image
 	if err := json.Unmarshal(img, &m); err != nil {
-		return nil, fmt.Errorf("%w: image, %s", ErrSnapshot, describe(img, err))
+		return nil, fmt.Errorf("%w: image, %s", ErrSnapshot, describeJSONError(img, err))
 	}
 	s := New()
 	s.applied = m.Applied
@@ -72,34 +72,34 @@
 			case d == nil && (!r.Name.valid() || s.docs[r.Name] != nil):
 				return nil, fmt.Errorf("%w: field docs[%d]: name %q can't be, or is there twice", ErrSnapshot, n, r.Name)
 			case d == nil:
-				d = s.add(r.Name)
+				d = s.addDocument(r.Name)
 			}
 			if r.Name != d.name || r.Revision == 0 || r.Revision > m.Applied || numbers[r.Revision] || r.Sum != Sum(r.Text) {
 				return nil, fmt.Errorf("%w: field docs[%d]: revision %d of %v: its name, number or sum can't be", ErrSnapshot, n, r.Revision, d.name)
 			}
 			numbers[r.Revision] = true
-			s.total += len(r.Text)
+			s.totalBytes += len(r.Text)
 		}
 		if d == nil || slices.Contains(di.Former, nil) {
 			return nil, fmt.Errorf("%w: field docs[%d]: a revision is missing", ErrSnapshot, n)
 		}
-		d.now, d.first, d.next, d.former = di.Now, di.First, di.Next, di.Former
-		if d.first != nil || d.next != nil {
+		d.current, d.first, d.waiting, d.former = di.Now, di.First, di.Next, di.Former
+		if d.first != nil || d.waiting != nil {
 			s.open[d] = true
 		}
 	}
 	return s, nil
 }
 
-// seal frames an image: the magic, the image, and its xxhash64, big-endian.
-func seal(magic string, img []byte) []byte {
+// encodeFrame frames an image: the magic, the image, and its xxhash64, big-endian.
+func encodeFrame(magic string, img []byte) []byte {
 	out := make([]byte, 0, len(magic)+len(img)+8)
 	out = append(append(out, magic...), img...)
 	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(img))
 }
 
-// unseal returns the image of a frame; an error names the byte.
-func unseal(magic string, data []byte) ([]byte, error) {
+// decodeFrame returns the image of a frame; an error names the byte.
+func decodeFrame(magic string, data []byte) ([]byte, error) {
 	for i := range min(len(magic), len(data)) {
 		if data[i] != magic[i] {
 			return nil, fmt.Errorf("byte %d: not a file of this kind (it begins %q)", i, data[:min(len(data), 8)])
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -13,12 +13,12 @@
 
 // Bounds of an entry's words.
 const (
-	// MaxFirst bounds the agents of a first stage.
-	MaxFirst = 4096
-	// MaxHaltWhy bounds the bytes of a halt's words: an agent's name and its refusal fit.
-	MaxHaltWhy = MaxWhy + 2*maxWord
-	// ByRollout is the author of the revisions that a halt makes.
-	ByRollout = "rollout"
+	// MaxFirstAgents bounds the agents of a first stage.
+	MaxFirstAgents = 4096
+	// MaxHaltWhyBytes bounds the bytes of a halt's words: an agent's name and its refusal fit.
+	MaxHaltWhyBytes = MaxWhyBytes + 2*maxWordBytes
+	// AuthorRollout is the author of the revisions that a halt makes.
+	AuthorRollout = "rollout"
 )
 
 // State is the replicated state: every document with its revisions. It is deterministic: states
@@ -26,26 +26,26 @@
 // safe for use by several goroutines at once. What it returns shares texts and lists with it:
 // nobody may write into them.
 type State struct {
-	applied uint64
-	docs    map[Name]*doc
-	scopes  map[Scope][]*doc // those of a scope, by key
-	open    map[*doc]bool    // with a revision waiting or at its first stage
-	total   int              // bytes of all texts kept
+	applied    uint64
+	docs       map[Name]*doc
+	byScope    map[Scope][]*doc // those of a scope, by key
+	open       map[*doc]bool    // with a revision waiting or at its first stage
+	totalBytes int              // bytes of all texts kept
 }
 
 // doc is a document. Its revisions are never written into, so that an Image may share them.
 type doc struct {
-	name   Name
-	key    string      // name.String()
-	now    *Revision   // everywhere; nil: none yet
-	first  *Revision   // at its first stage
-	next   *Revision   // waiting
-	former []*Revision // superseded and halted, by number
+	name    Name
+	key     string      // name.String()
+	current *Revision   // everywhere; nil: none yet
+	first   *Revision   // at its first stage
+	waiting *Revision   // waiting
+	former  []*Revision // superseded and halted, by number
 }
 
 // New returns the empty state, at index 0.
 func New() *State {
-	return &State{docs: map[Name]*doc{}, scopes: map[Scope][]*doc{}, open: map[*doc]bool{}}
+	return &State{docs: map[Name]*doc{}, byScope: map[Scope][]*doc{}, open: map[*doc]bool{}}
 }
 
 // Sum is the checksum of a text, as Document.Sum has it.
@@ -78,30 +78,30 @@
 	s.applied = index
 	var e Entry
 	if err := json.Unmarshal(data, &e); err != nil {
-		return Result{}, fmt.Errorf("%w %d: %s", ErrEntry, index, describe(data, err))
+		return Result{}, fmt.Errorf("%w %d: %s", ErrEntry, index, describeJSONError(data, err))
 	}
-	if err := e.valid(); err != nil {
+	if err := e.validate(); err != nil {
 		return Result{}, fmt.Errorf("%w %d: %w", ErrEntry, index, err)
 	}
 	if e.Op == OpPut {
-		return s.put(index, e)
+		return s.applyPut(index, e)
 	}
 	for d := range s.open {
-		if d.first != nil && d.first.Revision == e.Revision || d.next != nil && d.next.Revision == e.Revision {
-			return s.stage(index, d, e), nil
+		if d.first != nil && d.first.Revision == e.Revision || d.waiting != nil && d.waiting.Revision == e.Revision {
+			return s.applyStage(index, d, e), nil
 		}
 	}
 	return Result{}, nil
 }
 
-func (s *State) put(index uint64, e Entry) (Result, error) {
+func (s *State) applyPut(index uint64, e Entry) (Result, error) {
 	d := s.docs[e.Name]
 	latest := d.latest()
 	if latest.Revision != e.Base {
-		return Result{}, fmt.Errorf("%w: %v is at %s, not at %d", ErrConflict, e.Name, latest.by(), e.Base)
+		return Result{}, fmt.Errorf("%w: %v is at %s, not at %d", ErrConflict, e.Name, latest.numberAndAuthor(), e.Base)
 	}
 	r := Revision{Document: Document{Name: e.Name, Revision: index, Text: e.Text, Removed: e.Remove},
-		Base: e.Base, Author: e.Author, AtUs: e.AtUs, Stage: Waiting, Restores: e.Restore}
+		Base: e.Base, Author: e.Author, AtUs: e.AtUs, Stage: StageWaiting, Restores: e.Restore}
 	refuse := func(format string, args ...any) (Result, error) {
 		return Result{}, fmt.Errorf("%w %d: field "+format, append([]any{ErrEntry, index}, args...)...)
 	}
@@ -117,24 +117,24 @@
 	case d == nil && len(s.docs) >= MaxDocuments:
 		return refuse("name: %d documents, most %d", len(s.docs)+1, MaxDocuments)
 	}
-	if n := s.total + len(r.Text); n > MaxTotal {
-		if n -= s.droppable(d); n > MaxTotal {
-			return refuse("text: %d bytes of texts in force or on their way, most %d", n, MaxTotal)
+	if n := s.totalBytes + len(r.Text); n > MaxTotalBytes {
+		if n -= s.droppableBytes(d); n > MaxTotalBytes {
+			return refuse("text: %d bytes of texts in force or on their way, most %d", n, MaxTotalBytes)
 		}
 	}
 	if d == nil {
-		d = s.add(e.Name)
+		d = s.addDocument(e.Name)
 	}
 	r.Sum = Sum(r.Text)
-	s.retire(d, d.next, Superseded, "")
-	d.next = &r
-	s.total += len(r.Text)
-	s.settle(d)
+	s.archive(d, d.waiting, StageSuperseded, "")
+	d.waiting = &r
+	s.totalBytes += len(r.Text)
+	s.enforceBounds(d)
 	return Result{Revision: index}, nil
 }
 
-// stage applies OpStart, OpAdvance and OpHalt to a document with an open revision.
-func (s *State) stage(index uint64, d *doc, e Entry) Result {
+// applyStage applies OpStart, OpAdvance and OpHalt to a document with an open revision.
+func (s *State) applyStage(index uint64, d *doc, e Entry) Result {
 	started := d.first != nil && d.first.Revision == e.Revision
 	switch {
 	case e.Op == OpStart && started:
@@ -146,65 +146,65 @@
 		d.first = &r
 		return Result{Revision: r.Revision, Changed: true}
 	case e.Op == OpStart && d.first == nil:
-		r := *d.next
-		if d.now != nil && d.now.Revision > r.Revision {
-			s.retire(d, d.next, Superseded, "")
+		r := *d.waiting
+		if d.current != nil && d.current.Revision > r.Revision {
+			s.archive(d, d.waiting, StageSuperseded, "")
 			r.Restores, r.Revision = r.Revision, index
-			s.total += len(r.Text)
+			s.totalBytes += len(r.Text)
 		}
-		r.Stage, r.First = First, union(nil, e.First)
-		d.first, d.next = &r, nil
+		r.Stage, r.First = StageFirst, union(nil, e.First)
+		d.first, d.waiting = &r, nil
 	case e.Op == OpAdvance && started:
 		r := *d.first
-		r.Stage = Everywhere
-		s.retire(d, d.now, Superseded, "")
-		d.now, d.first = &r, nil
+		r.Stage = StageEverywhere
+		s.archive(d, d.current, StageSuperseded, "")
+		d.current, d.first = &r, nil
 	case e.Op == OpHalt && started:
 		r := Revision{Document: Document{Name: d.name, Revision: index, Removed: true}, Base: d.first.Revision,
-			Author: ByRollout, AtUs: e.AtUs, Stage: Everywhere}
-		if d.now != nil {
-			r.Text, r.Removed, r.Restores = d.now.Text, d.now.Removed, d.now.Revision
+			Author: AuthorRollout, AtUs: e.AtUs, Stage: StageEverywhere}
+		if d.current != nil {
+			r.Text, r.Removed, r.Restores = d.current.Text, d.current.Removed, d.current.Revision
 		}
 		r.Sum = Sum(r.Text)
-		s.retire(d, d.now, Superseded, "")
-		s.retire(d, d.first, Halted, e.Why)
-		d.now, d.first = &r, nil
-		s.total += len(r.Text)
+		s.archive(d, d.current, StageSuperseded, "")
+		s.archive(d, d.first, StageHalted, e.Why)
+		d.current, d.first = &r, nil
+		s.totalBytes += len(r.Text)
 	default:
 		return Result{}
 	}
-	s.settle(d)
+	s.enforceBounds(d)
 	if e.Op == OpHalt {
 		return Result{Revision: index, Changed: true}
 	}
 	if e.Op == OpAdvance {
-		return Result{Revision: d.now.Revision, Changed: true}
+		return Result{Revision: d.current.Revision, Changed: true}
 	}
 	return Result{Revision: d.first.Revision, Changed: true}
 }
 
-// retire puts a revision among the former ones.
-func (s *State) retire(d *doc, r *Revision, as Stage, why string) {
+// archive puts a revision among the former ones.
+func (s *State) archive(d *doc, r *Revision, as Stage, why string) {
 	if r == nil {
 		return
 	}
 	c := *r
 	c.Stage, c.Why = as, why
-	at, _ := slices.BinarySearchFunc(d.former, c.Revision, byNumber)
+	at, _ := slices.BinarySearchFunc(d.former, c.Revision, compareNumber)
 	d.former = slices.Insert(slices.Clone(d.former), at, &c) // an Image may share the old list
 }
 
-// settle keeps the bounds and the index of open documents after a change of d.
-func (s *State) settle(d *doc) {
-	if d.first != nil || d.next != nil {
+// enforceBounds keeps the bounds and the index of open documents after a change of d.
+func (s *State) enforceBounds(d *doc) {
+	if d.first != nil || d.waiting != nil {
 		s.open[d] = true
 	} else {
 		delete(s.open, d)
 	}
-	for len(d.former) > MaxHistory {
-		s.drop(d)
+	for len(d.former) > MaxFormerRevisions {
+		s.dropOldest(d)
 	}
-	for s.total > MaxTotal {
+	for s.totalBytes > MaxTotalBytes {
 		var oldest *doc
 		for _, d := range s.docs {
 			if len(d.former) > 0 && (oldest == nil || d.former[0].Revision < oldest.former[0].Revision) {
@@ -214,47 +214,47 @@
 		if oldest == nil {
 			return // can't be: put looked
 		}
-		s.drop(oldest)
+		s.dropOldest(oldest)
 	}
 }
 
-func (s *State) drop(d *doc) {
-	s.total -= len(d.former[0].Text)
+func (s *State) dropOldest(d *doc) {
+	s.totalBytes -= len(d.former[0].Text)
 	d.former = d.former[1:]
 }
 
-// droppable is how many bytes the former texts have, with the one that a put to d supersedes.
-func (s *State) droppable(to *doc) (n int) {
+// droppableBytes is how many bytes the former texts have, with the one that a put to d supersedes.
+func (s *State) droppableBytes(to *doc) (n int) {
 	for _, d := range s.docs {
 		for _, r := range d.former {
 			n += len(r.Text)
 		}
 	}
-	if to != nil && to.next != nil {
-		n += len(to.next.Text)
+	if to != nil && to.waiting != nil {
+		n += len(to.waiting.Text)
 	}
 	return n
 }
 
-// add enters a new document.
-func (s *State) add(n Name) *doc {
+// addDocument enters a new document.
+func (s *State) addDocument(n Name) *doc {
 	d := &doc{name: n, key: n.String()}
 	s.docs[n] = d
-	list := s.scopes[n.Scope]
-	at, _ := slices.BinarySearchFunc(list, d, byKey)
-	s.scopes[n.Scope] = slices.Insert(list, at, d)
+	list := s.byScope[n.Scope]
+	at, _ := slices.BinarySearchFunc(list, d, compareKeys)
+	s.byScope[n.Scope] = slices.Insert(list, at, d)
 	return d
 }
 
-// For returns the documents whose scope holds an agent, removed ones among them, as it should
+// DocumentsFor returns the documents whose scope holds an agent, removed ones among them, as it should
 // have them now: the revision at its first stage where the agent is in that, otherwise the one
 // that is everywhere; by name. Of a name the number that an agent gets never falls as the log
 // goes on. The cost grows with the documents of the agent alone.
-func (s *State) For(a Agent) []Document {
+func (s *State) DocumentsFor(a Agent) []Document {
 	var docs [5][]*doc
 	n := 0
 	for i, scope := range a.scopes() {
-		docs[i] = s.scopes[scope]
+		docs[i] = s.byScope[scope]
 		n += len(docs[i])
 	}
 	if n == 0 {
@@ -271,17 +271,17 @@
 		if least < 0 {
 			return out
 		}
-		if r := docs[least][0].at(a); r != nil {
+		if r := docs[least][0].revisionFor(a); r != nil {
 			out = append(out, r.Document)
 		}
 		docs[least] = docs[least][1:]
 	}
 }
 
-// InFirst tells whether an agent is in some first stage that is open.
-func (s *State) InFirst(a Agent) bool {
+// InFirstStage tells whether an agent is in some first stage that is open.
+func (s *State) InFirstStage(a Agent) bool {
 	for d := range s.open {
-		if d.inFirst(a.Name) && d.name.Scope.Holds(a) {
+		if d.inFirstStage(a.Name) && d.name.Scope.Contains(a) {
 			return true
 		}
 	}
@@ -298,7 +298,7 @@
 // History returns the revisions of a document that are kept, the highest number first.
 func (s *State) History(n Name) (out []Revision) {
 	if d := s.docs[n]; d != nil {
-		for _, r := range slices.Concat(d.former, []*Revision{d.now, d.first, d.next}) {
+		for _, r := range slices.Concat(d.former, []*Revision{d.current, d.first, d.waiting}) {
 			if r != nil {
 				out = append(out, *r)
 			}
@@ -311,7 +311,7 @@
 // Names lists the documents, removed ones among them, by name.
 func (s *State) Names() []Name {
 	out := make([]Name, 0, len(s.docs))
-	for _, d := range s.byKey() {
+	for _, d := range s.sortedDocs() {
 		out = append(out, d.name)
 	}
 	return out
@@ -320,7 +320,7 @@
 // Open lists the revisions that wait or are at their first stage, the oldest first.
 func (s *State) Open() (out []Revision) {
 	for d := range s.open {
-		for _, r := range []*Revision{d.first, d.next} {
+		for _, r := range []*Revision{d.first, d.waiting} {
 			if r != nil {
 				out = append(out, *r)
 			}
@@ -335,23 +335,23 @@
 
 // scopes are the scopes that hold an agent, the widest first.
 func (a Agent) scopes() [5]Scope {
-	return [5]Scope{{Level: All}, {Region, a.Region}, {Zone, a.Zone}, {Service, a.Service}, {One, a.Name}}
+	return [5]Scope{{Level: LevelAll}, {LevelRegion, a.Region}, {LevelZone, a.Zone}, {LevelService, a.Service}, {LevelAgent, a.Name}}
 }
 
-func (s *State) byKey() []*doc {
+func (s *State) sortedDocs() []*doc {
 	out := make([]*doc, 0, len(s.docs))
 	for _, d := range s.docs {
 		out = append(out, d)
 	}
-	slices.SortFunc(out, byKey)
+	slices.SortFunc(out, compareKeys)
 	return out
 }
 
-func byKey(a, b *doc) int { return cmp.Compare(a.key, b.key) }
+func compareKeys(a, b *doc) int { return cmp.Compare(a.key, b.key) }
 
-func byNumber(r *Revision, n uint64) int { return cmp.Compare(r.Revision, n) }
+func compareNumber(r *Revision, n uint64) int { return cmp.Compare(r.Revision, n) }
 
-func (d *doc) inFirst(agent string) bool {
+func (d *doc) inFirstStage(agent string) bool {
 	if d.first == nil {
 		return false
 	}
@@ -359,17 +359,17 @@
 	return ok
 }
 
-// at is the revision that an agent of the scope should have; nil: none.
-func (d *doc) at(a Agent) *Revision {
-	if d.inFirst(a.Name) {
+// revisionFor is the revision that an agent of the scope should have; nil: none.
+func (d *doc) revisionFor(a Agent) *Revision {
+	if d.inFirstStage(a.Name) {
 		return d.first
 	}
-	return d.now
+	return d.current
 }
 
 func (d *doc) latest() Revision {
 	if d != nil {
-		for _, r := range []*Revision{d.next, d.first, d.now} {
+		for _, r := range []*Revision{d.waiting, d.first, d.current} {
 			if r != nil {
 				return *r
 			}
@@ -381,7 +381,7 @@
 // find returns a revision that is kept.
 func (d *doc) find(n uint64) *Revision {
 	if d != nil {
-		for _, r := range append([]*Revision{d.now, d.first, d.next}, d.former...) {
+		for _, r := range append([]*Revision{d.current, d.first, d.waiting}, d.former...) {
 			if r != nil && r.Revision == n {
 				return r
 			}
@@ -390,8 +390,8 @@
 	return nil
 }
 
-// by words a revision with its author.
-func (r Revision) by() string {
+// numberAndAuthor words a revision with its author.
+func (r Revision) numberAndAuthor() string {
 	switch {
 	case r.Revision == 0:
 		return "0 (there is none)"
@@ -408,18 +408,18 @@
 	return slices.Compact(out)
 }
 
-// valid names the first field of an entry that can't be applied.
-func (e Entry) valid() error {
+// validate names the first field of an entry that can't be applied.
+func (e Entry) validate() error {
 	switch e.Op {
 	case OpPut:
 		if !e.Name.valid() {
 			return fmt.Errorf("field name: %.80q is no name of a document", e.Name.String())
 		}
 		switch {
-		case !line(e.Author):
-			return fmt.Errorf("field author: %.80q is not a word of 1 to %d bytes", e.Author, maxWord)
-		case len(e.Text) > MaxText:
-			return fmt.Errorf("field text: %d bytes, most %d", len(e.Text), MaxText)
+		case !isAuthor(e.Author):
+			return fmt.Errorf("field author: %.80q is not a word of 1 to %d bytes", e.Author, maxWordBytes)
+		case len(e.Text) > MaxTextBytes:
+			return fmt.Errorf("field text: %d bytes, most %d", len(e.Text), MaxTextBytes)
 		case e.Remove && (len(e.Text) > 0 || e.Restore > 0):
 			return errors.New("field remove: a removal has neither text nor restore")
 		case e.Restore > 0 && len(e.Text) > 0:
@@ -430,12 +430,12 @@
 		switch {
 		case e.Revision == 0:
 			return errors.New("field revision: 0 is none")
-		case e.Op == OpStart && len(e.First) > MaxFirst:
-			return fmt.Errorf("field first: %d agents, most %d", len(e.First), MaxFirst)
-		case e.Op == OpStart && slices.ContainsFunc(e.First, func(s string) bool { return !word(s) }):
+		case e.Op == OpStart && len(e.First) > MaxFirstAgents:
+			return fmt.Errorf("field first: %d agents, most %d", len(e.First), MaxFirstAgents)
+		case e.Op == OpStart && slices.ContainsFunc(e.First, func(s string) bool { return !isNamePart(s) }):
 			return errors.New("field first: an agent's name is empty, longer than 128 bytes, or has blanks, @ or /")
-		case e.Op == OpHalt && len(e.Why) > MaxHaltWhy:
-			return fmt.Errorf("field why: %d bytes, most %d", len(e.Why), MaxHaltWhy)
+		case e.Op == OpHalt && len(e.Why) > MaxHaltWhyBytes:
+			return fmt.Errorf("field why: %d bytes, most %d", len(e.Why), MaxHaltWhyBytes)
 		}
 		return nil
 	}
@@ -448,13 +448,13 @@
 	return err == nil && back == n
 }
 
-// line tells whether a text may be a word of a console's line, such as an author.
-func line(s string) bool {
-	return s != "" && len(s) <= maxWord && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
+// isAuthor tells whether a text may be a word of a console's line, such as an author.
+func isAuthor(s string) bool {
+	return s != "" && len(s) <= maxWordBytes && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
-// describe words a JSON error with the byte it stands at.
-func describe(data []byte, err error) string {
+// describeJSONError words a JSON error with the byte it stands at.
+func describeJSONError(data []byte, err error) string {
 	var syn *json.SyntaxError
 	if errors.As(err, &syn) {
 		return fmt.Sprintf("byte %d: %v", syn.Offset, err)
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	routes = Name{Kind: "routes", Scope: Scope{Level: All}}
-	byZone = Name{Kind: "routes", Scope: Scope{Level: Zone, Of: "z1"}}
+	routes = Name{Kind: "routes", Scope: Scope{Level: LevelAll}}
+	byZone = Name{Kind: "routes", Scope: Scope{Level: LevelZone, Of: "z1"}}
 )
 
-// log applies entries from index 1 on.
-type log struct {
+// testLog applies entries from index 1 on.
+type testLog struct {
 	t interface {
 		Helper()
 		Fatalf(string, ...any)
@@ -25,37 +25,37 @@
 	starts int
 }
 
-func (l *log) do(e Entry) (Result, error) {
+func (l *testLog) tryApply(e Entry) (Result, error) {
 	if e.Op == OpStart {
 		l.starts++
 	}
 	return l.Apply(l.Applied()+1, Encode(e))
 }
 
-func (l *log) must(e Entry) uint64 {
+func (l *testLog) mustApply(e Entry) uint64 {
 	l.t.Helper()
-	r, err := l.do(e)
+	r, err := l.tryApply(e)
 	if err != nil || e.Op != OpPut && !r.Changed {
 		l.t.Fatalf("%+v: %+v, %v", e, r, err)
 	}
 	return r.Revision
 }
 
-func (l *log) put(n Name, text string) uint64 {
+func (l *testLog) put(n Name, text string) uint64 {
 	l.t.Helper()
 	head, _ := l.Latest(n)
-	return l.must(Entry{Op: OpPut, Name: n, Base: head.Revision, Text: []byte(text), Author: "anna"})
+	return l.mustApply(Entry{Op: OpPut, Name: n, Base: head.Revision, Text: []byte(text), Author: "anna"})
 }
 
-// settled puts a text and brings it everywhere.
-func (l *log) settled(n Name, text string) uint64 {
+// putEverywhere puts a text and brings it everywhere.
+func (l *testLog) putEverywhere(n Name, text string) uint64 {
 	l.t.Helper()
-	r := l.must(Entry{Op: OpStart, Revision: l.put(n, text)})
-	return l.must(Entry{Op: OpAdvance, Revision: r})
+	r := l.mustApply(Entry{Op: OpStart, Revision: l.put(n, text)})
+	return l.mustApply(Entry{Op: OpAdvance, Revision: r})
 }
 
-// words tells the kept revisions of a document, the newest first.
-func (l *log) words(n Name) string {
+// describeHistory tells the kept revisions of a document, the newest first.
+func (l *testLog) describeHistory(n Name) string {
 	var out []string
 	for _, r := range l.History(n) {
 		w := fmt.Sprintf("%d %s %q", r.Revision, r.Stage, r.Text)
@@ -102,18 +102,18 @@
 			`7 first "x" of 1, 4 everywhere "" removed, 1 superseded "x"`, "4 -", "7 x"},
 	}
 	for _, c := range cases {
-		l := &log{t: t, State: New()}
+		l := &testLog{t: t, State: New()}
 		for _, e := range c.entries {
-			if _, err := l.do(e); err != nil {
+			if _, err := l.tryApply(e); err != nil {
 				t.Errorf("%s: %v", c.name, err)
 			}
 		}
-		if got := l.words(routes); got != c.want {
+		if got := l.describeHistory(routes); got != c.want {
 			t.Errorf("%s:\n got %s\nwant %s", c.name, got, c.want)
 		}
 		for agent, want := range map[string]string{"a1": c.a1, "b1": c.b1} {
 			got := ""
-			for _, d := range l.For(Agent{Name: agent}) {
+			for _, d := range l.DocumentsFor(Agent{Name: agent}) {
 				if got = fmt.Sprint(d.Revision, " ", string(d.Text)); d.Removed {
 					got = fmt.Sprint(d.Revision, " -")
 				}
@@ -145,12 +145,12 @@
 		{Encode(Entry{Op: "merge"}), ErrEntry, `field op: "merge"`},
 		{Encode(Entry{Op: OpStart}), ErrEntry, "field revision"},
 		{Encode(Entry{Op: OpStart, Revision: 1, First: []string{"a b"}}), ErrEntry, "field first"},
-		{Encode(Entry{Op: OpStart, Revision: 1, First: make([]string, MaxFirst+1)}), ErrEntry, "4097 agents"},
-		{Encode(Entry{Op: OpHalt, Revision: 1, Why: strings.Repeat("x", MaxHaltWhy+1)}), ErrEntry, "field why: 657 bytes, most 656"},
-		{with(func(e *Entry) { e.Text = make([]byte, MaxText+1) }), ErrEntry, "field text: 262145 bytes, most 262144"},
+		{Encode(Entry{Op: OpStart, Revision: 1, First: make([]string, MaxFirstAgents+1)}), ErrEntry, "4097 agents"},
+		{Encode(Entry{Op: OpHalt, Revision: 1, Why: strings.Repeat("x", MaxHaltWhyBytes+1)}), ErrEntry, "field why: 657 bytes, most 656"},
+		{with(func(e *Entry) { e.Text = make([]byte, MaxTextBytes+1) }), ErrEntry, "field text: 262145 bytes, most 262144"},
 		{with(func(e *Entry) { e.Author = "" }), ErrEntry, "field author"},
 		{with(func(e *Entry) { e.Name.Scope.Level = "planet" }), ErrEntry, "field name"},
-		{with(func(e *Entry) { e.Name.Scope = Scope{All, "z1"} }), ErrEntry, "field name"},
+		{with(func(e *Entry) { e.Name.Scope = Scope{LevelAll, "z1"} }), ErrEntry, "field name"},
 		{with(func(e *Entry) { e.Remove = true }), ErrEntry, "field remove"},
 		{with(func(e *Entry) { e.Remove, e.Text = true, nil }), ErrEntry, "routes@zone/z1 has no text to remove"},
 		{with(func(e *Entry) { e.Restore = 1 }), ErrEntry, "field restore"},
@@ -158,9 +158,9 @@
 		{with(func(e *Entry) { e.Base = 9 }), ErrConflict, "routes@zone/z1 is at 0 (there is none), not at 9"},
 		{with(func(e *Entry) { e.Name = routes }), ErrConflict, "routes@all is at 1 by anna, not at 0"},
 	}
-	l := &log{t: t, State: New()}
+	l := &testLog{t: t, State: New()}
 	l.put(routes, "x")
-	docs := l.Image().i.Docs
+	docs := l.Image().image.Docs
 	for _, c := range cases {
 		r, err := l.Apply(l.Applied()+1, c.data)
 		if !errors.Is(err, c.err) || !strings.Contains(fmt.Sprint(err), c.says) || r != (Result{}) {
@@ -170,51 +170,51 @@
 	if _, err := l.Apply(l.Applied(), Encode(put)); !errors.Is(err, ErrEntry) {
 		t.Error("an index applied twice:", err)
 	}
-	if got := fmt.Sprint(l.Image().i.Docs); got != fmt.Sprint(docs) {
+	if got := fmt.Sprint(l.Image().image.Docs); got != fmt.Sprint(docs) {
 		t.Errorf("a refused entry changed the state: %s", got)
 	}
 }
 
 func TestBounds(t *testing.T) {
-	l := &log{t: t, State: New()}
-	for range 3 * MaxHistory {
-		l.settled(routes, "x")
+	l := &testLog{t: t, State: New()}
+	for range 3 * MaxFormerRevisions {
+		l.putEverywhere(routes, "x")
 	}
-	if got := len(l.History(routes)); got != MaxHistory+1 {
-		t.Errorf("%d revisions kept, want %d and the one in force", got, MaxHistory)
+	if got := len(l.History(routes)); got != MaxFormerRevisions+1 {
+		t.Errorf("%d revisions kept, want %d and the one in force", got, MaxFormerRevisions)
 	}
 	// Of MaxTotal two thirds are former texts: they go, the oldest first, and what is in force stays.
-	l = &log{t: t, State: New()}
-	text := strings.Repeat("x", MaxText)
-	names := make([]Name, MaxTotal/MaxText)
+	l = &testLog{t: t, State: New()}
+	text := strings.Repeat("x", MaxTextBytes)
+	names := make([]Name, MaxTotalBytes/MaxTextBytes)
 	for i := range names {
-		names[i] = Name{"routes", Scope{One, fmt.Sprint("a", i)}}
+		names[i] = Name{"routes", Scope{LevelAgent, fmt.Sprint("a", i)}}
 	}
 	for range 3 {
 		for _, n := range names[:len(names)/3] {
-			l.settled(n, text)
+			l.putEverywhere(n, text)
 		}
 	}
-	if l.total > MaxTotal {
-		t.Errorf("%d bytes kept", l.total)
+	if l.totalBytes > MaxTotalBytes {
+		t.Errorf("%d bytes kept", l.totalBytes)
 	}
 	for _, n := range names[len(names)/3:] {
-		l.settled(n, text)
+		l.putEverywhere(n, text)
 	}
 	for _, n := range names {
-		if h := l.History(n); len(h) != 1 || h[0].Stage != Everywhere || len(h[0].Text) != MaxText {
+		if h := l.History(n); len(h) != 1 || h[0].Stage != StageEverywhere || len(h[0].Text) != MaxTextBytes {
 			t.Fatalf("%v: %d revisions", n, len(h))
 		}
 	}
-	if _, err := l.do(Entry{Op: OpPut, Name: routes, Text: []byte("y"), Author: "b"}); !errors.Is(err, ErrEntry) ||
-		!strings.Contains(err.Error(), fmt.Sprintf("field text: %d bytes of texts in force or on their way, most %d", MaxTotal+1, MaxTotal)) {
+	if _, err := l.tryApply(Entry{Op: OpPut, Name: routes, Text: []byte("y"), Author: "b"}); !errors.Is(err, ErrEntry) ||
+		!strings.Contains(err.Error(), fmt.Sprintf("field text: %d bytes of texts in force or on their way, most %d", MaxTotalBytes+1, MaxTotalBytes)) {
 		t.Error(err)
 	}
-	l = &log{t: t, State: New()}
+	l = &testLog{t: t, State: New()}
 	for i := range MaxDocuments {
-		l.put(Name{"routes", Scope{One, fmt.Sprint("a", i)}}, "")
+		l.put(Name{"routes", Scope{LevelAgent, fmt.Sprint("a", i)}}, "")
 	}
-	if _, err := l.do(Entry{Op: OpPut, Name: routes, Author: "b"}); err == nil || !strings.Contains(err.Error(), "field name: 1025 documents, most 1024") {
+	if _, err := l.tryApply(Entry{Op: OpPut, Name: routes, Author: "b"}); err == nil || !strings.Contains(err.Error(), "field name: 1025 documents, most 1024") {
 		t.Error(err)
 	}
 }
@@ -224,7 +224,7 @@
 // agent of a first stage keeps what it has, and a restored state goes on as the other does.
 func TestNumbersNeverFall(t *testing.T) {
 	agents := []Agent{{"a1", "s", "z1", "r"}, {"a2", "s", "z1", "r"}, {"b1", "t", "z2", "r"}, {"b2", "t", "z2", "q"}}
-	names := []Name{routes, byZone, {"routes", Scope{One, "b1"}}, {"spread", Scope{Service, "s"}}}
+	names := []Name{routes, byZone, {"routes", Scope{LevelAgent, "b1"}}, {"spread", Scope{LevelService, "s"}}}
 	rapid.Check(t, func(t *rapid.T) {
 		s, other := New(), New()
 		numbers := map[string]uint64{}
@@ -273,9 +273,9 @@
 			}
 			for _, a := range agents {
 				last := ""
-				for _, d := range s.For(a) {
+				for _, d := range s.DocumentsFor(a) {
 					id := a.Name + " " + d.Name.String()
-					if d.Revision < numbers[id] || d.Name.String() <= last || !d.Name.Scope.Holds(a) {
+					if d.Revision < numbers[id] || d.Name.String() <= last || !d.Name.Scope.Contains(a) {
 						t.Fatalf("%s gets %d after %d (after %s)", id, d.Revision, numbers[id], last)
 					}
 					numbers[id], last = d.Revision, d.Name.String()
@@ -296,15 +296,15 @@
 }
 
 func TestSnapshotRefused(t *testing.T) {
-	l := &log{t: t, State: New()}
-	l.settled(routes, "x")
-	l.must(Entry{Op: OpStart, Revision: l.put(routes, "y")})
+	l := &testLog{t: t, State: New()}
+	l.putEverywhere(routes, "x")
+	l.mustApply(Entry{Op: OpStart, Revision: l.put(routes, "y")})
 	for range 6 {
 		l.put(routes, "waits") // so that the former ones have room before the next
 	}
 	whole := l.Image()
 	data := whole.Bytes()
-	l.must(Entry{Op: OpHalt, Revision: 4}) // an image stays as it was
+	l.mustApply(Entry{Op: OpHalt, Revision: 4}) // an image stays as it was
 	if !bytes.Equal(whole.Bytes(), data) {
 		t.Error("an image changed with its state")
 	}
@@ -318,7 +318,7 @@
 		}
 	}
 	for _, img := range []string{`{"docs":[{}]}`, `{"applied":"x"}`, `{"applied":1,"docs":[{"now":{"name":{"kind":"a","scope":{"level":"all"}},"revision":2}}]}`} {
-		if _, err := Restore(seal(snapshotMagic, []byte(img))); !errors.Is(err, ErrSnapshot) {
+		if _, err := Restore(encodeFrame(snapshotMagic, []byte(img))); !errors.Is(err, ErrSnapshot) {
 			t.Errorf("%s: %v", img, err)
 		}
 	}
--- a/rollout/steward.go
+++ b/rollout/steward.go
@@ -39,41 +39,43 @@
 	return out
 }
 
-// Steward is the leader's decision about stages. What it remembers are the counters of calls
+// StageController is the leader's decision about stages. What it remembers are the counters of calls
 // when a stage began and when its agents took the revision; a new leader's steward takes what
 // it finds as the beginning, and the stage lasts a Dwell longer. It is not safe for use by
 // several goroutines at once.
-type Steward struct {
-	s       Settings
-	sinceUs int64 // first asked; 0: never
-	trials  map[Name]*trial
+type StageController struct {
+	settings     Settings
+	firstAskedUs int64 // first asked; 0: never
+	stages       map[Name]*firstStage
 }
 
-// trial is what a steward remembers of a first stage.
-type trial struct {
-	revision uint64
-	before   map[string]counters // of every agent, when the stage began
-	rest     map[string]counters // and when the first agent took it; nil: none has
-	members  map[string]*member
-	choices  int // how often this steward has chosen agents
+// firstStage is what a steward remembers of a first stage.
+type firstStage struct {
+	revision      uint64
+	atStart       map[string]callCounters // of every agent, when the stage began
+	atFirstAccept map[string]callCounters // and when the first agent took it; nil: none has
+	agents        map[string]*stageAgent
+	selections    int // how often this steward has chosen agents
 }
 
-type counters struct {
+type callCounters struct {
 	life          int64
 	calls, failed uint64
 }
 
-// member is an agent of a first stage.
-type member struct {
-	sinceUs int64 // looked at first
-	lives   int   // that accepted the revision
-	takenUs int64 // the last of them, heard
-	at      counters
+// stageAgent is an agent of a first stage.
+type stageAgent struct {
+	firstSeenUs   int64 // looked at first
+	acceptedLives int   // that accepted the revision
+	acceptedUs    int64 // the last of them, heard
+	atAccept      callCounters
 }
 
-// NewSteward returns a steward that was not asked yet. One for a process's life will do, as will
+// NewStageController returns a steward that was not asked yet. One for a process's life will do, as will
 // one for each time it leads.
-func NewSteward(s Settings) *Steward { return &Steward{s: s, trials: map[Name]*trial{}} }
+func NewStageController(s Settings) *StageController {
+	return &StageController{settings: s, stages: map[Name]*firstStage{}}
+}
 
 // Decide returns what the leader proposes next, given the last report of each agent in any order
 // and the time by the clock of their AtUs. It is asked again when what it returned has been
@@ -98,20 +100,20 @@
 // also in a service of one agent); when all agents of a second choice fell silent too and some of
 // all those had accepted; or when agents restart after they accepted so that none has stood
 // within two Patiences.
-func (w *Steward) Decide(s *State, reports []Report, nowUs int64) (out []Entry) {
-	if w.sinceUs == 0 {
-		w.sinceUs = nowUs
+func (w *StageController) Decide(s *State, reports []Report, nowUs int64) (out []Entry) {
+	if w.firstAskedUs == 0 {
+		w.firstAskedUs = nowUs
 	}
 	if len(s.open) == 0 {
-		clear(w.trials)
+		clear(w.stages)
 		return nil
 	}
-	for n := range w.trials {
+	for n := range w.stages {
 		if !s.open[s.docs[n]] {
-			delete(w.trials, n)
+			delete(w.stages, n)
 		}
 	}
-	d := decision{w: w, nowUs: nowUs, reports: reports, byName: make(map[string]*Report, len(reports))}
+	d := decision{controller: w, nowUs: nowUs, reports: reports, byName: make(map[string]*Report, len(reports))}
 	for i := range reports {
 		d.byName[reports[i].Agent.Name] = &reports[i]
 	}
@@ -119,13 +121,13 @@
 	for doc := range s.open {
 		open = append(open, doc)
 	}
-	slices.SortFunc(open, byKey)
+	slices.SortFunc(open, compareKeys)
 	for _, doc := range open {
 		e := Entry{AtUs: nowUs}
 		if doc.first == nil {
-			d.start(doc, &e)
+			d.startStage(doc, &e)
 		} else {
-			d.look(doc, &e)
+			d.reviewStage(doc, &e)
 		}
 		if e.Op != "" {
 			out = append(out, e)
@@ -136,59 +138,61 @@
 
 // decision is one run of Decide.
 type decision struct {
-	w       *Steward
-	nowUs   int64
-	reports []Report
-	byName  map[string]*Report
+	controller *StageController
+	nowUs      int64
+	reports    []Report
+	byName     map[string]*Report
 }
 
-func (d *decision) within(r *Report, span time.Duration) bool {
+func (d *decision) heardWithin(r *Report, span time.Duration) bool {
 	return r != nil && d.nowUs-r.AtUs <= span.Microseconds()
 }
 
-// young tells whether the steward was asked so lately that who was not heard may yet be.
-func (d *decision) young() bool { return d.nowUs-d.w.sinceUs < d.w.s.Patience.Microseconds() }
+// warmingUp tells whether the steward was asked so lately that who was not heard may yet be.
+func (d *decision) warmingUp() bool {
+	return d.nowUs-d.controller.firstAskedUs < d.controller.settings.Patience.Microseconds()
+}
 
 // silent tells whether an agent of a first stage was not heard for a Patience while it was in it.
-func (d *decision) silent(r *Report, m *member) bool {
-	heard := m.sinceUs
+func (d *decision) silent(r *Report, m *stageAgent) bool {
+	heard := m.firstSeenUs
 	if r != nil {
 		heard = max(heard, r.AtUs)
 	}
-	return d.nowUs-heard > d.w.s.Patience.Microseconds()
+	return d.nowUs-heard > d.controller.settings.Patience.Microseconds()
 }
 
-// start begins a waiting revision's first stage.
-func (d *decision) start(doc *doc, e *Entry) {
-	first := d.pick(doc, doc.next.Revision, nil)
-	if len(first) == 0 && d.young() {
+// startStage begins a waiting revision's first stage.
+func (d *decision) startStage(doc *doc, e *Entry) {
+	first := d.pickAgents(doc, doc.waiting.Revision, nil)
+	if len(first) == 0 && d.warmingUp() {
 		return
 	}
-	if t := d.w.trials[doc.name]; t == nil || t.revision != doc.next.Revision {
-		d.begin(doc.name, doc.next.Revision).choices = 1
+	if t := d.controller.stages[doc.name]; t == nil || t.revision != doc.waiting.Revision {
+		d.recordStart(doc.name, doc.waiting.Revision).selections = 1
 	}
-	e.Op, e.Revision, e.First = OpStart, doc.next.Revision, first
+	e.Op, e.Revision, e.First = OpStart, doc.waiting.Revision, first
 }
 
-// begin remembers the counters of all agents at the beginning of a first stage.
-func (d *decision) begin(n Name, revision uint64) *trial {
-	t := &trial{revision: revision, before: d.counters(), members: map[string]*member{}}
-	d.w.trials[n] = t
+// recordStart remembers the counters of all agents at the beginning of a first stage.
+func (d *decision) recordStart(n Name, revision uint64) *firstStage {
+	t := &firstStage{revision: revision, atStart: d.counters(), agents: map[string]*stageAgent{}}
+	d.controller.stages[n] = t
 	return t
 }
 
-func (d *decision) counters() map[string]counters {
-	out := make(map[string]counters, len(d.reports))
+func (d *decision) counters() map[string]callCounters {
+	out := make(map[string]callCounters, len(d.reports))
 	for _, r := range d.reports {
-		out[r.Agent.Name] = counters{r.Life, r.Calls, r.Failed}
+		out[r.Agent.Name] = callCounters{r.Life, r.Calls, r.Failed}
 	}
 	return out
 }
 
-// pick chooses agents of a scope for a first stage, beside those that are in it: of each service
+// pickAgents chooses agents of a scope for a first stage, beside those that are in it: of each service
 // PerService of those in reach, or half of them, rounded up, where they are no more than that. It
 // ranks them by rendezvous hashing of agent and number, so that it is not always the same ones.
-func (d *decision) pick(doc *doc, number uint64, in []string) (out []string) {
+func (d *decision) pickAgents(doc *doc, number uint64, in []string) (out []string) {
 	type candidate struct {
 		name  string
 		score uint64
@@ -197,14 +201,14 @@
 	for i := range d.reports {
 		r := &d.reports[i]
 		_, already := slices.BinarySearch(in, r.Agent.Name)
-		if !already && doc.name.Scope.Holds(r.Agent) && word(r.Agent.Name) && d.within(r, d.w.s.Fresh) {
+		if !already && doc.name.Scope.Contains(r.Agent) && isNamePart(r.Agent.Name) && d.heardWithin(r, d.controller.settings.Fresh) {
 			score := xxhash.Sum64String(fmt.Sprint(r.Agent.Name, "\x00", number))
 			services[r.Agent.Service] = append(services[r.Agent.Service], candidate{r.Agent.Name, score})
 		}
 	}
 	for _, of := range services {
 		slices.SortFunc(of, func(a, b candidate) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name)) })
-		n := d.w.s.PerService
+		n := d.controller.settings.PerService
 		if len(of) <= n {
 			n = (len(of) + 1) / 2
 		}
@@ -213,16 +217,16 @@
 		}
 	}
 	slices.Sort(out)
-	return out[:min(len(out), MaxFirst)]
+	return out[:min(len(out), MaxFirstAgents)]
 }
 
-// look decides about a revision at its first stage.
-func (d *decision) look(doc *doc, e *Entry) {
-	f, s := doc.first, d.w.s
-	t := d.w.trials[doc.name]
+// reviewStage decides about a revision at its first stage.
+func (d *decision) reviewStage(doc *doc, e *Entry) {
+	f, s := doc.first, d.controller.settings
+	t := d.controller.stages[doc.name]
 	if t == nil || t.revision != f.Revision && t.revision != f.Restores {
-		t = d.begin(doc.name, f.Revision) // another leader started it
-		t.choices = 1
+		t = d.recordStart(doc.name, f.Revision) // another leader started it
+		t.selections = 1
 	}
 	t.revision = f.Revision
 	e.Revision = f.Revision
@@ -230,108 +234,108 @@
 	var again, gone string // agents that restarted, or fell silent, after they accepted
 	for _, name := range f.First {
 		r := d.byName[name]
-		if r != nil && !doc.name.Scope.Holds(r.Agent) {
+		if r != nil && !doc.name.Scope.Contains(r.Agent) {
 			continue // it has moved: not its document any more
 		}
-		if why, no := refusal(r, doc.name, f.Revision); no {
+		if why, no := findRefusal(r, doc.name, f.Revision); no {
 			d.halt(e, "agent %s: %s", name, why)
 			return
 		}
-		m := t.see(d, name, r, doc.key)
+		m := t.observe(d, name, r, doc.key)
 		switch {
 		case d.silent(r, m):
-			if m.lives > 0 {
+			if m.acceptedLives > 0 {
 				gone = name
 			}
 		case m.stood(r, s.Dwell):
 			stood++
 		default:
 			pending++
-			if d.nowUs-m.sinceUs > 2*s.Patience.Microseconds() {
+			if d.nowUs-m.firstSeenUs > 2*s.Patience.Microseconds() {
 				expired++
 			}
-			if m.lives > 1 {
+			if m.acceptedLives > 1 {
 				again = name
 			}
 		}
 	}
 	switch {
 	case len(f.First) == 0:
-		if !d.choose(doc, t, e) && !d.young() {
+		if !d.addAgents(doc, t, e) && !d.warmingUp() {
 			e.Op = OpAdvance
 		}
-	case stood > 0 && d.worse(f, t, e):
+	case stood > 0 && d.haltIfWorse(f, t, e):
 	case stood > 0 && pending == expired:
 		e.Op = OpAdvance
 	case stood > 0:
-	case pending == 0 && t.choices > 1 && gone != "":
+	case pending == 0 && t.selections > 1 && gone != "":
 		d.halt(e, "agent %s: accepted it and was not heard since, nor were the others of a second choice", gone)
 	case pending == 0:
-		d.choose(doc, t, e)
+		d.addAgents(doc, t, e)
 	case pending == expired && again != "":
 		d.halt(e, "agent %s: restarts after it accepted; no agent stood with it for %v", again, s.Dwell)
 	}
 }
 
-// choose adds agents to a first stage; false: nobody else is in reach.
-func (d *decision) choose(doc *doc, t *trial, e *Entry) bool {
-	e.First = d.pick(doc, doc.first.Revision, doc.first.First)
+// addAgents adds agents to a first stage; false: nobody else is in reach.
+func (d *decision) addAgents(doc *doc, t *firstStage, e *Entry) bool {
+	e.First = d.pickAgents(doc, doc.first.Revision, doc.first.First)
 	if len(e.First) == 0 {
 		return false
 	}
 	e.Op = OpStart
-	t.choices++
+	t.selections++
 	return true
 }
 
 func (d *decision) halt(e *Entry, format string, args ...any) {
-	e.Op, e.Why = OpHalt, plain(fmt.Sprintf(format, args...), MaxHaltWhy)
+	e.Op, e.Why = OpHalt, singleLine(fmt.Sprintf(format, args...), MaxHaltWhyBytes)
 }
 
-// see notes what an agent of a first stage says of the revision; r is nil where it was not heard.
-func (t *trial) see(d *decision, name string, r *Report, key string) *member {
-	m := t.members[name]
+// observe notes what an agent of a first stage says of the revision; r is nil where it was not heard.
+func (t *firstStage) observe(d *decision, name string, r *Report, key string) *stageAgent {
+	m := t.agents[name]
 	if m == nil {
-		m = &member{sinceUs: d.nowUs}
-		t.members[name] = m
+		m = &stageAgent{firstSeenUs: d.nowUs}
+		t.agents[name] = m
 	}
-	if r != nil && r.Seen[key] >= t.revision && (m.lives == 0 || m.at.life != r.Life) {
-		m.lives++
-		m.takenUs, m.at = r.AtUs, counters{r.Life, r.Calls, r.Failed}
-		if t.rest == nil {
-			t.rest = d.counters()
+	if r != nil && r.Seen[key] >= t.revision && (m.acceptedLives == 0 || m.atAccept.life != r.Life) {
+		m.acceptedLives++
+		m.acceptedUs, m.atAccept = r.AtUs, callCounters{r.Life, r.Calls, r.Failed}
+		if t.atFirstAccept == nil {
+			t.atFirstAccept = d.counters()
 		}
 	}
 	return m
 }
 
 // stood tells whether an agent was heard again a dwell after it accepted.
-func (m *member) stood(r *Report, dwell time.Duration) bool {
-	return r != nil && m.lives > 0 && m.at.life == r.Life && r.AtUs-m.takenUs >= dwell.Microseconds()
+func (m *stageAgent) stood(r *Report, dwell time.Duration) bool {
+	return r != nil && m.acceptedLives > 0 && m.atAccept.life == r.Life && r.AtUs-m.acceptedUs >= dwell.Microseconds()
 }
 
-// refusal is an agent's NACK of a revision, in words that fit a line.
-func refusal(r *Report, n Name, revision uint64) (why string, no bool) {
+// findRefusal is an agent's NACK of a revision, in words that fit a line.
+func findRefusal(r *Report, n Name, revision uint64) (why string, no bool) {
 	if r != nil {
 		for _, no := range r.Refused {
 			if no.Revision == revision && no.Name == n {
-				return plain(no.Why, MaxWhy), true
+				return singleLine(no.Why, MaxWhyBytes), true
 			}
 		}
 	}
 	return "", false
 }
 
-// share is how many of some calls failed.
-type share struct{ calls, failed uint64 }
+// failureRate is how many of some calls failed.
+type failureRate struct{ calls, failed uint64 }
 
-func (s *share) add(calls, failed uint64) {
+func (s *failureRate) add(calls, failed uint64) {
 	s.calls += calls
 	s.failed += min(failed, calls)
 }
 
-// since adds what an agent's counters grew by within one life.
-func (s *share) since(was counters, r *Report) bool {
+// addSince adds what an agent's counters grew by within one life.
+func (s *failureRate) addSince(was callCounters, r *Report) bool {
 	if r.Life != was.life || r.Calls < was.calls || r.Failed < was.failed {
 		return false
 	}
@@ -339,23 +343,23 @@
 	return true
 }
 
-func (s share) part() float64 { return float64(s.failed) / math.Max(1, float64(s.calls)) }
+func (s failureRate) value() float64 { return float64(s.failed) / math.Max(1, float64(s.calls)) }
 
-func (s share) String() string { return fmt.Sprintf("%d of %d", s.failed, s.calls) }
+func (s failureRate) String() string { return fmt.Sprintf("%d of %d", s.failed, s.calls) }
 
-// worse halts a revision whose agents fail more of their calls than they did, and than others.
-func (d *decision) worse(f *Revision, t *trial, e *Entry) bool {
-	var after, before, rest, most share
+// haltIfWorse halts a revision whose agents fail more of their calls than they did, and than others.
+func (d *decision) haltIfWorse(f *Revision, t *firstStage, e *Entry) bool {
+	var after, before, rest, most failureRate
 	services := map[string]bool{}
 	name := ""
 	for _, a := range f.First {
-		r, m := d.byName[a], t.members[a]
-		var own share
-		if r == nil || m == nil || m.lives == 0 || !own.since(m.at, r) {
+		r, m := d.byName[a], t.agents[a]
+		var own failureRate
+		if r == nil || m == nil || m.acceptedLives == 0 || !own.addSince(m.atAccept, r) {
 			continue
 		}
 		after.add(own.calls, own.failed)
-		before.add(t.before[a].calls, t.before[a].failed)
+		before.add(t.atStart[a].calls, t.atStart[a].failed)
 		services[r.Agent.Service] = true
 		if name == "" || own.failed > most.failed {
 			name, most = a, own
@@ -366,12 +370,12 @@
 		if _, in := slices.BinarySearch(f.First, r.Agent.Name); in || !services[r.Agent.Service] {
 			continue
 		}
-		if was, ok := t.rest[r.Agent.Name]; ok {
-			rest.since(was, r)
+		if was, ok := t.atFirstAccept[r.Agent.Name]; ok {
+			rest.addSince(was, r)
 		}
 	}
-	if least := d.w.s.LeastCalls; after.calls < least || before.calls < least || rest.calls < least ||
-		after.part() <= max(before.part(), rest.part())+d.w.s.Worse {
+	if least := d.controller.settings.LeastCalls; after.calls < least || before.calls < least || rest.calls < least ||
+		after.value() <= max(before.value(), rest.value())+d.controller.settings.Worse {
 		return false
 	}
 	d.halt(e, "agent %s: %v calls failed since it took it; all of the first stage %v, before %v, others of their services %v", name, most, after, before, rest)
--- a/rollout/table_test.go
+++ b/rollout/table_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestTable(t *testing.T) {
-	tab := NewTable()
+	tab := NewReportTable()
 	words := func(reports []Report) string {
 		var out []string
 		for _, r := range reports {
@@ -32,22 +32,22 @@
 		{"a", 6, 1, 15, true, "b 5.1@11, a 6.1@15", "a 6.1@15"},
 		{"a", 5, 9, 16, false, "b 5.1@11, a 6.1@15", ""}, // a former life, late
 	} {
-		_, mark := tab.Changed(0)
-		if taken := tab.Hear(Report{Agent: Agent{Name: c.agent}, Life: c.life, Seq: c.seq, AtUs: 99}, c.now); taken != c.taken {
+		_, mark := tab.ChangedSince(0)
+		if taken := tab.Update(Report{Agent: Agent{Name: c.agent}, Life: c.life, Seq: c.seq, AtUs: 99}, c.now); taken != c.taken {
 			t.Errorf("at %d: taken %v", c.now, taken)
 		}
-		news, _ := tab.Changed(mark)
+		news, _ := tab.ChangedSince(mark)
 		if got := words(tab.Reports()); got != c.table || words(news) != c.sinceMark {
 			t.Errorf("at %d: %s, news %s; want %s, %s", c.now, got, words(news), c.table, c.sinceMark)
 		}
 	}
-	if all, _ := tab.Changed(0); words(all) != "a 6.1@15, b 5.1@11" {
+	if all, _ := tab.ChangedSince(0); words(all) != "a 6.1@15, b 5.1@11" {
 		t.Error(words(all))
 	}
-	if tab.Forget(12); words(tab.Reports()) != "a 6.1@15" {
+	if tab.Expire(12); words(tab.Reports()) != "a 6.1@15" {
 		t.Error(words(tab.Reports()))
 	}
-	if !tab.Hear(Report{Agent: Agent{Name: "b"}, Life: 5, Seq: 1}, 17) {
+	if !tab.Update(Report{Agent: Agent{Name: "b"}, Life: 5, Seq: 1}, 17) {
 		t.Error("a forgotten agent is not heard again")
 	}
 }
--- a/shard/place.go
+++ b/shard/place.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Place makes groups of size members out of agents, each across as many zones as it can, and
+// BuildRing makes groups of size members out of agents, each across as many zones as it can, and
 // tells which agents are left over. The fullest zones are drawn from first, so that no zone's
 // agents are left together at the end; ties go by name, so that the same agents give the same
 // groups whatever their order.
-func Place(agents []Member, size int) (Ring, []Member, error) {
+func BuildRing(agents []Member, size int) (Ring, []Member, error) {
 	if size != 3 && size != 5 {
 		return Ring{}, nil, fmt.Errorf("size %d: %w", size, ErrSize)
 	}
@@ -19,11 +19,11 @@
 	for left := len(agents); left >= size; left -= size {
 		g := Group{ID: fmt.Sprintf("g%d", len(r.Groups)+1)}
 		for len(g.Members) < size {
-			g.Members = append(g.Members, draw(zones, g.Members))
+			g.Members = append(g.Members, takeMember(zones, g.Members))
 		}
 		r.Groups = append(r.Groups, g)
 	}
-	return r, rest(zones), nil
+	return r, remaining(zones), nil
 }
 
 func byZone(agents []Member) map[string][]Member {
@@ -37,9 +37,9 @@
 	return zones
 }
 
-// draw takes the next member from the zone that the group has least of; among these from the
+// takeMember takes the next member from the zone that the group has least of; among these from the
 // one with the most agents left.
-func draw(zones map[string][]Member, group []Member) Member {
+func takeMember(zones map[string][]Member, group []Member) Member {
 	have := map[string]int{}
 	for _, m := range group {
 		have[m.Zone]++
@@ -58,7 +58,7 @@
 	return m
 }
 
-func rest(zones map[string][]Member) (left []Member) {
+func remaining(zones map[string][]Member) (left []Member) {
 	for _, ms := range zones {
 		left = append(left, ms...)
 	}
@@ -66,21 +66,21 @@
 	return left
 }
 
-// Change is one membership change of one group, through the library's own (raft's AddVoter
+// MembershipChange is one membership change of one group, through the library's own (raft's AddVoter
 // and RemoveServer). Changes are carried out in order, each only once the one before it is
 // committed.
-type Change struct {
+type MembershipChange struct {
 	Group  string
 	Remove string // a member's id; "": none
 	Add    Member // its ID is "" for none
 }
 
-// Mend tells how to replace agents that are gone (machine and disk) by spare ones, one change
+// ReplaceLost tells how to replace agents that are gone (machine and disk) by spare ones, one change
 // at a time. A spare is taken from the zone the group has least of. The lost member is removed
 // first and the spare added after it: an added voter that must still catch up would raise the
 // majority while one of it is dead. A group that lost its majority can't be mended so and is
 // named in stuck: its remaining members hold what it promised, and an operator decides.
-func Mend(r Ring, gone map[string]bool, spares []Member) (next Ring, steps []Change, stuck []string) {
+func ReplaceLost(r Ring, gone map[string]bool, spares []Member) (next Ring, steps []MembershipChange, stuck []string) {
 	zones := byZone(spares)
 	free := len(spares)
 	next = Ring{Version: r.Version, Groups: make([]Group, len(r.Groups))}
@@ -102,16 +102,16 @@
 			}
 			free--
 			kept := slices.DeleteFunc(next.Groups[i].Members, func(k Member) bool { return k.ID == m.ID })
-			add := draw(zones, kept)
+			add := takeMember(zones, kept)
 			next.Groups[i].Members = append(kept, add)
-			steps = append(steps, Change{Group: g.ID, Remove: m.ID}, Change{Group: g.ID, Add: add})
+			steps = append(steps, MembershipChange{Group: g.ID, Remove: m.ID}, MembershipChange{Group: g.ID, Add: add})
 		}
 	}
 	return next, steps, stuck
 }
 
-// Moved is the share of calls, of those given, whose group differs between two rings.
-func Moved(a, b Ring, calls []string) float64 {
+// MovedShare is the share of calls, of those given, whose group differs between two rings.
+func MovedShare(a, b Ring, calls []string) float64 {
 	n := 0
 	for _, c := range calls {
 		i, j := a.Owner(c), b.Owner(c)
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -42,7 +42,7 @@
 func (r Ring) Owner(call string) int {
 	best, top := -1, uint64(0)
 	for i, g := range r.Groups {
-		w := weight(g.ID, call)
+		w := rendezvousWeight(g.ID, call)
 		if best < 0 || w > top || w == top && g.ID < r.Groups[best].ID {
 			best, top = i, w
 		}
@@ -50,9 +50,9 @@
 	return best
 }
 
-// weight is a group's hash with a call. FNV-1a alone spreads the last bytes badly over the
+// rendezvousWeight is a group's hash with a call. FNV-1a alone spreads the last bytes badly over the
 // high bits, so splitmix64's finalizer (Steele, Lea and Flood, OOPSLA 2014) mixes them.
-func weight(group, call string) uint64 {
+func rendezvousWeight(group, call string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(group))
 	h.Write([]byte{0})
@@ -72,41 +72,41 @@
 	return r.Groups[i], true
 }
 
-// Step is where a call's claim must be made: at a group, under a ring's version.
-type Step struct {
+// ClaimStep is where a call's claim must be made: at a group, under a ring's version.
+type ClaimStep struct {
 	Group string
 	Ring  uint64
 }
 
-// Path is where an agent claims and resolves a call, in order. While a ring replaces another,
+// ClaimSteps is where an agent claims and resolves a call, in order. While a ring replaces another,
 // agents that know only the old one, both, or only the new one are at work, any two of them
 // next to each other in that row. So the old owner comes first and the new one after it, as
 // long as previous is given: agents of the old ring and of both meet at the old owner, those
 // of both and of the new ring at the new one. What stands at a step is carried to the next,
 // and the last step has the last word (internal/fleet/keeper).
-func Path(now Ring, previous *Ring, call string) []Step {
+func ClaimSteps(now Ring, previous *Ring, call string) []ClaimStep {
 	i := now.Owner(call)
 	if i < 0 {
 		return nil
 	}
-	last := Step{now.Groups[i].ID, now.Version}
+	last := ClaimStep{now.Groups[i].ID, now.Version}
 	if previous == nil {
-		return []Step{last}
+		return []ClaimStep{last}
 	}
 	j := previous.Owner(call)
 	if j < 0 || previous.Groups[j].ID == last.Group {
-		return []Step{last}
+		return []ClaimStep{last}
 	}
-	return []Step{{previous.Groups[j].ID, now.Version}, last}
+	return []ClaimStep{{previous.Groups[j].ID, now.Version}, last}
 }
 
 // The rules a ring keeps. A finding of rule "spread" is a warning: one zone's loss would take
 // a group's majority, which can't be helped with fewer than three zones.
 var (
-	ErrSize   = errors.New("a group has 3 or 5 members") // odd: an even one more only adds a vote to wait for
-	ErrTwice  = errors.New("in two places")
-	ErrEmpty  = errors.New("empty")
-	ErrSpread = errors.New("one zone holds a majority of the group")
+	ErrSize         = errors.New("a group has 3 or 5 members") // odd: an even one more only adds a vote to wait for
+	ErrDuplicate    = errors.New("in two places")
+	ErrEmpty        = errors.New("empty")
+	ErrZoneMajority = errors.New("one zone holds a majority of the group")
 )
 
 // Check names each field of a ring that breaks a rule, and which; nil for a lawful ring.
@@ -123,7 +123,7 @@
 		case g.ID == "":
 			bad(ErrEmpty, "groups[%d].id", i)
 		case groups[g.ID]:
-			bad(fmt.Errorf("%q %w", g.ID, ErrTwice), "groups[%d].id", i)
+			bad(fmt.Errorf("%q %w", g.ID, ErrDuplicate), "groups[%d].id", i)
 		}
 		groups[g.ID] = true
 		if n := len(g.Members); n != 3 && n != 5 {
@@ -134,7 +134,7 @@
 			case m.ID == "" || m.Raft == "" || m.Client == "":
 				bad(fmt.Errorf("id, raft or client %w", ErrEmpty), "groups[%d].members[%d]", i, j)
 			case members[m.ID]:
-				bad(fmt.Errorf("%q %w", m.ID, ErrTwice), "groups[%d].members[%d].id", i, j)
+				bad(fmt.Errorf("%q %w", m.ID, ErrDuplicate), "groups[%d].members[%d].id", i, j)
 			}
 			members[m.ID] = true
 		}
@@ -142,9 +142,9 @@
 	return refused
 }
 
-// Spread names each group of which one zone holds a majority, though the ring's members lie
+// CheckZones names each group of which one zone holds a majority, though the ring's members lie
 // in three zones or more.
-func (r Ring) Spread() (found []error) {
+func (r Ring) CheckZones() (found []error) {
 	zones := map[string]bool{}
 	for _, g := range r.Groups {
 		for _, m := range g.Members {
@@ -155,15 +155,15 @@
 		return nil
 	}
 	for i, g := range r.Groups {
-		if zone, n := heaviest(g.Members); n > len(g.Members)/2 {
-			found = append(found, fmt.Errorf("field groups[%d]: zone %q has %d of %d members: %w", i, zone, n, len(g.Members), ErrSpread))
+		if zone, n := largestZone(g.Members); n > len(g.Members)/2 {
+			found = append(found, fmt.Errorf("field groups[%d]: zone %q has %d of %d members: %w", i, zone, n, len(g.Members), ErrZoneMajority))
 		}
 	}
 	return found
 }
 
-// heaviest is the zone with the most members, and how many.
-func heaviest(members []Member) (zone string, most int) {
+// largestZone is the zone with the most members, and how many.
+func largestZone(members []Member) (zone string, most int) {
 	n := map[string]int{}
 	for _, m := range members {
 		n[m.Zone]++
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -8,41 +8,41 @@
 	"pgregory.net/rapid"
 )
 
-func agents(n, zones int) (out []Member) {
+func testAgents(n, zones int) (out []Member) {
 	for i := range n {
 		out = append(out, Member{ID: fmt.Sprintf("n%03d", i), Zone: fmt.Sprint("z", i%zones), Raft: "r:1", Client: "c:1"})
 	}
 	return out
 }
 
-func calls(n int) (out []string) {
+func testCallIDs(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("%016x", i+1))
 	}
 	return out
 }
 
-// TestPlace: whatever the agents and zones, groups are lawful, nobody is in two, as few are
+// TestBuildRing: whatever the agents and zones, groups are lawful, nobody is in two, as few are
 // left over as can be, and with three even zones none holds a majority of a group.
-func TestPlace(t *testing.T) {
+func TestBuildRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, zones := rapid.IntRange(3, 60).Draw(t, "agents"), rapid.IntRange(1, 6).Draw(t, "zones")
 		size := rapid.SampledFrom([]int{3, 5}).Draw(t, "size")
-		r, left, err := Place(agents(n, zones), size)
+		r, left, err := BuildRing(testAgents(n, zones), size)
 		if err != nil || len(r.Groups) != n/size || len(left) != n%size {
 			t.Fatalf("%d groups, %d left, %v", len(r.Groups), len(left), err)
 		}
 		if refused := r.Check(); n >= size && refused != nil {
 			t.Fatal(refused)
 		}
-		if found := r.Spread(); zones >= 3 && n%zones == 0 && found != nil {
+		if found := r.CheckZones(); zones >= 3 && n%zones == 0 && found != nil {
 			t.Fatal(found)
 		}
 		gone := map[string]bool{}
 		for _, g := range r.Groups {
 			gone[g.Members[rapid.IntRange(0, size-1).Draw(t, "lost")].ID] = true
 		}
-		next, steps, stuck := Mend(r, gone, left)
+		next, steps, stuck := ReplaceLost(r, gone, left)
 		if len(stuck) > 0 || len(steps) != 2*min(len(left), len(r.Groups)) || n >= size && next.Check() != nil {
 			t.Fatalf("%d steps, stuck %v, %v", len(steps), stuck, next.Check())
 		}
@@ -51,9 +51,9 @@
 
 // TestOwner: calls spread evenly over groups, and a group more takes only its own share.
 func TestOwner(t *testing.T) {
-	small, _, _ := Place(agents(30, 3), 3)
-	big, _, _ := Place(agents(33, 3), 3)
-	all, n := calls(20_000), map[int]int{}
+	small, _, _ := BuildRing(testAgents(30, 3), 3)
+	big, _, _ := BuildRing(testAgents(33, 3), 3)
+	all, n := testCallIDs(20_000), map[int]int{}
 	for _, c := range all {
 		n[small.Owner(c)]++
 	}
@@ -62,18 +62,18 @@
 			t.Errorf("group %d has %d of 20000 calls", i, n[i])
 		}
 	}
-	if moved := Moved(small, big, all); moved < 0.08 || moved > 0.102 {
+	if moved := MovedShare(small, big, all); moved < 0.08 || moved > 0.102 {
 		t.Errorf("one group in 11 moved %.3f of the calls", moved)
 	}
 }
 
-// TestPath: agents of the old ring and of the new meet at one group for every call.
-func TestPath(t *testing.T) {
-	old, _, _ := Place(agents(9, 3), 3)
-	next, _, _ := Place(agents(12, 3), 3)
+// TestClaimSteps: agents of the old ring and of the new meet at one group for every call.
+func TestClaimSteps(t *testing.T) {
+	old, _, _ := BuildRing(testAgents(9, 3), 3)
+	next, _, _ := BuildRing(testAgents(12, 3), 3)
 	next.Version = 2
-	for _, c := range calls(500) {
-		was, is := Path(old, nil, c), Path(next, &old, c)
+	for _, c := range testCallIDs(500) {
+		was, is := ClaimSteps(old, nil, c), ClaimSteps(next, &old, c)
 		if is[0].Group != was[0].Group || is[0].Ring != 2 {
 			t.Fatalf("call %s: old ring claims at %v, new at %v", c, was, is)
 		}
@@ -81,7 +81,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	m := agents(6, 3)
+	m := testAgents(6, 3)
 	cases := []struct {
 		name string
 		ring Ring
@@ -89,16 +89,16 @@
 	}{
 		{"no groups", Ring{}, ErrEmpty},
 		{"two members", Ring{Groups: []Group{{ID: "g", Members: m[:2]}}}, ErrSize},
-		{"a member twice", Ring{Groups: []Group{{ID: "g", Members: m[:3]}, {ID: "h", Members: m[2:5]}}}, ErrTwice},
-		{"a group twice", Ring{Groups: []Group{{ID: "g", Members: m[:3]}, {ID: "g", Members: m[3:]}}}, ErrTwice},
-		{"no address", Ring{Groups: []Group{{ID: "g", Members: append(agents(2, 2), Member{ID: "x"})}}}, ErrEmpty},
+		{"a member twice", Ring{Groups: []Group{{ID: "g", Members: m[:3]}, {ID: "h", Members: m[2:5]}}}, ErrDuplicate},
+		{"a group twice", Ring{Groups: []Group{{ID: "g", Members: m[:3]}, {ID: "g", Members: m[3:]}}}, ErrDuplicate},
+		{"no address", Ring{Groups: []Group{{ID: "g", Members: append(testAgents(2, 2), Member{ID: "x"})}}}, ErrEmpty},
 	}
 	for _, c := range cases {
 		if err := errors.Join(c.ring.Check()...); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
-	if _, _, stuck := Mend(Ring{Groups: []Group{{ID: "g", Members: m[:3]}}}, map[string]bool{"n000": true, "n001": true}, m[3:]); len(stuck) != 1 {
+	if _, _, stuck := ReplaceLost(Ring{Groups: []Group{{ID: "g", Members: m[:3]}}}, map[string]bool{"n000": true, "n001": true}, m[3:]); len(stuck) != 1 {
 		t.Errorf("a group without majority is mended: %v", stuck)
 	}
 }
