--- a/agent/agent.go
+++ b/agent/agent.go
@@ -21,41 +21,41 @@
 
 // What a front may hear instead of an outcome.
 var (
-	ErrDuplicate = errors.New("a call of this id is open")
-	ErrClass     = errors.New("unknown class")
-	ErrCall      = errors.New("a call that no setup server could use")
-	ErrOverdue   = errors.New("no outcome by the caller's deadline")
-	ErrPanic     = errors.New("fault inside the agent")
+	ErrDuplicate    = errors.New("a call of this id is open")
+	ErrUnknownClass = errors.New("unknown class")
+	ErrUnusableCall = errors.New("a call that no setup server could use")
+	ErrOverdue      = errors.New("no outcome by the caller's deadline")
+	ErrPanic        = errors.New("fault inside the agent")
 )
 
-// maxNumber bounds the number called.
-const maxNumber = 256
+// maxNumberBytes bounds the number called.
+const maxNumberBytes = 256
 
 // Config is what an agent needs beside its backend.
 type Config struct {
-	Settings policy.Settings
-	Seed     uint64
-	Slack    time.Duration // a final answer counts so long after the deadline
-	Mailbox  int           // most events that wait; 0: 8192
-	MaxOpen  int           // most calls without a final answer, as each holds memory; 0: 4096
-	MaxBytes int64         // most memory that these and the waiting ones hold, about; 0: 16 MiB
-	Log      *slog.Logger
-	// Stray hears of a call's end at a setup server when the call is none of this agent's:
+	Settings     policy.Settings
+	Seed         uint64
+	AnswerSlack  time.Duration // a final answer counts so long after the deadline
+	MailboxSize  int           // most events that wait; 0: 8192
+	MaxOpenCalls int           // most calls without a final answer, as each holds memory; 0: 4096
+	MaxCallBytes int64         // most memory that these and the waiting ones hold, about; 0: 16 MiB
+	Log          *slog.Logger
+	// OnUnknownEnded hears of a call's end at a setup server when the call is none of this agent's:
 	// it stood before a restart, and its caller still waits to be told. err as for Ended.
-	Stray func(id string, err error)
-	// Keeper copies promises to further agents; nil: this agent keeps them for itself alone.
-	Keeper Keeper
-	// Sights has the agent count what it sees of the setup servers by zone (Agent.Sights).
-	Sights bool
+	OnUnknownEnded func(id string, err error)
+	// Promises copies promises to further agents; nil: this agent keeps them for itself alone.
+	Promises PromiseStore
+	// ObserveServers has the agent count what it sees of the setup servers by zone (Agent.Sights).
+	ObserveServers bool
 }
 
 // Route is what a call's route gives it beyond the settings; zero fields leave the settings.
 // Routes may only narrow (package internal/routes proves a file before it is used).
 type Route struct {
-	Attempts int           // most attempts of the call
-	Spacing  time.Duration // least wait after a give-up before the next attempt
-	Share    float64       // of the caller's time that all attempts may use, in (0, 1]
-	Pools    []int         // the pools it may go to, within its class's
+	MaxAttempts int           // most attempts of the call
+	Spacing     time.Duration // least wait after a give-up before the next attempt
+	TimeShare   float64       // of the caller's time that all attempts may use, in (0, 1]
+	Pools       []int         // the pools it may go to, within its class's
 	// AttemptTimeout gives each attempt up this long after it was handed on, unless the
 	// module's deadline comes first; the module then hears it timed out, and its spacing holds.
 	AttemptTimeout time.Duration
@@ -67,29 +67,29 @@
 
 // Agent is the actor that owns the decision module, the call table and the timers.
 type Agent struct {
-	cfg     Config
-	ctrl    *policy.Controller
-	backend Backend
-	box     *mailbox.Box[event]
-	calls   map[string]*call
-	classes map[string]policy.Class
-	tenants map[string]bool
-	start   time.Time
-	origin  policy.Time
-	idle    []func() // told when no set-up is open
-	open    int      // calls without a final answer
-	stand   int      // calls that stand
-	recent  recent.Set[string]
-	unknown pace // of callers
-	strays  pace // of setup servers
-	held    atomic.Bool
-	weight  atomic.Int64      // memory of the calls offered that have no final answer
-	tallies map[string]*Tally // by class; the map itself never changes
-	figures figures
-	router  atomic.Pointer[Router] // nil: every call has the settings' limits
-	sights  *Sights                // nil: not counted
-	echoes  map[string]*call       // calls that stand by another agent's answer, told here
-	holders map[string]Server      // who is listed at each address
+	cfg             Config
+	controller      *policy.Controller
+	backend         Backend
+	mailbox         *mailbox.Box[event]
+	calls           map[string]*call
+	classes         map[string]policy.Class
+	tenants         map[string]bool
+	start           time.Time
+	origin          policy.Time
+	idleCallbacks   []func() // told when no set-up is open
+	openCalls       int      // calls without a final answer
+	standingCalls   int      // calls that stand
+	recent          recent.Set[string]
+	unknownReleases rateLimiter // of callers
+	unknownEnds     rateLimiter // of setup servers
+	refusingNew     atomic.Bool
+	openBytes       atomic.Int64      // memory of the calls offered that have no final answer
+	tallies         map[string]*Tally // by class; the map itself never changes
+	gauges          gauges
+	router          atomic.Pointer[Router] // nil: every call has the settings' limits
+	observations    *Observations          // nil: not counted
+	adopted         map[string]*call       // calls that stand by another agent's answer, told here
+	serverByAddress map[string]Server      // who is listed at each address
 }
 
 // SetRouter has the calls that arrive from now on take their routes from r; nil: none.
@@ -108,8 +108,8 @@
 		return Route{}, left
 	}
 	route := (*r)(in)
-	if route.Share > 0 && route.Share < 1 {
-		left = time.Duration(float64(left) * route.Share)
+	if route.TimeShare > 0 && route.TimeShare < 1 {
+		left = time.Duration(float64(left) * route.TimeShare)
 	}
 	return route, left
 }
@@ -117,18 +117,18 @@
 // Tally counts the outcomes of one class's calls. It may be read at any time.
 type Tally struct{ Served, Refused, Failed atomic.Int64 }
 
-// figures are what the actor tells of itself without being asked.
-type figures struct{ inFlight, listed, avoided atomic.Int64 }
+// gauges are what the actor tells of itself without being asked.
+type gauges struct{ inFlight, listed, avoided atomic.Int64 }
 
 // Tallies returns what has come of the calls so far, by class.
 func (a *Agent) Tallies() map[string]*Tally { return a.tallies }
 
 // InFlight is how many calls are open or stand.
-func (a *Agent) InFlight() int64 { return a.figures.inFlight.Load() }
+func (a *Agent) InFlight() int64 { return a.gauges.inFlight.Load() }
 
 // Hosts is how many setup servers are listed, and how many of them get no calls now.
 func (a *Agent) Hosts() (listed, avoided int64) {
-	return a.figures.listed.Load(), a.figures.avoided.Load()
+	return a.gauges.listed.Load(), a.gauges.avoided.Load()
 }
 
 // How many releases of unknown calls a second go on. Callers' cost each server a message:
@@ -136,22 +136,22 @@
 // each. Servers' cost one caller a message, and come all at once on the first connection
 // after a restart: the bound is the calls that stand in a busy hour.
 const (
-	unknownMost = 200
-	straysMost  = 2000
+	unknownReleasesPerSecond = 200
+	unknownEndsPerSecond     = 2000
 )
 
-// pace counts what may happen so many times a second.
-type pace struct {
+// rateLimiter counts what may happen so many times a second.
+type rateLimiter struct {
 	since time.Time
-	n     int
+	count int
 }
 
-func (p *pace) take(now time.Time, most int) bool {
-	if now.Sub(p.since) >= time.Second {
-		*p = pace{since: now}
+func (l *rateLimiter) allow(now time.Time, limit int) bool {
+	if now.Sub(l.since) >= time.Second {
+		*l = rateLimiter{since: now}
 	}
-	p.n++
-	return p.n <= most
+	l.count++
+	return l.count <= limit
 }
 
 // event is work for the actor; id names the call it is about, if any.
@@ -163,37 +163,37 @@
 // call is an entry of the call table. It leaves once resolved with no attempt out.
 type call struct {
 	Call
-	front    Front
-	resolved bool // has its final answer, or needs none
-	stands   bool
-	left     bool // the caller has left or released it
-	attempts int
-	server   string
-	out      bool // an attempt is unanswered or stands
-	givenUp  bool
-	sentAt   policy.Time
-	expiry   *time.Timer   // of the attempt
-	unwant   func()        // ends the attempt's Wanted
-	guard    *time.Timer   // of the call: the core's own last word
-	last     *Failure      // of its latest attempt
-	timeout  time.Duration // of each attempt, by its route; 0: until the module's deadline
-
-	claimed  bool     // further agents know that this one alone sends it, and no answer of it
-	keeping  bool     // its claim or its answer is on the way to further agents
-	promised bool     // further agents hold that it stands
-	ended    bool     // it stood, and ended while its answer was being kept
-	end      *Failure // how
+	front          Front
+	resolved       bool // has its final answer, or needs none
+	stands         bool
+	callerLeft     bool // the caller has left or released it
+	attempts       int
+	server         string
+	attemptOut     bool // an attempt is unanswered or stands
+	givenUp        bool
+	sentAt         policy.Time
+	attemptTimer   *time.Timer   // of the attempt
+	cancelAttempt  func()        // ends the attempt's Wanted
+	overdueTimer   *time.Timer   // of the call: the core's own last word
+	lastFailure    *Failure      // of its latest attempt
+	attemptTimeout time.Duration // of each attempt, by its route; 0: until the module's deadline
+
+	claimed    bool     // further agents know that this one alone sends it, and no answer of it
+	storing    bool     // its claim or its answer is on the way to further agents
+	stored     bool     // further agents hold that it stands
+	ended      bool     // it stood, and ended while its answer was being kept
+	endFailure *Failure // how
 }
 
 // New returns an agent, or tells why the settings can't be used. The backend may be
 // set later with Attach, but before Run.
 func New(cfg Config) (*Agent, error) {
-	ctrl, err := policy.New(cfg.Settings, cfg.Seed)
+	controller, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{cfg: cfg, ctrl: ctrl, box: mailbox.New[event](cmp.Or(cfg.Mailbox, 8192)),
-		calls: map[string]*call{}, echoes: map[string]*call{}, holders: map[string]Server{}, classes: map[string]policy.Class{}, tenants: map[string]bool{}, tallies: map[string]*Tally{}, start: time.Now()}
+	a := &Agent{cfg: cfg, controller: controller, mailbox: mailbox.New[event](cmp.Or(cfg.MailboxSize, 8192)),
+		calls: map[string]*call{}, adopted: map[string]*call{}, serverByAddress: map[string]Server{}, classes: map[string]policy.Class{}, tenants: map[string]bool{}, tallies: map[string]*Tally{}, start: time.Now()}
 	// The module compares its time with the Unix milliseconds of a server's start, and
 	// must never see it run backwards: the wall clock once, then the monotonic one.
 	a.origin = policy.Time(a.start.UnixNano())
@@ -204,11 +204,11 @@
 	for _, t := range cfg.Settings.Tenants {
 		a.tenants[t.Name] = true
 	}
-	if cfg.Sights {
-		a.sights = newSights(cfg.Settings)
+	if cfg.ObserveServers {
+		a.observations = newObservations(cfg.Settings)
 	}
-	if a.cfg.Stray == nil {
-		a.cfg.Stray = func(string, error) {}
+	if a.cfg.OnUnknownEnded == nil {
+		a.cfg.OnUnknownEnded = func(string, error) {}
 	}
 	if a.cfg.Log == nil {
 		a.cfg.Log = slog.New(slog.DiscardHandler)
@@ -216,27 +216,27 @@
 	return a, nil
 }
 
-// Spread hands the module's part in spreading the load of all senders, and the module's time, to
+// WithSpread hands the module's part in spreading the load of all senders, and the module's time, to
 // do on the core's goroutine, which must not wait. It does nothing once the agent has stopped.
-func (a *Agent) Spread(do func(now policy.Time, s *spread.State)) {
-	a.post("", func() { do(a.now(), a.ctrl.Spread()) })
+func (a *Agent) WithSpread(do func(now policy.Time, s *spread.State)) {
+	a.post("", func() { do(a.now(), a.controller.Spread()) })
 }
 
-// Follow has the module follow a steward's view of the fleet.
-func (a *Agent) Follow(v spread.View) {
-	a.post("", func() { a.act(a.ctrl.ApplyView(a.now(), v)) })
+// ApplyView has the module follow a steward's view of the fleet.
+func (a *Agent) ApplyView(v spread.View) {
+	a.post("", func() { a.act(a.controller.ApplyView(a.now(), v)) })
 }
 
-// Sights is what the agent sees of the setup servers; nil where Config.Sights is not set.
-func (a *Agent) Sights() *Sights { return a.sights }
+// Observations is what the agent sees of the setup servers; nil where Config.Sights is not set.
+func (a *Agent) Observations() *Observations { return a.observations }
 
-// Attach names the backend.
-func (a *Agent) Attach(b Backend) { a.backend = b }
+// SetBackend names the backend.
+func (a *Agent) SetBackend(b Backend) { a.backend = b }
 
 // Run handles events until Stop, then what has come in before it.
 func (a *Agent) Run() {
 	for {
-		e, ok := a.box.Take()
+		e, ok := a.mailbox.Take()
 		if !ok {
 			return
 		}
@@ -244,14 +244,14 @@
 	}
 }
 
-// Hold has calls that come from now on refused, or taken again. What is open goes on.
-func (a *Agent) Hold(on bool) { a.held.Store(on) }
+// RefuseNew has calls that come from now on refused, or taken again. What is open goes on.
+func (a *Agent) RefuseNew(on bool) { a.refusingNew.Store(on) }
 
-// heldAway is told to callers while the agent takes no calls: others take them at once.
-const heldAway = 200 * time.Millisecond
+// refusingRetryAfter is told to callers while the agent takes no calls: others take them at once.
+const refusingRetryAfter = 200 * time.Millisecond
 
 // Stop lets no further events in.
-func (a *Agent) Stop() { a.box.Close() }
+func (a *Agent) Stop() { a.mailbox.Close() }
 
 // handle runs one event; a panic ends the call it was about and nothing else.
 func (a *Agent) handle(e event) {
@@ -264,37 +264,37 @@
 		}
 	}()
 	e.do()
-	a.figures.inFlight.Store(int64(a.open + a.stand))
-	listed, avoided := a.ctrl.CountServers()
-	a.figures.listed.Store(int64(listed))
-	a.figures.avoided.Store(int64(avoided))
+	a.gauges.inFlight.Store(int64(a.openCalls + a.standingCalls))
+	listed, avoided := a.controller.CountServers()
+	a.gauges.listed.Store(int64(listed))
+	a.gauges.avoided.Store(int64(avoided))
 }
 
-func (a *Agent) post(id string, do func()) { a.box.Post(event{id, do}) }
+func (a *Agent) post(id string, do func()) { a.mailbox.Post(event{id, do}) }
 
 func (a *Agent) now() policy.Time { return a.origin + time.Since(a.start) }
 
 // Offer hands a call in. It reports false when the agent is too busy to take it; the
 // front then refuses the call itself.
 func (a *Agent) Offer(f Front, c Call) bool {
-	if a.weight.Add(weigh(c)) <= cmp.Or(a.cfg.MaxBytes, 16<<20) && a.box.Offer(event{c.ID, func() {
+	if a.openBytes.Add(callMemory(c)) <= cmp.Or(a.cfg.MaxCallBytes, 16<<20) && a.mailbox.Offer(event{c.ID, func() {
 		if !a.offer(f, c) {
-			a.weight.Add(-weigh(c))
+			a.openBytes.Add(-callMemory(c))
 		}
 	}}) {
 		return true
 	}
-	a.weight.Add(-weigh(c))
+	a.openBytes.Add(-callMemory(c))
 	a.tally(c).Refused.Add(1)
 	return false
 }
 
-// callBytes is what a call takes beside its description: tables, timers, closures.
-const callBytes = 1 << 10
+// callOverheadBytes is what a call takes beside its description: tables, timers, closures.
+const callOverheadBytes = 1 << 10
 
-// weigh tells about how much memory a call holds until it is answered. Hundreds of set-ups of
+// callMemory tells about how much memory a call holds until it is answered. Hundreds of set-ups of
 // 16 KiB at once, from one caller, must not take a small machine's.
-func weigh(c Call) int64 { return int64(callBytes + len(c.Description)) }
+func callMemory(c Call) int64 { return int64(callOverheadBytes + len(c.Description)) }
 
 // tally returns the counts of a call's class; those of a class unknown are nobody's.
 func (a *Agent) tally(c Call) *Tally {
@@ -310,9 +310,9 @@
 	f.Answered(c, description)
 }
 
-func (a *Agent) refuse(f Front, c Call, stayAway time.Duration) {
+func (a *Agent) refuse(f Front, c Call, retryAfter time.Duration) {
 	a.tally(c).Refused.Add(1)
-	f.Refused(c, stayAway)
+	f.Refused(c, retryAfter)
 }
 
 func (a *Agent) fail(f Front, c Call, err error) {
@@ -334,7 +334,7 @@
 // costs every server a message, so a caller that makes ids up is held to unknownMost a second.
 func (a *Agent) ReleaseUnknown(id string) {
 	a.post(id, func() {
-		if a.calls[id] == nil && !a.recent.Has(id) && a.unknown.take(time.Now(), unknownMost) {
+		if a.calls[id] == nil && !a.recent.Has(id) && a.unknownReleases.allow(time.Now(), unknownReleasesPerSecond) {
 			a.backend.ReleaseUnknown(id)
 		}
 	})
@@ -347,20 +347,20 @@
 
 // Stands tells that an attempt was answered.
 func (a *Agent) Stands(id string, n int, description []byte) {
-	a.post(id, func() { a.stood(id, n, description) })
+	a.post(id, func() { a.handleStands(id, n, description) })
 }
 
 // Ended tells how an attempt ended, or the call that stood on it; err is nil where the
 // call came to its end, and a *Failure otherwise.
 func (a *Agent) Ended(id string, n int, err *Failure, r policy.Report) {
-	a.post(id, func() { a.ended(id, n, err, r) })
+	a.post(id, func() { a.handleEnded(id, n, err, r) })
 }
 
-// Unknown tells that a server ended a call of which the backend knows nothing.
-func (a *Agent) Unknown(id string, err *Failure) {
+// UnknownEnded tells that a server ended a call of which the backend knows nothing.
+func (a *Agent) UnknownEnded(id string, err *Failure) {
 	a.post(id, func() {
-		if a.calls[id] == nil && !a.echoEnded(id, err) && !a.recent.Has(id) && a.strays.take(time.Now(), straysMost) {
-			a.cfg.Stray(id, plain(err))
+		if a.calls[id] == nil && !a.adoptedEnded(id, err) && !a.recent.Has(id) && a.unknownEnds.allow(time.Now(), unknownEndsPerSecond) {
+			a.cfg.OnUnknownEnded(id, failureOrNil(err))
 		}
 	})
 }
@@ -368,29 +368,29 @@
 // Reported brings a report that came outside an answer, or the outcome of a probe.
 func (a *Agent) Reported(p policy.ReportReceived) {
 	a.post("", func() {
-		a.sights.noteReport(p)
-		a.act(a.ctrl.Handle(a.now(), p))
+		a.observations.recordReport(p)
+		a.act(a.controller.Handle(a.now(), p))
 	})
 }
 
-// Idle calls done once no call waits for its final answer.
-func (a *Agent) Idle(done func()) {
+// NotifyIdle calls done once no call waits for its final answer.
+func (a *Agent) NotifyIdle(done func()) {
 	a.post("", func() {
-		a.idle = append(a.idle, done)
-		a.settle()
+		a.idleCallbacks = append(a.idleCallbacks, done)
+		a.notifyIfIdle()
 	})
 }
 
 // RefuseAll gives every unresolved call its final answer now. For a shutdown that can
 // wait no longer.
-func (a *Agent) RefuseAll(stayAway time.Duration) {
+func (a *Agent) RefuseAll(retryAfter time.Duration) {
 	a.post("", func() {
 		for _, c := range a.calls {
 			if !c.resolved {
 				a.resolve(c)
-				a.refuse(c.front, c.Call, stayAway)
-				a.disclaim(c, Promised{Outcome: Refused, ComeBack: stayAway})
-				a.depart(c)
+				a.refuse(c.front, c.Call, retryAfter)
+				a.closeClaim(c, Promise{Outcome: Refused, RetryAfter: retryAfter})
+				a.endAtServer(c)
 			}
 		}
 	})
@@ -407,44 +407,44 @@
 		return false
 	}
 	a.recent.Add(in.ID)
-	if a.held.Load() {
-		a.refuse(f, in, min(heldAway, a.cfg.Settings.Limits.MaxRetryAfter))
+	if a.refusingNew.Load() {
+		a.refuse(f, in, min(refusingRetryAfter, a.cfg.Settings.Limits.MaxRetryAfter))
 		return false
 	}
-	if a.open >= cmp.Or(a.cfg.MaxOpen, 4096) {
+	if a.openCalls >= cmp.Or(a.cfg.MaxOpenCalls, 4096) {
 		a.refuse(f, in, a.cfg.Settings.Limits.MaxRetryAfter)
 		return false
 	}
-	a.sights.noteCall(in.Class)
+	a.observations.recordCall(in.Class)
 	c := &call{Call: in, front: f}
 	a.calls[in.ID] = c
-	a.open++
+	a.openCalls++
 	left := max(time.Until(in.Deadline), 0)
 	// The module answers every call in time. Should it ever not, the caller still hears.
-	c.guard = time.AfterFunc(left+a.cfg.Slack/2, func() {
+	c.overdueTimer = time.AfterFunc(left+a.cfg.AnswerSlack/2, func() {
 		a.post(in.ID, func() {
 			if a.calls[in.ID] == c && !c.resolved {
-				a.cfg.Log.Warn("call overdue", "call", in.ID, "out", c.out, "server", c.server)
-				a.abandon(c, c.overdue())
+				a.cfg.Log.Warn("call overdue", "call", in.ID, "out", c.attemptOut, "server", c.server)
+				a.abandon(c, c.overdueError())
 			}
 		})
 	})
-	if a.cfg.Keeper != nil {
+	if a.cfg.Promises != nil {
 		a.claim(c)
 	} else {
-		a.arrive(c)
+		a.notifyArrival(c)
 	}
 	return true
 }
 
-// arrive tells the module of a call, with its route's limits.
-func (a *Agent) arrive(c *call) {
+// notifyArrival tells the module of a call, with its route's limits.
+func (a *Agent) notifyArrival(c *call) {
 	in := c.Call
 	route, left := a.route(in, max(time.Until(in.Deadline), 0))
-	c.timeout = route.AttemptTimeout
-	a.act(a.ctrl.Handle(a.now(), policy.Arrival{ID: in.ID, Class: in.Class, Tenant: in.Tenant,
-		TimeLeft: left, Pool: in.Pool, Number: in.Number, Redial: in.Again,
-		MaxAttempts: route.Attempts, RetryDelay: route.Spacing, Pools: route.Pools}))
+	c.attemptTimeout = route.AttemptTimeout
+	a.act(a.controller.Handle(a.now(), policy.Arrival{ID: in.ID, Class: in.Class, Tenant: in.Tenant,
+		TimeLeft: left, Pool: in.Pool, Number: in.Number, Redial: in.Redialled,
+		MaxAttempts: route.MaxAttempts, RetryDelay: route.Spacing, Pools: route.Pools}))
 }
 
 // check looks at what a caller claims before anything is kept of it. A setup server answers
@@ -452,16 +452,16 @@
 func (a *Agent) check(c Call) error {
 	class, ok := a.classes[c.Class]
 	bad := func(format string, args ...any) error {
-		return fmt.Errorf("%w: "+format, append([]any{ErrCall}, args...)...)
+		return fmt.Errorf("%w: "+format, append([]any{ErrUnusableCall}, args...)...)
 	}
 	switch {
 	case !ok:
-		return ErrClass
+		return ErrUnknownClass
 	case strings.Trim(c.ID, "0") == "":
 		return bad("no id")
 	case len(a.tenants) > 0 && !a.tenants[c.Tenant]:
 		return bad("unknown tenant %.40q", c.Tenant)
-	case c.Number == "" || len(c.Number) > maxNumber:
+	case c.Number == "" || len(c.Number) > maxNumberBytes:
 		return bad("number %.40q", c.Number)
 	case len(c.Description) == 0:
 		return bad("no description")
@@ -476,18 +476,18 @@
 func (a *Agent) withdraw(f Front, id string) {
 	c := a.calls[id]
 	if c == nil {
-		a.echoReleased(f, id)
+		a.adoptedReleased(f, id)
 		return
 	}
-	if c.front != f || c.left { // a release may cross the call's end
+	if c.front != f || c.callerLeft { // a release may cross the call's end
 		return
 	}
-	c.left = true
+	c.callerLeft = true
 	if !c.resolved {
 		a.resolve(c)
-		a.disclaim(c, Promised{Outcome: Failed})
+		a.closeClaim(c, Promise{Outcome: Failed})
 	}
-	a.depart(c)
+	a.endAtServer(c)
 }
 
 // abandon is the core's own final answer, whatever the module thinks.
@@ -495,26 +495,26 @@
 	if !c.resolved {
 		a.resolve(c)
 		a.fail(c.front, c.Call, err)
-		a.disclaim(c, Promised{Outcome: Failed})
+		a.closeClaim(c, Promise{Outcome: Failed})
 	}
-	a.depart(c)
+	a.endAtServer(c)
 }
 
-// depart ends what a resolved call still has at a setup server, and tells the module.
-func (a *Agent) depart(c *call) {
-	if c.out {
+// endAtServer ends what a resolved call still has at a setup server, and tells the module.
+func (a *Agent) endAtServer(c *call) {
+	if c.attemptOut {
 		a.giveUp(c, policy.Cancelled)
 	}
-	a.drop(c)
+	a.forgetIfDone(c)
 	if !c.stands {
-		a.act(a.ctrl.Handle(a.now(), policy.Departed{ID: c.ID}))
+		a.act(a.controller.Handle(a.now(), policy.Departed{ID: c.ID}))
 	}
 }
 
 func (a *Agent) giveUp(c *call, why policy.Result) {
-	if c.out && !c.givenUp {
+	if c.attemptOut && !c.givenUp {
 		c.givenUp = true
-		c.unwant()
+		c.cancelAttempt()
 		a.backend.GiveUp(c.server, c.ID, c.attempts-1, why)
 	}
 }
@@ -522,44 +522,44 @@
 // resolve marks that a call has its final answer: the one place where that is set.
 func (a *Agent) resolve(c *call) {
 	c.resolved = true
-	a.weight.Add(-weigh(c.Call))
-	c.guard.Stop()
-	a.open--
-	a.settle()
+	a.openBytes.Add(-callMemory(c.Call))
+	c.overdueTimer.Stop()
+	a.openCalls--
+	a.notifyIfIdle()
 }
 
-func (a *Agent) settle() {
-	if a.open > 0 {
+func (a *Agent) notifyIfIdle() {
+	if a.openCalls > 0 {
 		return
 	}
-	for _, done := range a.idle {
+	for _, done := range a.idleCallbacks {
 		done()
 	}
-	a.idle = nil
+	a.idleCallbacks = nil
 }
 
-// drop forgets a call that needs nothing more.
-func (a *Agent) drop(c *call) {
-	if c.resolved && !c.out && a.calls[c.ID] == c {
+// forgetIfDone forgets a call that needs nothing more.
+func (a *Agent) forgetIfDone(c *call) {
+	if c.resolved && !c.attemptOut && a.calls[c.ID] == c {
 		delete(a.calls, c.ID)
 	}
 }
 
-// oneEach takes those off a list whose address a later one has: a server is replaced at its address
+// dropReplaced takes those off a list whose address a later one has: a server is replaced at its address
 // before the list tells that it is gone, and what was meant for it would reach the new one, which
 // is cold. It leaves the list it was given as it is.
-func (a *Agent) oneEach(list []Server, whole bool) []Server {
+func (a *Agent) dropReplaced(list []Server, whole bool) []Server {
 	list = slices.Clone(list)
 	if whole {
-		clear(a.holders)
+		clear(a.serverByAddress)
 	}
 	for i, s := range list {
-		maps.DeleteFunc(a.holders, func(at string, h Server) bool { return h.ID == s.ID && at != s.Address })
-		h, held := a.holders[s.Address]
+		maps.DeleteFunc(a.serverByAddress, func(at string, h Server) bool { return h.ID == s.ID && at != s.Address })
+		h, held := a.serverByAddress[s.Address]
 		switch {
 		case s.State == policy.Gone || s.Address == "":
 			if held && h.ID == s.ID {
-				delete(a.holders, s.Address)
+				delete(a.serverByAddress, s.Address)
 			}
 		case held && h.ID != s.ID && h.ReadyAt > s.ReadyAt:
 			list[i].State = policy.Gone
@@ -567,95 +567,95 @@
 			a.cfg.Log.Info("setup server replaced at its address", "address", s.Address, "old", h.ID, "new", s.ID)
 			h.State = policy.Gone
 			list = append(list, h)
-			a.holders[s.Address] = s
+			a.serverByAddress[s.Address] = s
 		default:
-			a.holders[s.Address] = s
+			a.serverByAddress[s.Address] = s
 		}
 	}
 	return list
 }
 
 func (a *Agent) servers(list []Server, whole bool) {
-	list = a.oneEach(list, whole)
+	list = a.dropReplaced(list, whole)
 	news := policy.ServerList{Whole: whole}
 	for _, s := range list {
 		news.Servers = append(news.Servers, s.Server)
 	}
-	a.sights.noteList(list, whole)
+	a.observations.recordList(list, whole)
 	a.backend.Servers(list, whole) // first: what the module sends next must find its server
-	a.act(a.ctrl.Handle(a.now(), news))
+	a.act(a.controller.Handle(a.now(), news))
 }
 
-// current returns the call whose latest attempt is n and still out.
-func (a *Agent) current(id string, n int) *call {
-	if c := a.calls[id]; c != nil && c.out && n == c.attempts-1 {
+// currentAttempt returns the call whose latest attempt is n and still out.
+func (a *Agent) currentAttempt(id string, n int) *call {
+	if c := a.calls[id]; c != nil && c.attemptOut && n == c.attempts-1 {
 		return c
 	}
 	return nil
 }
 
-func (a *Agent) stood(id string, n int, description []byte) {
-	c := a.current(id, n)
+func (a *Agent) handleStands(id string, n int, description []byte) {
+	c := a.currentAttempt(id, n)
 	// Once given up, the answer comes too late: the backend releases it at the server.
-	if c == nil || c.givenUp || c.resolved || c.keeping {
+	if c == nil || c.givenUp || c.resolved || c.storing {
 		return
 	}
-	c.expiry.Stop()
+	c.attemptTimer.Stop()
 	c.stands = true
-	a.stand++
-	a.final(c, Promised{Outcome: Served, Description: description}, func() {
+	a.standingCalls++
+	a.storeAndAnswer(c, Promise{Outcome: Served, Description: description}, func() {
 		c.Description = nil
 		a.answer(c.front, c.Call, description)
 	})
-	a.sights.noteTry(c.server, policy.OK, a.now()-c.sentAt, policy.EmptyReport())
-	a.act(a.ctrl.Handle(a.now(), policy.Standing{ID: id, Attempt: n, Server: c.server,
+	a.observations.recordAttempt(c.server, policy.OK, a.now()-c.sentAt, policy.EmptyReport())
+	a.act(a.controller.Handle(a.now(), policy.Standing{ID: id, Attempt: n, Server: c.server,
 		Delay: a.now() - c.sentAt}))
 }
 
-func (a *Agent) ended(id string, n int, err *Failure, r policy.Report) {
-	c := a.current(id, n)
+func (a *Agent) handleEnded(id string, n int, err *Failure, r policy.Report) {
+	c := a.currentAttempt(id, n)
 	if c == nil {
 		return
 	}
-	c.out = false
-	c.expiry.Stop()
-	c.unwant()
+	c.attemptOut = false
+	c.attemptTimer.Stop()
+	c.cancelAttempt()
 	if c.stands {
-		a.stand--
+		a.standingCalls--
 	}
 	switch {
-	case c.stands && c.keeping:
-		c.ended, c.end = true, err
-	case c.stands && !c.left:
-		a.tellEnd(c, err)
+	case c.stands && c.storing:
+		c.ended, c.endFailure = true, err
+	case c.stands && !c.callerLeft:
+		a.notifyEnded(c, err)
 	}
-	if c.promised {
-		a.cfg.Keeper.Over(id)
+	if c.stored {
+		a.cfg.Promises.MarkEnded(id)
 	}
 	e := policy.Ended{ID: id, Attempt: n, Server: c.server, Delay: a.now() - c.sentAt,
-		Complete: c.resolved || c.keeping, Report: r}
+		Complete: c.resolved || c.storing, Report: r}
 	if err != nil {
-		c.last = err
+		c.lastFailure = err
 		e.Result, e.Wait = err.Result, err.Wait
 		a.cfg.Log.Debug("attempt ended", "call", id, "attempt", n, "error", err)
 	}
 	if !c.stands { // how a call that stood ended shows nothing of the way to its server
-		a.sights.noteTry(c.server, e.Result, e.Delay, r)
+		a.observations.recordAttempt(c.server, e.Result, e.Delay, r)
 	}
-	a.drop(c)
-	a.act(a.ctrl.Handle(a.now(), e))
+	a.forgetIfDone(c)
+	a.act(a.controller.Handle(a.now(), e))
 }
 
-// overdue tells how far the latest attempt of a call without an outcome had come.
-func (c *call) overdue() error {
-	if c.last == nil {
+// overdueError tells how far the latest attempt of a call without an outcome had come.
+func (c *call) overdueError() error {
+	if c.lastFailure == nil {
 		return ErrOverdue
 	}
-	return fmt.Errorf("%w: %w", ErrOverdue, c.last)
+	return fmt.Errorf("%w: %w", ErrOverdue, c.lastFailure)
 }
 
-// plain keeps a failure that is none from becoming an error that is not nil.
-func plain(f *Failure) error {
+// failureOrNil keeps a failure that is none from becoming an error that is not nil.
+func failureOrNil(f *Failure) error {
 	if f == nil {
 		return nil
 	}
@@ -669,22 +669,22 @@
 		case policy.Send:
 			a.send(d)
 		case policy.Cancel:
-			if c := a.current(d.ID, d.Attempt); c != nil && !c.stands {
+			if c := a.currentAttempt(d.ID, d.Attempt); c != nil && !c.stands {
 				a.giveUp(c, policy.Cancelled)
 			}
 		case policy.Refuse:
-			if c := a.calls[d.ID]; c != nil && !c.resolved && !c.keeping {
-				a.final(c, Promised{Outcome: Refused, ComeBack: d.RetryAfter}, func() { a.refuse(c.front, c.Call, d.RetryAfter) })
+			if c := a.calls[d.ID]; c != nil && !c.resolved && !c.storing {
+				a.storeAndAnswer(c, Promise{Outcome: Refused, RetryAfter: d.RetryAfter}, func() { a.refuse(c.front, c.Call, d.RetryAfter) })
 			}
 		case policy.Fail:
-			if c := a.calls[d.ID]; c != nil && !c.resolved && !c.keeping {
-				a.final(c, Promised{Outcome: Failed}, func() { a.fail(c.front, c.Call, c.overdue()) })
+			if c := a.calls[d.ID]; c != nil && !c.resolved && !c.storing {
+				a.storeAndAnswer(c, Promise{Outcome: Failed}, func() { a.fail(c.front, c.Call, c.overdueError()) })
 			}
 		case policy.Probe:
 			a.backend.Probe(d.Server)
 		case policy.Wake:
 			time.AfterFunc(d.After, func() {
-				a.post("", func() { a.act(a.ctrl.Handle(a.now(), policy.Tick{})) })
+				a.post("", func() { a.act(a.controller.Handle(a.now(), policy.Tick{})) })
 			})
 		case policy.Log:
 			a.cfg.Log.Info(d.Text)
@@ -694,26 +694,26 @@
 
 func (a *Agent) send(d policy.Send) {
 	c := a.calls[d.ID]
-	if c == nil || c.resolved || c.out || c.keeping {
+	if c == nil || c.resolved || c.attemptOut || c.storing {
 		a.cfg.Log.Error("set-up for a call that is over or out", "call", d.ID, "server", d.Server)
 		return
 	}
 	n := c.attempts
 	c.attempts++
-	c.server, c.out, c.givenUp, c.sentAt = d.Server, true, false, a.now()
+	c.server, c.attemptOut, c.givenUp, c.sentAt = d.Server, true, false, a.now()
 	left := d.Deadline - c.sentAt
-	if c.timeout > 0 {
-		left = min(left, c.timeout)
+	if c.attemptTimeout > 0 {
+		left = min(left, c.attemptTimeout)
 	}
-	c.expiry = time.AfterFunc(left, func() {
+	c.attemptTimer = time.AfterFunc(left, func() {
 		a.post(c.ID, func() {
-			if a.current(c.ID, n) == c && !c.stands {
+			if a.currentAttempt(c.ID, n) == c && !c.stands {
 				a.giveUp(c, policy.TimedOut)
 			}
 		})
 	})
-	wanted, unwant := context.WithCancel(cmp.Or(c.Caller, context.Background()))
-	c.unwant = unwant
-	a.backend.SetUp(Attempt{ID: c.ID, N: n, Server: d.Server, Class: c.Class, Number: c.Number,
-		Until: time.Now().Add(left), Description: c.Description, Wanted: wanted})
+	ctx, cancel := context.WithCancel(cmp.Or(c.CallerContext, context.Background()))
+	c.cancelAttempt = cancel
+	a.backend.SetUp(Attempt{ID: c.ID, Index: n, Server: d.Server, Class: c.Class, Number: c.Number,
+		Deadline: time.Now().Add(left), Description: c.Description, Context: ctx})
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -31,40 +31,40 @@
 	}
 }
 
-// side records what the core does as front and as backend; a test plays the rest.
-type side struct {
-	mu     sync.Mutex
-	said   []string // to the caller
-	asked  []string // of the setup servers
-	wait   time.Duration
-	panics bool
+// fakeSides records what the core does as front and as backend; a test plays the rest.
+type fakeSides struct {
+	mu         sync.Mutex
+	toCaller   []string // to the caller
+	toServers  []string // of the setup servers
+	retryAfter time.Duration
+	panics     bool
 }
 
-func (s *side) note(to *[]string, format string, args ...any) {
+func (s *fakeSides) note(to *[]string, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*to = append(*to, fmt.Sprintf(format, args...))
 }
 
-func (s *side) say(format string, args ...any) { s.note(&s.said, format, args...) }
+func (s *fakeSides) say(format string, args ...any) { s.note(&s.toCaller, format, args...) }
 
-func (s *side) read(from *[]string) []string {
+func (s *fakeSides) read(from *[]string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), *from...)
 }
 
-func (s *side) heard() []string { return s.read(&s.said) }
-func (s *side) did() []string   { return s.read(&s.asked) }
+func (s *fakeSides) callerLog() []string { return s.read(&s.toCaller) }
+func (s *fakeSides) serverLog() []string { return s.read(&s.toServers) }
 
-func (s *side) Answered(c Call, d []byte) {
+func (s *fakeSides) Answered(c Call, d []byte) {
 	if s.panics {
 		panic("front")
 	}
 	s.say("answered %s %s", c.ID, d)
 }
-func (s *side) Refused(c Call, d time.Duration) { s.wait = d; s.say("refused %s", c.ID) }
-func (s *side) Failed(c Call, err error) {
+func (s *fakeSides) Refused(c Call, d time.Duration) { s.retryAfter = d; s.say("refused %s", c.ID) }
+func (s *fakeSides) Failed(c Call, err error) {
 	var f *Failure
 	if errors.As(err, &f) {
 		s.say("failed %s %v", c.ID, f.Stage)
@@ -72,28 +72,28 @@
 	}
 	s.say("failed %s", c.ID)
 }
-func (s *side) Rejected(c Call, err error) { s.say("rejected %s: %v", c.ID, err) }
-func (s *side) Ended(c Call, err error)    { s.say("ended %s %v", c.ID, err == nil) }
+func (s *fakeSides) Rejected(c Call, err error) { s.say("rejected %s: %v", c.ID, err) }
+func (s *fakeSides) Ended(c Call, err error)    { s.say("ended %s %v", c.ID, err == nil) }
 
-func (s *side) Servers([]Server, bool) {}
-func (s *side) Probe(string)           {}
-func (s *side) ReleaseUnknown(id string) {
-	s.note(&s.asked, "release %s somewhere", id)
+func (s *fakeSides) Servers([]Server, bool) {}
+func (s *fakeSides) Probe(string)           {}
+func (s *fakeSides) ReleaseUnknown(id string) {
+	s.note(&s.toServers, "release %s somewhere", id)
 }
-func (s *side) SetUp(a Attempt) {
-	s.note(&s.asked, "set up %s.%d at %s", a.ID, a.N, a.Server)
+func (s *fakeSides) SetUp(a Attempt) {
+	s.note(&s.toServers, "set up %s.%d at %s", a.ID, a.Index, a.Server)
 }
-func (s *side) GiveUp(server, id string, n int, why policy.Result) {
-	s.note(&s.asked, "give up %s.%d at %s", id, n, server)
+func (s *fakeSides) GiveUp(server, id string, n int, why policy.Result) {
+	s.note(&s.toServers, "give up %s.%d at %s", id, n, server)
 }
 
-// play runs a test in a bubble with one setup server on the list.
-func play(t *testing.T, test func(a *Agent, s *side)) {
+// withAgent runs a test in a bubble with one setup server on the list.
+func withAgent(t *testing.T, test func(a *Agent, s *fakeSides)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &side{}
-		a, err := New(Config{Settings: settings(), Seed: 1, Slack: 20 * ms})
+		s := &fakeSides{}
+		a, err := New(Config{Settings: settings(), Seed: 1, AnswerSlack: 20 * ms})
 		require.NoError(t, err)
-		a.Attach(s)
+		a.SetBackend(s)
 		go a.Run()
 		defer a.Stop()
 		a.Servers([]Server{{Server: policy.Server{ID: "s"}}}, true)
@@ -107,18 +107,18 @@
 		Description: []byte("offer")}
 }
 
-func offer(a *Agent, s *side, id string, left time.Duration) {
+func offer(a *Agent, s *fakeSides, id string, left time.Duration) {
 	a.Offer(s, callFor(id, left))
 	synctest.Wait()
 }
 
-func after(d time.Duration) {
+func sleep(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// earn has eight calls stand at once: first attempts earn the module's budget of further ones.
-func earn(a *Agent, s *side) {
+// earnRetryBudget has eight calls stand at once: first attempts earn the module's budget of further ones.
+func earnRetryBudget(a *Agent, s *fakeSides) {
 	for i := range 8 {
 		id := fmt.Sprint("w", i)
 		offer(a, s, id, 3*time.Second)
@@ -126,53 +126,53 @@
 	}
 }
 
-var gone = &Failure{Stage: Written, Result: policy.Cut, Server: "s", Err: fmt.Errorf("reset")}
+var cutFailure = &Failure{Stage: Written, Result: policy.Cut, Server: "s", Err: fmt.Errorf("reset")}
 
-// TestOrders plays what the two sides may do in every order that is a race on sockets;
+// TestEventOrders plays what the two sides may do in every order that is a race on sockets;
 // each call gets one final answer, and what is left at a server is given up.
-func TestOrders(t *testing.T) {
-	stands := func(a *Agent, s *side) { a.Stands("c", 0, []byte("d")) }
-	cut := func(a *Agent, s *side) { a.Ended("c", 0, gone, policy.EmptyReport()) }
-	done := func(a *Agent, s *side) { a.Ended("c", 0, nil, policy.EmptyReport()) }
-	leave := func(a *Agent, s *side) { a.Withdraw(s, "c") }
-	cancelled := func(a *Agent, s *side) {
+func TestEventOrders(t *testing.T) {
+	stands := func(a *Agent, s *fakeSides) { a.Stands("c", 0, []byte("d")) }
+	cut := func(a *Agent, s *fakeSides) { a.Ended("c", 0, cutFailure, policy.EmptyReport()) }
+	done := func(a *Agent, s *fakeSides) { a.Ended("c", 0, nil, policy.EmptyReport()) }
+	leave := func(a *Agent, s *fakeSides) { a.Withdraw(s, "c") }
+	cancelled := func(a *Agent, s *fakeSides) {
 		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.Cancelled}, policy.EmptyReport())
 	}
 	for _, tc := range []struct {
 		name  string
-		steps []func(*Agent, *side)
+		steps []func(*Agent, *fakeSides)
 		said  []string
 		asked []string // after the set-up
 	}{
-		{"answer, end", []func(*Agent, *side){stands, done}, []string{"answered c d", "ended c true"}, nil},
-		{"answer, cut", []func(*Agent, *side){stands, cut}, []string{"answered c d", "ended c false"}, nil},
-		{"answer, answer", []func(*Agent, *side){stands, stands, done}, []string{"answered c d", "ended c true"}, nil},
-		{"answer, caller's release", []func(*Agent, *side){stands, leave, cancelled}, []string{"answered c d"},
+		{"answer, end", []func(*Agent, *fakeSides){stands, done}, []string{"answered c d", "ended c true"}, nil},
+		{"answer, cut", []func(*Agent, *fakeSides){stands, cut}, []string{"answered c d", "ended c false"}, nil},
+		{"answer, answer", []func(*Agent, *fakeSides){stands, stands, done}, []string{"answered c d", "ended c true"}, nil},
+		{"answer, caller's release", []func(*Agent, *fakeSides){stands, leave, cancelled}, []string{"answered c d"},
 			[]string{"give up c.0 at s"}},
-		{"caller's release crosses the end", []func(*Agent, *side){stands, done, leave},
+		{"caller's release crosses the end", []func(*Agent, *fakeSides){stands, done, leave},
 			[]string{"answered c d", "ended c true"}, nil},
-		{"end crosses the caller's release", []func(*Agent, *side){stands, leave, done},
+		{"end crosses the caller's release", []func(*Agent, *fakeSides){stands, leave, done},
 			[]string{"answered c d"}, []string{"give up c.0 at s"}},
-		{"caller leaves, then the answer", []func(*Agent, *side){leave, stands, cancelled}, nil,
+		{"caller leaves, then the answer", []func(*Agent, *fakeSides){leave, stands, cancelled}, nil,
 			[]string{"give up c.0 at s"}},
-		{"caller leaves twice", []func(*Agent, *side){leave, leave, cancelled, leave}, nil,
+		{"caller leaves twice", []func(*Agent, *fakeSides){leave, leave, cancelled, leave}, nil,
 			[]string{"give up c.0 at s"}},
-		{"end of an attempt that is none", []func(*Agent, *side){stands, done, done},
+		{"end of an attempt that is none", []func(*Agent, *fakeSides){stands, done, done},
 			[]string{"answered c d", "ended c true"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(a *Agent, s *side) {
+			withAgent(t, func(a *Agent, s *fakeSides) {
 				offer(a, s, "c", 3*time.Second)
-				require.Equal(t, []string{"set up c.0 at s"}, s.did())
+				require.Equal(t, []string{"set up c.0 at s"}, s.serverLog())
 				for _, step := range tc.steps {
 					step(a, s)
 					synctest.Wait()
 				}
-				after(4 * time.Second) // no guard may speak later
-				assert.Equal(t, tc.said, s.heard())
-				assert.Equal(t, append([]string{"set up c.0 at s"}, tc.asked...), s.did())
+				sleep(4 * time.Second) // no guard may speak later
+				assert.Equal(t, tc.said, s.callerLog())
+				assert.Equal(t, append([]string{"set up c.0 at s"}, tc.asked...), s.serverLog())
 				assert.Empty(t, a.calls, "the call table forgets")
-				assert.Zero(t, a.open)
+				assert.Zero(t, a.openCalls)
 			})
 		})
 	}
@@ -181,23 +181,23 @@
 // TestDeadline: at the caller's deadline the set-up is given up first; its end brings the
 // failure. Should the backend never tell of it, the caller still hears within the slack.
 func TestDeadline(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 800*ms)
-		after(799 * ms)
-		require.Empty(t, s.heard())
-		after(2 * ms)
-		require.Equal(t, []string{"set up c.0 at s", "give up c.0 at s"}, s.did())
+		sleep(799 * ms)
+		require.Empty(t, s.callerLog())
+		sleep(2 * ms)
+		require.Equal(t, []string{"set up c.0 at s", "give up c.0 at s"}, s.serverLog())
 		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut}, policy.EmptyReport())
 		synctest.Wait()
-		require.Equal(t, []string{"failed c written"}, s.heard(), "how far it came is told")
+		require.Equal(t, []string{"failed c written"}, s.callerLog(), "how far it came is told")
 	})
-	play(t, func(a *Agent, s *side) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 800*ms)
-		after(811 * ms)
-		require.Equal(t, []string{"failed c"}, s.heard(), "the core's own last word")
-		a.Ended("c", 0, gone, policy.EmptyReport())
-		after(time.Second)
-		require.Equal(t, []string{"failed c"}, s.heard())
+		sleep(811 * ms)
+		require.Equal(t, []string{"failed c"}, s.callerLog(), "the core's own last word")
+		a.Ended("c", 0, cutFailure, policy.EmptyReport())
+		sleep(time.Second)
+		require.Equal(t, []string{"failed c"}, s.callerLog())
 		require.Empty(t, a.calls)
 	})
 }
@@ -205,61 +205,61 @@
 // TestClearWait: a call whose attempt broke goes out again only 300 ms after its end, and
 // what the module gives up is refused at once, with when to return.
 func TestClearWait(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
-		earn(a, s)
+	withAgent(t, func(a *Agent, s *fakeSides) {
+		earnRetryBudget(a, s)
 		offer(a, s, "c", 3*time.Second)
-		a.Ended("c", 0, gone, policy.EmptyReport())
-		after(299 * ms)
-		require.NotContains(t, s.did(), "set up c.1 at s")
-		after(60 * ms)
-		require.Contains(t, s.did(), "set up c.1 at s")
-		a.Ended("c", 0, gone, policy.EmptyReport()) // a late word of the first attempt
+		a.Ended("c", 0, cutFailure, policy.EmptyReport())
+		sleep(299 * ms)
+		require.NotContains(t, s.serverLog(), "set up c.1 at s")
+		sleep(60 * ms)
+		require.Contains(t, s.serverLog(), "set up c.1 at s")
+		a.Ended("c", 0, cutFailure, policy.EmptyReport()) // a late word of the first attempt
 		synctest.Wait()
-		require.NotContains(t, s.heard(), "refused c")
+		require.NotContains(t, s.callerLog(), "refused c")
 
 		a.Servers(nil, true)
 		synctest.Wait()
 		offer(a, s, "d", 3*time.Second)
-		require.Contains(t, s.heard(), "refused d")
-		require.Positive(t, s.wait)
+		require.Contains(t, s.callerLog(), "refused d")
+		require.Positive(t, s.retryAfter)
 	})
 }
 
-// TestNotTaken: an id that is open and a class that is unknown are turned away without
+// TestRejected: an id that is open and a class that is unknown are turned away without
 // touching the call that is open.
-func TestNotTaken(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+func TestRejected(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
 		offer(a, s, "c", 3*time.Second)
 		a.Offer(s, Call{ID: "x", Class: "none"})
-		a.Withdraw(&side{}, "c") // another front's caller
+		a.Withdraw(&fakeSides{}, "c") // another front's caller
 		synctest.Wait()
-		require.Equal(t, []string{"rejected c: " + ErrDuplicate.Error(), "rejected x: " + ErrClass.Error()}, s.heard())
+		require.Equal(t, []string{"rejected c: " + ErrDuplicate.Error(), "rejected x: " + ErrUnknownClass.Error()}, s.callerLog())
 		a.Stands("c", 0, nil)
 		synctest.Wait()
-		require.Contains(t, s.heard(), "answered c ")
+		require.Contains(t, s.callerLog(), "answered c ")
 	})
 }
 
-// TestUnknownFlood: releases of calls that nobody knows go to the servers, as after a restart,
+// TestUnknownReleaseFlood: releases of calls that nobody knows go to the servers, as after a restart,
 // but a caller that makes ids up must not have each of them cost every server a message.
-func TestUnknownFlood(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
-		for i := range 10 * unknownMost {
+func TestUnknownReleaseFlood(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
+		for i := range 10 * unknownReleasesPerSecond {
 			a.ReleaseUnknown(fmt.Sprint(i))
 		}
 		synctest.Wait()
-		assert.Len(t, s.did(), unknownMost)
-		after(time.Second)
+		assert.Len(t, s.serverLog(), unknownReleasesPerSecond)
+		sleep(time.Second)
 		a.ReleaseUnknown("later")
 		synctest.Wait()
-		assert.Len(t, s.did(), unknownMost+1)
+		assert.Len(t, s.serverLog(), unknownReleasesPerSecond+1)
 	})
 }
 
-// TestUseless: what no setup server could use is turned away before anything is kept of it.
-func TestUseless(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+// TestUnusableCalls: what no setup server could use is turned away before anything is kept of it.
+func TestUnusableCalls(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		for _, spoil := range []func(*Call){
 			func(c *Call) { c.ID = "0000000000000000" },
 			func(c *Call) { c.Tenant = "nobody" },
@@ -274,37 +274,37 @@
 			spoil(&c)
 			a.Offer(s, c)
 			synctest.Wait()
-			said := s.heard()
-			assert.Contains(t, said[len(said)-1], "rejected "+c.ID+": "+ErrCall.Error())
+			said := s.callerLog()
+			assert.Contains(t, said[len(said)-1], "rejected "+c.ID+": "+ErrUnusableCall.Error())
 		}
-		assert.Empty(t, s.did())
+		assert.Empty(t, s.serverLog())
 		assert.Empty(t, a.calls)
 		assert.False(t, a.recent.Has("x"))
 	})
 }
 
-// TestMaxOpen: open calls hold their descriptions, so there is a bound; beyond it a call is
+// TestMaxOpenCalls: open calls hold their descriptions, so there is a bound; beyond it a call is
 // refused at once and one that is over makes place.
-func TestMaxOpen(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
-		a.cfg.MaxOpen = 1
+func TestMaxOpenCalls(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
+		a.cfg.MaxOpenCalls = 1
 		offer(a, s, "c", 3*time.Second)
 		offer(a, s, "d", 3*time.Second)
-		require.Equal(t, []string{"refused d"}, s.heard())
-		require.Equal(t, 2*time.Second, s.wait)
+		require.Equal(t, []string{"refused d"}, s.callerLog())
+		require.Equal(t, 2*time.Second, s.retryAfter)
 		a.Stands("c", 0, nil)
 		synctest.Wait()
 		offer(a, s, "e", 3*time.Second)
-		require.NotContains(t, s.heard(), "refused e")
+		require.NotContains(t, s.callerLog(), "refused e")
 	})
 }
 
-// TestMaxBytes: the memory of calls that wait is bounded, not their number alone, and each way
+// TestMaxCallBytes: the memory of calls that wait is bounded, not their number alone, and each way
 // in which a call is done with gives its part back.
-func TestMaxBytes(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+func TestMaxCallBytes(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		one := callFor("c", 3*time.Second)
-		a.cfg.MaxBytes = weigh(one)
+		a.cfg.MaxCallBytes = callMemory(one)
 		require.True(t, a.Offer(s, one))
 		require.False(t, a.Offer(s, callFor("d", 3*time.Second)), "too much at once")
 		synctest.Wait()
@@ -315,112 +315,112 @@
 			synctest.Wait()
 			a.Withdraw(s, "e")
 			synctest.Wait()
-			require.Zero(t, a.weight.Load(), id)
+			require.Zero(t, a.openBytes.Load(), id)
 		}
 		require.True(t, a.Offer(s, callFor("f", 500*ms)))
-		after(time.Second)
-		require.Zero(t, a.weight.Load(), "its time ran out")
+		sleep(time.Second)
+		require.Zero(t, a.openBytes.Load(), "its time ran out")
 	})
 }
 
 // TestPanic: a panic ends the call that it came up in, and the core goes on.
 func TestPanic(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
 		s.panics = true
 		a.Stands("c", 0, nil)
 		synctest.Wait()
 		s.panics = false
-		require.Contains(t, s.did(), "give up c.0 at s")
+		require.Contains(t, s.serverLog(), "give up c.0 at s")
 		a.Ended("c", 0, &Failure{Result: policy.Cancelled}, policy.EmptyReport())
 		offer(a, s, "d", 3*time.Second)
 		a.Stands("d", 0, nil)
 		synctest.Wait()
-		require.Equal(t, []string{"ended c false", "answered d "}, s.heard(), "the caller of c is told that it is over")
+		require.Equal(t, []string{"ended c false", "answered d "}, s.callerLog(), "the caller of c is told that it is over")
 	})
 }
 
-// TestStop: a shutdown waits for open calls, and what can wait no longer is refused.
-func TestStop(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+// TestShutdown: a shutdown waits for open calls, and what can wait no longer is refused.
+func TestShutdown(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		idle := false
 		offer(a, s, "c", 3*time.Second)
 		offer(a, s, "d", 3*time.Second)
-		a.Idle(func() { idle = true })
+		a.NotifyIdle(func() { idle = true })
 		a.Stands("c", 0, nil)
 		synctest.Wait()
 		require.False(t, idle)
 		a.RefuseAll(time.Second)
 		synctest.Wait()
 		require.True(t, idle)
-		require.Contains(t, s.heard(), "refused d")
-		require.Contains(t, s.did(), "give up d.0 at s")
-		require.Equal(t, time.Second, s.wait)
+		require.Contains(t, s.callerLog(), "refused d")
+		require.Contains(t, s.serverLog(), "give up d.0 at s")
+		require.Equal(t, time.Second, s.retryAfter)
 	})
 }
 
-// TestStray: the end of a call from before a restart goes to the callers, and a caller's
+// TestUnknownEnded: the end of a call from before a restart goes to the callers, and a caller's
 // release of one to the servers; a word too many about a call of this agent does not.
-func TestStray(t *testing.T) {
+func TestUnknownEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, strays := &side{}, make(chan string, 10)
-		a, err := New(Config{Settings: settings(), Stray: func(id string, err error) { strays <- fmt.Sprint(id, " ", err == nil) }})
+		s, strays := &fakeSides{}, make(chan string, 10)
+		a, err := New(Config{Settings: settings(), OnUnknownEnded: func(id string, err error) { strays <- fmt.Sprint(id, " ", err == nil) }})
 		require.NoError(t, err)
-		a.Attach(s)
+		a.SetBackend(s)
 		go a.Run()
 		defer a.Stop()
 		offer(a, s, "mine", 3*time.Second) // refused: there is no server
-		a.Unknown("mine", nil)
-		a.Unknown("old", nil)
-		a.Unknown("cut", gone)
+		a.UnknownEnded("mine", nil)
+		a.UnknownEnded("old", nil)
+		a.UnknownEnded("cut", cutFailure)
 		synctest.Wait()
 		a.ReleaseUnknown("mine")
 		a.ReleaseUnknown("older")
 		synctest.Wait()
-		require.Equal(t, []string{"release older somewhere"}, s.did())
+		require.Equal(t, []string{"release older somewhere"}, s.serverLog())
 		require.Len(t, strays, 2)
 		require.Equal(t, []string{"old true", "cut false"}, []string{<-strays, <-strays})
 	})
 }
 
-// TestStrayFlood: a server that ends calls nobody knows, without end, floods no caller; the next
+// TestUnknownEndedFlood: a server that ends calls nobody knows, without end, floods no caller; the next
 // second those of a restart go through again.
-func TestStrayFlood(t *testing.T) {
+func TestUnknownEndedFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		told := 0
-		a, err := New(Config{Settings: settings(), Stray: func(string, error) { told++ }})
+		a, err := New(Config{Settings: settings(), OnUnknownEnded: func(string, error) { told++ }})
 		require.NoError(t, err)
 		go a.Run()
 		defer a.Stop()
-		for i := range 2 * straysMost {
-			a.Unknown(fmt.Sprint(i), nil)
+		for i := range 2 * unknownEndsPerSecond {
+			a.UnknownEnded(fmt.Sprint(i), nil)
 		}
 		synctest.Wait()
-		require.Equal(t, straysMost, told)
-		after(time.Second)
-		a.Unknown("later", nil)
+		require.Equal(t, unknownEndsPerSecond, told)
+		sleep(time.Second)
+		a.UnknownEnded("later", nil)
 		synctest.Wait()
-		require.Equal(t, straysMost+1, told)
+		require.Equal(t, unknownEndsPerSecond+1, told)
 	})
 }
 
-// TestTime: module time is Unix time, so that the start of a server compares with it.
-func TestTime(t *testing.T) {
+// TestModuleTimeIsUnixTime: module time is Unix time, so that the start of a server compares with it.
+func TestModuleTimeIsUnixTime(t *testing.T) {
 	a, err := New(Config{Settings: settings()})
 	require.NoError(t, err)
 	require.InDelta(t, time.Now().UnixNano(), int64(a.now()), float64(time.Minute))
 }
 
-// TestFigures: each final answer is counted once in its class, however it came about; what
+// TestCounts: each final answer is counted once in its class, however it came about; what
 // stands is in flight until its end, and the list's servers are counted.
-func TestFigures(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+func TestCounts(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
 		a.Stands("c", 0, nil)
 		offer(a, s, "c", 3*time.Second)          // a second one under its id: failed
 		offer(a, s, "d", 500*ms)                 // nobody answers it: refused or failed in its time
 		a.Offer(s, Call{ID: "x", Class: "none"}) // of no class that is counted
-		after(time.Second)
+		sleep(time.Second)
 		require.EqualValues(t, 1, a.InFlight(), "one stands")
 		listed, _ := a.Hosts()
 		require.EqualValues(t, 1, listed)
@@ -433,43 +433,43 @@
 	})
 }
 
-// TestHold: an agent that is to be empty refuses what comes, with a time, and goes on with
+// TestRefuseNew: an agent that is to be empty refuses what comes, with a time, and goes on with
 // what is open; then it takes calls again.
-func TestHold(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
+func TestRefuseNew(t *testing.T) {
+	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
-		a.Hold(true)
+		a.RefuseNew(true)
 		offer(a, s, "d", 3*time.Second)
-		require.Equal(t, []string{"refused d"}, s.heard())
-		require.Equal(t, heldAway, s.wait)
+		require.Equal(t, []string{"refused d"}, s.callerLog())
+		require.Equal(t, refusingRetryAfter, s.retryAfter)
 		a.Stands("c", 0, nil)
 		synctest.Wait()
-		require.Contains(t, s.heard(), "answered c ")
-		a.Hold(false)
+		require.Contains(t, s.callerLog(), "answered c ")
+		a.RefuseNew(false)
 		offer(a, s, "e", 3*time.Second)
-		require.Contains(t, s.did(), "set up e.0 at s")
+		require.Contains(t, s.serverLog(), "set up e.0 at s")
 	})
 }
 
 // TestAttemptTimeout: a route's attempt time-out gives each attempt up at that time, not at
 // the deadline, tells the server so (Until), and the next attempt waits the route's spacing.
 func TestAttemptTimeout(t *testing.T) {
-	play(t, func(a *Agent, s *side) {
-		earn(a, s)
-		a.SetRouter(func(Call) Route { return Route{AttemptTimeout: 400 * ms, Spacing: 500 * ms, Attempts: 2} })
+	withAgent(t, func(a *Agent, s *fakeSides) {
+		earnRetryBudget(a, s)
+		a.SetRouter(func(Call) Route { return Route{AttemptTimeout: 400 * ms, Spacing: 500 * ms, MaxAttempts: 2} })
 		offer(a, s, "c", 3*time.Second)
-		after(399 * ms)
-		require.NotContains(t, s.did(), "give up c.0 at s")
-		after(2 * ms)
-		require.Contains(t, s.did(), "give up c.0 at s")
+		sleep(399 * ms)
+		require.NotContains(t, s.serverLog(), "give up c.0 at s")
+		sleep(2 * ms)
+		require.Contains(t, s.serverLog(), "give up c.0 at s")
 		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.EmptyReport())
-		after(499 * ms)
-		require.NotContains(t, s.did(), "set up c.1 at s")
-		after(60 * ms)
-		require.Contains(t, s.did(), "set up c.1 at s")
-		after(401 * ms)
+		sleep(499 * ms)
+		require.NotContains(t, s.serverLog(), "set up c.1 at s")
+		sleep(60 * ms)
+		require.Contains(t, s.serverLog(), "set up c.1 at s")
+		sleep(401 * ms)
 		a.Ended("c", 1, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.EmptyReport())
 		synctest.Wait()
-		require.Contains(t, s.heard(), "refused c", "two attempts were all its route allows")
+		require.Contains(t, s.callerLog(), "refused c", "two attempts were all its route allows")
 	})
 }
--- a/agent/api.go
+++ b/agent/api.go
@@ -19,13 +19,13 @@
 	Number      string
 	Pool        int  // setup server of first choice, by its number; -1: none
 	Width       int  // lines it takes; 0: not stated
-	Again       bool // dialled again
+	Redialled   bool // dialled again
 	Deadline    time.Time
 	Description []byte
 	Ref         any // the front's own; the core returns it untouched
-	// Caller ends the moment the front sees its caller leave, before word of it reaches the
+	// CallerContext ends the moment the front sees its caller leave, before word of it reaches the
 	// core: nothing more is sent for the call from then on. nil: the front has none.
-	Caller context.Context
+	CallerContext context.Context
 }
 
 // Front is the callers' side. The core calls it from its own goroutine, so no method
@@ -35,7 +35,7 @@
 	// Answered tells that the call stands, with the setup server's description.
 	Answered(c Call, description []byte)
 	// Refused tells that trying again is harmless, after stayAway.
-	Refused(c Call, stayAway time.Duration)
+	Refused(c Call, retryAfter time.Duration)
 	// Failed tells that the call could not be set up; err tells how far it came.
 	Failed(c Call, err error)
 	// Rejected tells that the call was not taken: err is ErrDuplicate, ErrClass
@@ -48,23 +48,23 @@
 // Attempt is one set-up at one setup server.
 type Attempt struct {
 	ID          string
-	N           int // attempts of a call are numbered from 0
+	Index       int // attempts of a call are numbered from 0
 	Server      string
 	Class       string
 	Number      string
-	Until       time.Time
+	Deadline    time.Time
 	Description []byte
-	// Wanted ends once the attempt is given up or its caller has left, whatever still waits in
+	// Context ends once the attempt is given up or its caller has left, whatever still waits in
 	// the way of that news. A backend looks at it last of all before it sends; nil: always wanted.
-	Wanted context.Context
+	Context context.Context
 }
 
-// Unwanted tells why the attempt must not be sent any more; nil: it may.
-func (a Attempt) Unwanted() error {
-	if a.Wanted == nil {
+// CancelCause tells why the attempt must not be sent any more; nil: it may.
+func (a Attempt) CancelCause() error {
+	if a.Context == nil {
 		return nil
 	}
-	return context.Cause(a.Wanted)
+	return context.Cause(a.Context)
 }
 
 // Backend is the setup servers' side. The core calls it from its own goroutine, so no
@@ -97,7 +97,7 @@
 	Unwritten   Stage = iota // not a byte of it left
 	Unconnected              // the server refused the connection, or it never came up
 	Written                  // the set-up left, whole or in part: it may have run
-	Spoken                   // the server itself said how it ended
+	Responded                // the server itself said how it ended
 	Stood                    // the call stood and was cut
 )
 
--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// ErrKept is a failure that was promised before: by another agent, or in an earlier life.
-var ErrKept = errors.New("failed before, as other agents hold")
+// ErrFailedBefore is a failure that was promised before: by another agent, or in an earlier life.
+var ErrFailedBefore = errors.New("failed before, as other agents hold")
 
-// Keeper copies what the agent promises to further agents, so that losing this one with its
+// PromiseStore copies what the agent promises to further agents, so that losing this one with its
 // disk loses nothing that was promised. The core calls it from its own goroutine, so no
 // method may wait; each done is called exactly once, from any goroutine. An agent without a
 // Keeper promises for itself alone.
-type Keeper interface {
+type PromiseStore interface {
 	// Claim asks that this agent alone may send a call's set-ups. If another had the call
 	// before, it is closed for both: refused, with when to come back.
-	Claim(c Call, comeBack time.Duration, done func(Kept))
+	Claim(c Call, retryAfter time.Duration, done func(StoreResult))
 	// Resolve asks that a claimed call's final answer is kept, until a time at the latest.
-	Resolve(id string, p Promised, until time.Time, done func(Kept))
-	// Over tells that a call which stood is over, or that its promise must not be passed on
+	Resolve(id string, p Promise, until time.Time, done func(StoreResult))
+	// MarkEnded tells that a call which stood is over, or that its promise must not be passed on
 	// as one that stands. Nobody waits for it.
-	Over(id string)
+	MarkEnded(id string)
 }
 
-// Promised is a call's final answer as further agents keep it.
-type Promised struct {
+// Promise is a call's final answer as further agents keep it.
+type Promise struct {
 	Outcome     Outcome
 	Server      string // who took the set-up; "": none sent on
 	Description []byte // of a served call
-	ComeBack    time.Duration
-	Over        bool // it stood, and is over
+	RetryAfter  time.Duration
+	Ended       bool // it stood, and is over
 }
 
 // Outcome is how a call was answered.
@@ -42,88 +42,88 @@
 	Failed
 )
 
-// Kept tells what came of a claim or a resolution.
-type Kept struct {
+// StoreResult tells what came of a claim or a resolution.
+type StoreResult struct {
 	// OK tells that a quorum has it. For a claim: set-ups may be sent.
 	OK bool
-	// Stands is the call's final answer where it has one already. Not nil: it is to be told.
-	Stands *Promised
-	// ComeBack is when asking again may help, where neither of the above holds: it is not
+	// Existing is the call's final answer where it has one already. Not nil: it is to be told.
+	Existing *Promise
+	// RetryAfter is when asking again may help, where neither of the above holds: it is not
 	// known whether it is kept, or it is not.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // claim asks for the call before the module hears of it: nothing is sent on meanwhile.
 func (a *Agent) claim(c *call) {
-	c.keeping = true
-	a.cfg.Keeper.Claim(c.Call, a.cfg.Settings.Limits.MaxRetryAfter, func(k Kept) {
-		a.post(c.ID, func() { a.claimed(c, k) })
+	c.storing = true
+	a.cfg.Promises.Claim(c.Call, a.cfg.Settings.Limits.MaxRetryAfter, func(k StoreResult) {
+		a.post(c.ID, func() { a.claimDone(c, k) })
 	})
 }
 
-func (a *Agent) claimed(c *call, k Kept) {
-	c.keeping = false
+func (a *Agent) claimDone(c *call, k StoreResult) {
+	c.storing = false
 	c.claimed = k.OK
 	switch {
 	case a.calls[c.ID] != c || c.resolved: // the caller has left, or was told that it is overdue
-		a.disclaim(c, Promised{Outcome: Failed})
-	case k.Stands != nil:
+		a.closeClaim(c, Promise{Outcome: Failed})
+	case k.Existing != nil:
 		a.resolve(c)
-		a.echo(c, *k.Stands)
-		a.drop(c)
+		a.adopt(c, *k.Existing)
+		a.forgetIfDone(c)
 	case !k.OK:
 		a.resolve(c)
-		a.refuse(c.front, c.Call, k.ComeBack)
-		a.drop(c)
+		a.refuse(c.front, c.Call, k.RetryAfter)
+		a.forgetIfDone(c)
 	default:
-		a.arrive(c)
+		a.notifyArrival(c)
 	}
 }
 
-// disclaim resolves a claimed call that has its answer, or needs none, without the quorum, so
+// closeClaim resolves a claimed call that has its answer, or needs none, without the quorum, so
 // that an agent asked for it later sends nothing.
-func (a *Agent) disclaim(c *call, p Promised) {
+func (a *Agent) closeClaim(c *call, p Promise) {
 	if !c.claimed {
 		return
 	}
 	c.claimed = false
 	p.Server = c.server
-	a.cfg.Keeper.Resolve(c.ID, p, time.Now().Add(disclaimWait), func(Kept) {})
+	a.cfg.Promises.Resolve(c.ID, p, time.Now().Add(closeClaimTimeout), func(StoreResult) {})
 }
 
-// disclaimWait is how long a resolution nobody waits for is tried: an election or two.
-const disclaimWait = 2 * time.Second
+// closeClaimTimeout is how long a resolution nobody waits for is tried: an election or two.
+const closeClaimTimeout = 2 * time.Second
 
-// final gives a call its final answer, which is kept first where the call was claimed. tell
+// storeAndAnswer gives a call its final answer, which is kept first where the call was claimed. tell
 // passes it on. While it is being kept the call is unresolved and nothing is sent for it.
-func (a *Agent) final(c *call, p Promised, tell func()) {
+func (a *Agent) storeAndAnswer(c *call, p Promise, tell func()) {
 	if !c.claimed {
 		a.resolve(c)
 		tell()
-		a.drop(c)
+		a.forgetIfDone(c)
 		return
 	}
-	c.claimed, c.keeping = false, true
+	c.claimed, c.storing = false, true
 	p.Server = c.server
 	until := c.Deadline
 	if p.Outcome != Served { // nothing is lost if it is not kept: an answer at once matters more
-		until = time.Now().Add(refusalWait)
+		until = time.Now().Add(refusalStoreTimeout)
 	}
-	a.cfg.Keeper.Resolve(c.ID, p, until, func(k Kept) {
-		a.post(c.ID, func() { a.kept(c, p, k, tell) })
+	a.cfg.Promises.Resolve(c.ID, p, until, func(k StoreResult) {
+		a.post(c.ID, func() { a.answerStored(c, p, k, tell) })
 	})
 }
 
-// refusalWait is the longest that the quorum may hold back an answer which is harmless if it
+// refusalStoreTimeout is the longest that the quorum may hold back an answer which is harmless if it
 // is not kept: the caller may try again, and the claim keeps others from sending the call.
-const refusalWait = 100 * time.Millisecond
+const refusalStoreTimeout = 100 * time.Millisecond
 
-// kept passes a final answer on once it is kept, or what stands in its place.
-func (a *Agent) kept(c *call, p Promised, k Kept, tell func()) {
-	c.keeping = false
+// answerStored passes a final answer on once it is kept, or what stands in its place.
+func (a *Agent) answerStored(c *call, p Promise, k StoreResult, tell func()) {
+	c.storing = false
 	gone := a.calls[c.ID] != c || c.resolved
 	if gone || p.Outcome == Served && !k.OK {
-		a.cfg.Keeper.Over(c.ID) // it may stand, and the call does not
+		a.cfg.Promises.MarkEnded(c.ID) // it may stand, and the call does not
 	}
 	if gone {
 		return
@@ -132,72 +132,72 @@
 	switch {
 	case k.OK:
 		tell()
-	case k.Stands != nil:
-		a.echo(c, *k.Stands)
+	case k.Existing != nil:
+		a.adopt(c, *k.Existing)
 	case p.Outcome == Served:
-		a.refuse(c.front, c.Call, k.ComeBack)
+		a.refuse(c.front, c.Call, k.RetryAfter)
 	default:
 		tell() // not promised: docs/replication.md names what that can lose
 	}
 	if p.Outcome == Served && !k.OK { // it stands at the server, and its caller heard otherwise
-		a.depart(c)
+		a.endAtServer(c)
 		return
 	}
-	c.promised = p.Outcome == Served
+	c.stored = p.Outcome == Served
 	if c.ended { // while its answer was being kept
-		a.cfg.Keeper.Over(c.ID)
-		a.tellEnd(c, c.end)
+		a.cfg.Promises.MarkEnded(c.ID)
+		a.notifyEnded(c, c.endFailure)
 	}
-	a.drop(c)
+	a.forgetIfDone(c)
 }
 
-// tellEnd tells the caller of a call that stood how it ended.
-func (a *Agent) tellEnd(c *call, err *Failure) {
-	c.left = true
-	c.front.Ended(c.Call, plain(err))
+// notifyEnded tells the caller of a call that stood how it ended.
+func (a *Agent) notifyEnded(c *call, err *Failure) {
+	c.callerLeft = true
+	c.front.Ended(c.Call, failureOrNil(err))
 }
 
-// echo tells what stands for a call that another agent, or this one in an earlier life,
+// adopt tells what stands for a call that another agent, or this one in an earlier life,
 // answered. The call is none of this agent's: its end, and its caller's release, are passed
 // on as those of a call from before a restart.
-func (a *Agent) echo(c *call, p Promised) {
+func (a *Agent) adopt(c *call, p Promise) {
 	switch p.Outcome {
 	case Served:
 		a.answer(c.front, c.Call, p.Description)
-		if p.Over {
+		if p.Ended {
 			c.front.Ended(c.Call, nil)
-		} else if len(a.echoes) < echoesMost {
+		} else if len(a.adopted) < maxAdopted {
 			c.Description = nil
-			a.echoes[c.ID] = c
+			a.adopted[c.ID] = c
 		}
 	case Refused:
-		a.refuse(c.front, c.Call, p.ComeBack)
+		a.refuse(c.front, c.Call, p.RetryAfter)
 	default:
-		a.fail(c.front, c.Call, ErrKept)
+		a.fail(c.front, c.Call, ErrFailedBefore)
 	}
 }
 
-// echoesMost bounds the calls that stand by another's answer; ends of more are passed on as
+// maxAdopted bounds the calls that stand by another's answer; ends of more are passed on as
 // those of calls from before a restart.
-const echoesMost = 4096
+const maxAdopted = 4096
 
-// echoEnded passes the end of an echoed call on, and tells whether it was one.
-func (a *Agent) echoEnded(id string, err *Failure) bool {
-	c := a.echoes[id]
+// adoptedEnded passes the end of an echoed call on, and tells whether it was one.
+func (a *Agent) adoptedEnded(id string, err *Failure) bool {
+	c := a.adopted[id]
 	if c == nil {
 		return false
 	}
-	delete(a.echoes, id)
-	a.cfg.Keeper.Over(id)
-	c.front.Ended(c.Call, plain(err))
+	delete(a.adopted, id)
+	a.cfg.Promises.MarkEnded(id)
+	c.front.Ended(c.Call, failureOrNil(err))
 	return true
 }
 
-// echoReleased has a caller's release of an echoed call reach the server it stands at.
-func (a *Agent) echoReleased(f Front, id string) {
-	if c := a.echoes[id]; c != nil && c.front == f {
-		delete(a.echoes, id)
-		a.cfg.Keeper.Over(id)
+// adoptedReleased has a caller's release of an echoed call reach the server it stands at.
+func (a *Agent) adoptedReleased(f Front, id string) {
+	if c := a.adopted[id]; c != nil && c.front == f {
+		delete(a.adopted, id)
+		a.cfg.Promises.MarkEnded(id)
 		a.backend.ReleaseUnknown(id)
 	}
 }
--- a/agent/list_test.go
+++ b/agent/list_test.go
@@ -10,9 +10,9 @@
 	"woodrouter/policy"
 )
 
-// TestOneEach: a server whose address a later one has is gone, whatever the list still says of it;
+// TestDropReplaced: a server whose address a later one has is gone, whatever the list still says of it;
 // what was meant for it would reach the new one, which is cold.
-func TestOneEach(t *testing.T) {
+func TestDropReplaced(t *testing.T) {
 	entry := func(id, address string, ready policy.Time, state policy.State) Server {
 		return Server{Server: policy.Server{ID: id, ReadyAt: ready, State: state}, Address: address}
 	}
@@ -38,7 +38,7 @@
 		got := ""
 		for _, list := range tc.news {
 			got = ""
-			for _, s := range a.oneEach(list, false) {
+			for _, s := range a.dropReplaced(list, false) {
 				got += fmt.Sprint(", ", s.ID, " ", [...]string{"up", "draining", "gone"}[s.State])
 			}
 		}
--- a/agent/sight_bench_test.go
+++ b/agent/sight_bench_test.go
@@ -8,21 +8,21 @@
 	"woodrouter/policy"
 )
 
-// BenchmarkSights is what the notes of n servers in five zones cost: the news of a whole list, a look
+// BenchmarkObservations is what the notes of n servers in five zones cost: the news of a whole list, a look
 // by whoever tells of them, and one probe's result.
-func BenchmarkSights(b *testing.B) {
+func BenchmarkObservations(b *testing.B) {
 	for _, n := range []int{10, 27, 100, 300, 730, 1460} {
 		var list []Server
 		for i := range n {
 			id := fmt.Sprintf("server%d", i)
 			list = append(list, Server{Server: policy.Server{ID: id, Pool: i}, Zone: fmt.Sprint("z", i%5), Address: id + ".example:5060"})
 		}
-		v := newSights(policy.Settings{Classes: []policy.Class{{Hold: time.Second}}})
-		v.noteList(list, true)
+		v := newObservations(policy.Settings{Classes: []policy.Class{{Hold: time.Second}}})
+		v.recordList(list, true)
 		for name, do := range map[string]func(){
-			"list":    func() { v.noteList(list, true) },
+			"list":    func() { v.recordList(list, true) },
 			"take":    func() { v.Take() },
-			"checked": func() { v.Checked(list[n/2].Address, true) },
+			"checked": func() { v.RecordCheck(list[n/2].Address, true) },
 		} {
 			b.Run(fmt.Sprintf("%s/servers=%d", name, n), func(b *testing.B) {
 				b.ReportAllocs()
--- a/callrpc/callrpc_test.go
+++ b/callrpc/callrpc_test.go
@@ -12,15 +12,15 @@
 
 	"woodrouter/agent"
 	"woodrouter/internal/front/callapi"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 	"woodrouter/internal/front/ws"
 	"woodrouter/internal/standin"
 )
 
-// start serves the API by a core that decides by the call's class.
-func start(t *testing.T) (*standin.Core, string, context.Context) {
+// startServer serves the API by a core that decides by the call's class.
+func startServer(t *testing.T) (*standin.Core, string, context.Context) {
 	c := standin.NewCore()
-	f := callapi.New(desk.Config{}, c)
+	f := callapi.New(connmgr.Config{}, c)
 	f.Configure(ws.Endpoint{Path: "/calls"}, 0)
 	c.Decide = func(call agent.Call) {
 		switch call.Class {
@@ -39,7 +39,7 @@
 }
 
 func dial(t *testing.T) (*standin.Core, *Client, context.Context) {
-	core, url, ctx := start(t)
+	core, url, ctx := startServer(t)
 	c, err := Dial(ctx, url, Options{Token: "t"})
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -104,7 +104,7 @@
 
 // TestCodec plugs the API into a plain rpc.Client.
 func TestCodec(t *testing.T) {
-	_, url, ctx := start(t)
+	_, url, ctx := startServer(t)
 	conn, _, err := websocket.Dial(ctx, url, nil)
 	require.NoError(t, err)
 	ended := make(chan End, 1)
--- a/callrpc/client.go
+++ b/callrpc/client.go
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("callrpc: %w", err)
 	}
 	c := &Client{calls: map[string]*Standing{}}
-	c.rpc = rpc.NewClientWithCodec(NewCodec(conn, c.end))
+	c.rpc = rpc.NewClientWithCodec(NewCodec(conn, c.handleEnd))
 	return c, nil
 }
 
@@ -60,7 +60,7 @@
 		call.DeadlineMs = max(time.Until(at).Milliseconds(), 1)
 	}
 	s := &Standing{ID: call.ID, client: c, ended: make(chan End, 1)}
-	if !c.enter(s) {
+	if !c.register(s) {
 		return nil, &Error{Code: CodeDuplicate, Message: "a call of this id is open here"}
 	}
 	var result callproto.Standing
@@ -68,14 +68,14 @@
 	select {
 	case r := <-done:
 		if r.Error != nil {
-			c.leave(s)
-			return nil, typed(r.Error)
+			c.unregister(s)
+			return nil, agentError(r.Error)
 		}
 		s.Description = result.Description
 		return s, nil
 	case <-ctx.Done():
 		// The agent takes a cancel for a release if its answer is already on the way.
-		c.leave(s)
+		c.unregister(s)
 		c.rpc.Go(callproto.Cancel, callproto.Name{ID: call.ID}, nil, make(chan *rpc.Call, 1))
 		return nil, ctx.Err()
 	}
@@ -86,26 +86,26 @@
 
 // Release ends the call.
 func (s *Standing) Release(ctx context.Context) error {
-	s.client.leave(s)
+	s.client.unregister(s)
 	done := s.client.rpc.Go(callproto.Release, callproto.Name{ID: s.ID}, nil, make(chan *rpc.Call, 1)).Done
 	select {
 	case r := <-done:
-		return typed(r.Error)
+		return agentError(r.Error)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// typed turns an error of net/rpc into the agent's, where it is one.
-func typed(err error) error {
+// agentError turns an error of net/rpc into the agent's, where it is one.
+func agentError(err error) error {
 	if e, ok := AsError(err); ok {
 		return e
 	}
 	return err
 }
 
-// enter lists a call before it is sent, as its end may come right behind its answer.
-func (c *Client) enter(s *Standing) bool {
+// register lists a call before it is sent, as its end may come right behind its answer.
+func (c *Client) register(s *Standing) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls[s.ID] != nil {
@@ -115,7 +115,7 @@
 	return true
 }
 
-func (c *Client) leave(s *Standing) {
+func (c *Client) unregister(s *Standing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls[s.ID] == s {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (c *Client) end(e End) {
+func (c *Client) handleEnd(e End) {
 	c.mu.Lock()
 	s := c.calls[e.ID]
 	delete(c.calls, e.ID)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,7 +16,7 @@
 	"woodrouter/internal/fleet/placer"
 	"woodrouter/internal/fleet/spreader"
 	"woodrouter/internal/front/callapi"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 	"woodrouter/internal/front/isupfront"
 	"woodrouter/internal/plan"
 	"woodrouter/internal/servers/bulletin"
@@ -86,7 +86,7 @@
 func New(cfg Config, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, log: log, parts: partsOf(cfg.Limits.Sockets, cfg.State != "")}
 	var err error
-	var kept agent.Keeper
+	var kept agent.PromiseStore
 	if cfg.Promises != "" {
 		if d.promises, err = newPromises(cfg, log); err != nil {
 			return nil, err
@@ -103,9 +103,9 @@
 		d.own.spread.Source = cfg.source
 		set.Spread = spreadConfig(d.own.spread, cfg.Name, set)
 	}
-	d.core, err = agent.New(agent.Config{Keeper: kept, Sights: cfg.Failover != "", Settings: set, Seed: cfg.seed,
-		Slack: settings.Micros(cfg.info.Guarantees.AnswerSlack), Log: log, MaxBytes: cfg.Limits.MemoryMB << 20 / callShare,
-		Stray: func(id string, err error) { d.front.Stray(id, err) }})
+	d.core, err = agent.New(agent.Config{Promises: kept, ObserveServers: cfg.Failover != "", Settings: set, Seed: cfg.seed,
+		AnswerSlack: settings.Micros(cfg.info.Guarantees.AnswerSlack), Log: log, MaxCallBytes: cfg.Limits.MemoryMB << 20 / callShare,
+		OnUnknownEnded: func(id string, err error) { d.front.UnknownEnded(id, err) }})
 	if err != nil {
 		return nil, fmt.Errorf("configuration: field settings: %w", err)
 	}
@@ -113,7 +113,7 @@
 		if d.own.failover, err = placer.LoadConfig(cfg.Failover); err != nil {
 			return nil, err
 		}
-		if d.placer, err = newPlacer(cfg, d.own.failover, d.promises, d.core.Sights(), log); err != nil {
+		if d.placer, err = newPlacer(cfg, d.own.failover, d.promises, d.core.Observations(), log); err != nil {
 			return nil, err
 		}
 		d.core.SetRouter(d.route(nil))
@@ -126,12 +126,12 @@
 	d.pool = trunk.NewPool(trunk.Config{Wrote: d.wrote(), ConnectTimeout: settings.Micros(cfg.info.Limits.ConnectTimeout),
 		Aim: cfg.info.ShortestAim(), Probes: cfg.info.Limits.Probes, Source: cfg.source, MaxConns: d.parts.beside, Part: d.parts.servers,
 		Name: cfg.Name, Placed: func(ids []string, placed bool) {
-			d.core.Spread(func(_ policy.Time, s *spread.State) { s.SetConnected(ids, placed) })
+			d.core.WithSpread(func(_ policy.Time, s *spread.State) { s.SetConnected(ids, placed) })
 		}, Log: log}, d.core)
-	d.core.Attach(d.pool)
+	d.core.SetBackend(d.pool)
 	d.stayAway = min(busyAway, set.Limits.MaxRetryAfter)
-	d.front = isupfront.New(desk.Config{MaxPeers: d.parts.callers, StayAway: d.stayAway, Log: log}, d.core, d.ready)
-	d.second = second{d: d, front: callapi.New(desk.Config{StayAway: d.stayAway, Log: log}, d.core)}
+	d.front = isupfront.New(connmgr.Config{MaxPeers: d.parts.callers, RetryAfter: d.stayAway, Log: log}, d.core, d.ready)
+	d.second = second{d: d, front: callapi.New(connmgr.Config{RetryAfter: d.stayAway, Log: log}, d.core)}
 	d.follower = &bulletin.Follower{Core: d.core, Log: log, Patience: listPatience, Grace: listGrace,
 		Retry: listRetry, Source: cfg.source}
 	d.follower.Move(cfg.Bulletin)
@@ -319,7 +319,7 @@
 	time.Sleep(stopServing)
 	tick := time.NewTicker(emptyTick)
 	defer tick.Stop()
-	for d.front.Waiting()+d.second.front.Waiting() > 0 { // half-read set-ups, too, get their answers
+	for d.front.BusyPeers()+d.second.front.BusyPeers() > 0 { // half-read set-ups, too, get their answers
 		select {
 		case <-tick.C:
 		case <-last:
@@ -331,10 +331,10 @@
 
 func (d *Daemon) refuseOpen() {
 	d.log.Warn("stopping: refusing what is still open")
-	d.core.Hold(true) // what still comes is refused as it comes
+	d.core.RefuseNew(true) // what still comes is refused as it comes
 	refused := make(chan struct{})
 	d.core.RefuseAll(d.stayAway)
-	d.core.Idle(func() { close(refused) })
+	d.core.NotifyIdle(func() { close(refused) })
 	<-refused
 }
 
@@ -344,7 +344,7 @@
 func (d *Daemon) handOver(last <-chan time.Time) {
 	began, tick := time.Now(), time.NewTicker(emptyTick)
 	defer tick.Stop()
-	for d.endIdle(time.Since(began), desk.Spare{New: true}) > 0 {
+	for d.endIdle(time.Since(began), connmgr.Exempt{New: true}) > 0 {
 		select {
 		case <-tick.C:
 		case <-last:
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -166,7 +166,7 @@
 				return said + ", completed"
 			case said != "":
 				return said + ", cut"
-			case cause == isup.Congestion && m.Text(isup.StayAway) != "":
+			case cause == isup.Congestion && m.Text(isup.RetryAfter) != "":
 				return "refused with a time"
 			default:
 				return "failed"
@@ -474,7 +474,7 @@
 	s.d.Reload()
 	go s.binary(t)(0x10, 8*time.Second)
 	g := s.servers[0].Await(t, isup.SetUp)
-	wait, err := strconv.Atoi(g.Text(isup.Left))
+	wait, err := strconv.Atoi(g.Text(isup.TimeLeft))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, wait, 400, "the server is told the route's time-out, not the caller's 8 s")
 	given := s.servers[0].Await(t, isup.Release)
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -19,7 +19,7 @@
 
 // newPlacer is the part of an agent that follows where each zone's calls go (docs/failover.md).
 // Off unless WOODROUTER_FAILOVER names its file.
-func newPlacer(cfg Config, file placer.Config, p *promises, sights *agent.Sights, log *slog.Logger) (*placer.Placer, error) {
+func newPlacer(cfg Config, file placer.Config, p *promises, sights *agent.Observations, log *slog.Logger) (*placer.Placer, error) {
 	var control placer.Control
 	if p != nil {
 		control = &controlGroup{p: p}
--- a/internal/daemon/odd_test.go
+++ b/internal/daemon/odd_test.go
@@ -86,7 +86,7 @@
 		require.NoError(t, err)
 		d, err := New(cfg, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		for _, told := range []time.Duration{d.stayAway, d.front.StayAway, d.second.front.StayAway} {
+		for _, told := range []time.Duration{d.stayAway, d.front.RetryAfter, d.second.front.RetryAfter} {
 			require.Equal(t, tc.want, told)
 		}
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"woodrouter/internal/console"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 )
 
 // openConsole serves the operators' calls, where the configuration names an address.
@@ -116,7 +116,7 @@
 	close(e.end)
 	e.end = nil
 	d.drained.Store(false)
-	d.core.Hold(false)
+	d.core.RefuseNew(false)
 	d.log.Info("drained no more: taking callers")
 	return console.Success + " takes clients"
 }
@@ -137,9 +137,9 @@
 		switch age := time.Since(began); {
 		case age >= drainServe:
 			d.hold(end)
-			d.endIdle(age, desk.Spare{Standing: true})
+			d.endIdle(age, connmgr.Exempt{Standing: true})
 		case age >= drainHeard:
-			d.endIdle(age, desk.Spare{Standing: true, New: true})
+			d.endIdle(age, connmgr.Exempt{Standing: true, New: true})
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	d.emptying.mu.Lock()
 	defer d.emptying.mu.Unlock()
 	if d.emptying.end == end {
-		d.core.Hold(true)
+		d.core.RefuseNew(true)
 	}
 }
 
@@ -171,9 +171,9 @@
 
 // endIdle ends callers' connections that are not in use, at an age of the wish to have none,
 // and tells how many are left.
-func (d *Daemon) endIdle(age time.Duration, spare desk.Spare) int {
+func (d *Daemon) endIdle(age time.Duration, spare connmgr.Exempt) int {
 	if age < emptyHurry {
 		spare.Used = emptyQuiet
 	}
-	return d.front.EndIdle(spare) + d.second.front.EndIdle(spare)
+	return d.front.CloseIdle(spare) + d.second.front.CloseIdle(spare)
 }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -213,7 +213,7 @@
 	require.Eventually(t, func() bool {
 		id++
 		m := outcome(id)
-		return m.Call == id && m.Type == isup.Release && m.Text(isup.StayAway) != ""
+		return m.Call == id && m.Type == isup.Release && m.Text(isup.RetryAfter) != ""
 	}, standin.Patience, 50*time.Millisecond, "then refused")
 	conns := server.Conns() // the one that it was asked on may have been replaced: its answer waited for the drain
 	g.Conn = conns[len(conns)-1]
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -1,6 +1,6 @@
 package daemon
 
-import "woodrouter/internal/front/desk"
+import "woodrouter/internal/front/connmgr"
 
 // What the descriptors of the machine are for: one in so many. Callers hold a third at most, by the
 // deployment page, and idle ones any number; the call API, where it is on, has a quarter. Connections
@@ -36,5 +36,5 @@
 
 // taken is what callers may hold, with those on their way out.
 func (p parts) taken() int {
-	return p.callers + p.callers/desk.LeavingMost + p.api + p.api/desk.LeavingMost
+	return p.callers + p.callers/connmgr.ClosingDivisor + p.api + p.api/connmgr.ClosingDivisor
 }
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -180,7 +180,7 @@
 
 // wording is a set-up's bytes.
 func wording(t *testing.T, id isup.CallID) []byte {
-	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.Left, 9*time.Second).
+	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.TimeLeft, 9*time.Second).
 		WithText(isup.Number, "2").WithText(isup.Figures, "dest:0;width:1;via:-1").WithText(isup.Description, "offer").Append(nil)
 	require.NoError(t, err)
 	return b
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -39,7 +39,7 @@
 	index := routes.NewIndex(table)
 	return func(c agent.Call) agent.Route {
 		_, l, _ := index.Lookup(c.Tenant, c.Class, c.Number)
-		return agent.Route{Attempts: l.Attempts, Spacing: l.RetrySpacing, Share: l.DeadlineShare, Pools: l.Servers,
+		return agent.Route{MaxAttempts: l.Attempts, Spacing: l.RetrySpacing, TimeShare: l.DeadlineShare, Pools: l.Servers,
 			AttemptTimeout: l.AttemptTimeout}
 	}, len(table.Routes), nil
 }
--- a/internal/daemon/second.go
+++ b/internal/daemon/second.go
@@ -57,13 +57,13 @@
 	}
 	if on {
 		s.front.Configure(endpoint(next), next.MaxMessage)
-		s.front.Limit(min(next.MaxConnections, s.d.parts.api), time.Duration(next.IdleS)*time.Second)
+		s.front.SetLimits(min(next.MaxConnections, s.d.parts.api), time.Duration(next.IdleS)*time.Second)
 	}
 	if moves && s.ln != nil {
 		s.ln.Close()
 	}
 	if s.ln != nil { // who may connect has changed: the clients connect anew
-		go s.front.Clear(clearMost)
+		go s.front.CloseExisting(clearMost)
 	}
 	if moves && on {
 		go s.front.Serve(ln)
--- a/internal/fleet/keeper/keeper.go
+++ b/internal/fleet/keeper/keeper.go
@@ -147,7 +147,7 @@
 }
 
 // Claim claims a call along its path of groups.
-func (k *Keeper) Claim(c agent.Call, comeBack time.Duration, done func(agent.Kept)) {
+func (k *Keeper) Claim(c agent.Call, comeBack time.Duration, done func(agent.StoreResult)) {
 	token := fmt.Sprintf("%s/%s/%d", k.name, k.life, k.offers.Add(1))
 	k.mu.Lock()
 	k.tokens[c.ID] = token
@@ -162,7 +162,7 @@
 		done(kept)
 	}) {
 		k.forget(c.ID, token)
-		go done(agent.Kept{ComeBack: comeBack})
+		go done(agent.StoreResult{RetryAfter: comeBack})
 	}
 }
 
@@ -176,7 +176,7 @@
 
 // claim walks the path: what stands at a step is carried to the next, so that the last step
 // has the last word on the call.
-func (k *Keeper) claim(ctx context.Context, call, token string, comeBack time.Duration) agent.Kept {
+func (k *Keeper) claim(ctx context.Context, call, token string, comeBack time.Duration) agent.StoreResult {
 	v := k.view.Load()
 	var stands *promise.Resolution
 	for _, step := range shard.ClaimSteps(v.now, v.previous, call) {
@@ -198,10 +198,10 @@
 	}
 	if stands != nil {
 		k.Counts.Echoed.Add(1)
-		return agent.Kept{Stands: told(*stands)}
+		return agent.StoreResult{Existing: told(*stands)}
 	}
 	k.Counts.Claimed.Add(1)
-	return agent.Kept{OK: true}
+	return agent.StoreResult{OK: true}
 }
 
 // proposeClaim proposes a claim. Where no quorum is known the caller is to hear so at once;
@@ -215,23 +215,23 @@
 }
 
 // Resolve keeps a claimed call's final answer along its path of groups.
-func (k *Keeper) Resolve(id string, p agent.Promised, until time.Time, done func(agent.Kept)) {
+func (k *Keeper) Resolve(id string, p agent.Promise, until time.Time, done func(agent.StoreResult)) {
 	k.mu.Lock()
 	token := k.tokens[id]
 	delete(k.tokens, id)
 	k.mu.Unlock()
 	e := promise.Entry{Op: promise.OpResolve, Call: id, Token: token, Answer: answers[p.Outcome], Server: p.Server,
-		Description: p.Description, ComeBackUs: p.ComeBack.Microseconds(), AtUs: time.Now().UnixMicro()}
+		Description: p.Description, ComeBackUs: p.RetryAfter.Microseconds(), AtUs: time.Now().UnixMicro()}
 	if !k.start(func() {
 		ctx, cancel := context.WithDeadline(k.ctx, until)
 		defer cancel()
 		done(k.resolve(ctx, e))
 	}) {
-		go done(agent.Kept{ComeBack: p.ComeBack})
+		go done(agent.StoreResult{RetryAfter: p.RetryAfter})
 	}
 }
 
-func (k *Keeper) resolve(ctx context.Context, e promise.Entry) agent.Kept {
+func (k *Keeper) resolve(ctx context.Context, e promise.Entry) agent.StoreResult {
 	v, mine := k.view.Load(), e
 	var stands promise.Resolution
 	for _, step := range shard.ClaimSteps(v.now, v.previous, e.Call) {
@@ -246,10 +246,10 @@
 	// another's answer to the last group may be first there.
 	if !same(stands, mine) {
 		k.Counts.Echoed.Add(1)
-		return agent.Kept{Stands: told(stands)}
+		return agent.StoreResult{Existing: told(stands)}
 	}
 	k.Counts.Kept.Add(1)
-	return agent.Kept{OK: true}
+	return agent.StoreResult{OK: true}
 }
 
 // same tells whether a resolution is the one that an entry proposes. Of two offers of one call
@@ -265,8 +265,8 @@
 		Description: r.Description, ComeBackUs: r.ComeBackUs, AtUs: r.AtUs}
 }
 
-// Over copies that a call which stood is over.
-func (k *Keeper) Over(id string) {
+// MarkEnded copies that a call which stood is over.
+func (k *Keeper) MarkEnded(id string) {
 	if !k.start(func() {
 		ctx, cancel := context.WithTimeout(k.ctx, endWait)
 		defer cancel()
@@ -285,7 +285,7 @@
 }
 
 // unkept words why a proposal has no quorum's word, with when to come back.
-func (k *Keeper) unkept(what, call, group string, err error) agent.Kept {
+func (k *Keeper) unkept(what, call, group string, err error) agent.StoreResult {
 	k.Counts.Unkept.Add(1)
 	after := replica.Defaults.Election * 2
 	var later *replica.Later
@@ -296,16 +296,16 @@
 		k.Counts.Stale.Add(1)
 	}
 	k.log.Warn(what+" not kept", "call", call, "group", group, "come_back", after, "error", err)
-	return agent.Kept{ComeBack: after}
+	return agent.StoreResult{RetryAfter: after}
 }
 
 // answers are the outcomes in the log's words; told gives them back.
 var answers = map[agent.Outcome]string{agent.Served: promise.AnswerServed, agent.Refused: promise.AnswerRefused,
 	agent.Failed: promise.AnswerFailed}
 
-func told(r promise.Resolution) *agent.Promised {
-	p := &agent.Promised{Outcome: agent.Failed, Server: r.Server, Description: r.Description,
-		ComeBack: time.Duration(r.ComeBackUs) * time.Microsecond, Over: r.Over}
+func told(r promise.Resolution) *agent.Promise {
+	p := &agent.Promise{Outcome: agent.Failed, Server: r.Server, Description: r.Description,
+		RetryAfter: time.Duration(r.ComeBackUs) * time.Microsecond, Ended: r.Over}
 	for o, word := range answers {
 		if word == r.Answer {
 			p.Outcome = o
--- a/internal/fleet/keeper/keeper_test.go
+++ b/internal/fleet/keeper/keeper_test.go
@@ -89,12 +89,12 @@
 		first := rapid.IntRange(0, 1).Draw(t, "views")
 		holds := map[*Keeper]string{}
 		sent, told := 0, map[agent.Outcome]bool{}
-		hear := func(k agent.Kept, mine agent.Outcome) {
+		hear := func(k agent.StoreResult, mine agent.Outcome) {
 			switch {
 			case k.OK:
 				told[mine] = true
-			case k.Stands != nil:
-				told[k.Stands.Outcome] = true
+			case k.Existing != nil:
+				told[k.Existing.Outcome] = true
 			}
 		}
 		for i := range rapid.IntRange(2, 8).Draw(t, "steps") {
@@ -122,7 +122,7 @@
 
 // TestUnkept: what a keeper tells the core where a group fails it.
 func TestUnkept(t *testing.T) {
-	served := agent.Promised{Outcome: agent.Served, Server: "s", Description: []byte("room")}
+	served := agent.Promise{Outcome: agent.Served, Server: "s", Description: []byte("room")}
 	cases := []struct {
 		name           string
 		claim, resolve []error
@@ -137,17 +137,17 @@
 	for _, c := range cases {
 		l := &log{state: promise.New(), fail: c.claim}
 		k := knowing("a1", ring(1, "g1"), nil, map[string]Group{"g1": l})
-		done := make(chan agent.Kept, 1)
-		k.Claim(agent.Call{ID: "c", Deadline: time.Now().Add(time.Minute)}, time.Second, func(k agent.Kept) { done <- k })
+		done := make(chan agent.StoreResult, 1)
+		k.Claim(agent.Call{ID: "c", Deadline: time.Now().Add(time.Minute)}, time.Second, func(k agent.StoreResult) { done <- k })
 		got := <-done
 		require.Equal(t, c.claimed, got.OK, c.name)
-		require.Equal(t, c.claimed, got.ComeBack == 0, c.name)
+		require.Equal(t, c.claimed, got.RetryAfter == 0, c.name)
 		if c.claimed {
 			l.fail = c.resolve
-			k.Resolve("c", served, time.Now().Add(time.Minute), func(k agent.Kept) { done <- k })
+			k.Resolve("c", served, time.Now().Add(time.Minute), func(k agent.StoreResult) { done <- k })
 			got = <-done
 			require.Equal(t, c.kept, got.OK, c.name)
-			require.Equal(t, c.kept, got.ComeBack == 0, c.name)
+			require.Equal(t, c.kept, got.RetryAfter == 0, c.name)
 		}
 		k.Close()
 	}
--- a/internal/fleet/placer/placer.go
+++ b/internal/fleet/placer/placer.go
@@ -42,7 +42,7 @@
 	live    atomic.Pointer[live]
 	changed chan struct{} // live was replaced
 	self    members.Member
-	sights  *agent.Sights
+	sights  *agent.Observations
 	control Control          // nil: local mode
 	members *members.Members // nil: local mode
 	log     *slog.Logger
@@ -50,9 +50,9 @@
 	seq     uint64
 
 	plan atomic.Pointer[failover.Plan]
-	seen atomic.Pointer[map[string]agent.Sighting] // the latest, by zone
-	word atomic.Int64                              // when the control group was last heard, Unix µs
-	mute bool                                      // that it is not heard was told
+	seen atomic.Pointer[map[string]agent.ZoneObservation] // the latest, by zone
+	word atomic.Int64                                     // when the control group was last heard, Unix µs
+	mute bool                                             // that it is not heard was told
 
 	mu       sync.Mutex
 	sent     map[route]int64 // set-ups written whole
@@ -64,7 +64,7 @@
 
 // New returns the placer of an agent in a zone. In common mode it takes part in the membership
 // from here on.
-func New(cfg Config, name, zone string, sights *agent.Sights, control Control, log *slog.Logger) (*Placer, error) {
+func New(cfg Config, name, zone string, sights *agent.Observations, control Control, log *slog.Logger) (*Placer, error) {
 	fig, err := cfg.figures()
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 		return nil, fmt.Errorf("field zone: %q is none of the topology's", zone)
 	}
 	p.plan.Store(&failover.Plan{})
-	p.seen.Store(&map[string]agent.Sighting{})
+	p.seen.Store(&map[string]agent.ZoneObservation{})
 	if cfg.Mode != "common" {
 		return p, nil
 	}
@@ -179,7 +179,7 @@
 	s := failover.Summary{Agent: p.self.Name, Zone: p.self.Zone, Life: p.life, Seq: p.seq, AtUs: time.Now().UnixMicro(),
 		Offered: offered, Seen: map[string]failover.Sight{}}
 	for name, z := range zones {
-		s.Seen[name] = failover.Sight{Listed: z.Listed, Up: z.Up, Capacity: z.Capacity, Tries: z.Tries, Full: z.Full, Dead: z.Dead, WaitMs: float64(z.Wait.Milliseconds())}
+		s.Seen[name] = failover.Sight{Listed: z.Listed, Up: z.Up, Capacity: z.Capacity, Tries: z.Attempts, Full: z.Full, Dead: z.Unreachable, WaitMs: float64(z.Wait.Milliseconds())}
 	}
 	if p.members == nil {
 		p.own(s)
@@ -413,7 +413,7 @@
 // check dials servers that calls tell nothing of: those seen down, all of zones that are lost,
 // those of zones in which no agent is alive, and a few at home while no call goes there. A server is alive where it speaks: it tells of
 // its group first on every connection.
-func (p *Placer) check(ctx context.Context, zones map[string]agent.Sighting, look uint64) {
+func (p *Placer) check(ctx context.Context, zones map[string]agent.ZoneObservation, look uint64) {
 	addresses := p.sights.Down()
 	alive, plan := p.Alive(), p.Plan()
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
@@ -421,14 +421,14 @@
 			addresses = append(addresses, zones[name].Addresses...)
 		}
 	}
-	if home := zones[p.self.Zone]; home.Tries == 0 {
+	if home := zones[p.self.Zone]; home.Attempts == 0 {
 		addresses = append(addresses, some(home.Addresses, checkIdle, look)...)
 	}
 	slices.Sort(addresses)
 	addresses = some(slices.Compact(addresses), checkMost, look)
 	var work sync.WaitGroup
 	for _, a := range addresses {
-		work.Go(func() { p.sights.Checked(a, speaks(ctx, a)) })
+		work.Go(func() { p.sights.RecordCheck(a, speaks(ctx, a)) })
 	}
 	work.Wait()
 }
--- a/internal/fleet/placer/placer_test.go
+++ b/internal/fleet/placer/placer_test.go
@@ -19,12 +19,12 @@
 	p, err := New(Config{Mode: "local", Topology: top}, "n1", "a", nil, nil, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	away := failover.Plan{Zones: map[string]failover.Placement{"a": {Shares: []failover.Share{{Zone: "b", Part: 1}}}}}
-	up := map[string]agent.Sighting{"a": {Up: 2, Pools: []int{0, 1}}, "b": {Up: 2, Pools: []int{2, 3}}, "c": {Up: 1, Pools: []int{4}}}
-	dead := map[string]agent.Sighting{"a": up["a"], "b": {Pools: []int{2, 3}}}
+	up := map[string]agent.ZoneObservation{"a": {Up: 2, Pools: []int{0, 1}}, "b": {Up: 2, Pools: []int{2, 3}}, "c": {Up: 1, Pools: []int{4}}}
+	dead := map[string]agent.ZoneObservation{"a": up["a"], "b": {Pools: []int{2, 3}}}
 	cases := []struct {
 		name         string
 		plan         failover.Plan
-		seen         map[string]agent.Sighting
+		seen         map[string]agent.ZoneObservation
 		route, class []int
 		want         []int
 	}{
@@ -106,6 +106,6 @@
 		require.Len(t, p.live.Load().topology.Zones, 3)
 	}
 	p.plan.Store(&failover.Plan{Zones: map[string]failover.Placement{"a": {Shares: []failover.Share{{Zone: "c", Part: 1}}}}})
-	p.seen.Store(&map[string]agent.Sighting{"a": {Up: 1, Pools: []int{0}}, "c": {Up: 1, Pools: []int{4}}, "b": {Up: 1, Pools: []int{2}}})
+	p.seen.Store(&map[string]agent.ZoneObservation{"a": {Up: 1, Pools: []int{0}}, "c": {Up: 1, Pools: []int{4}}, "b": {Up: 1, Pools: []int{2}}})
 	require.Equal(t, []int{2}, p.Narrow(agent.Route{}, []int{2}, "voice", "1").Pools, "by the zones that it has now")
 }
--- a/internal/fleet/spreader/machines_test.go
+++ b/internal/fleet/spreader/machines_test.go
@@ -32,18 +32,18 @@
 	state *spread.State
 }
 
-func (c *live) Spread(do func(policy.Time, *spread.State)) {
+func (c *live) WithSpread(do func(policy.Time, *spread.State)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	do(time.Since(c.began), c.state)
 }
 
-func (c *live) Follow(v spread.View) {
-	c.Spread(func(now policy.Time, st *spread.State) { st.HandleView(now, v) })
+func (c *live) ApplyView(v spread.View) {
+	c.WithSpread(func(now policy.Time, st *spread.State) { st.HandleView(now, v) })
 }
 
 func (c *live) follows() (on bool) {
-	c.Spread(func(now policy.Time, st *spread.State) { on = st.FollowsView(now) })
+	c.WithSpread(func(now policy.Time, st *spread.State) { on = st.FollowsView(now) })
 	return on
 }
 
--- a/internal/fleet/spreader/spreader.go
+++ b/internal/fleet/spreader/spreader.go
@@ -151,8 +151,8 @@
 // Core runs something with the module's part on the core's goroutine, and follows views;
 // *agent.Agent is one.
 type Core interface {
-	Spread(do func(now policy.Time, s *spread.State))
-	Follow(v spread.View)
+	WithSpread(do func(now policy.Time, s *spread.State))
+	ApplyView(v spread.View)
 }
 
 // way is how the messages of spreading travel. Its methods but run may be called at any time.
@@ -238,7 +238,7 @@
 	}
 	period = cmp.Or(period, spread.DefaultPeriod)
 	s.period.Store(int64(period))
-	s.core.Spread(func(_ policy.Time, st *spread.State) { st.SetPeriod(period) })
+	s.core.WithSpread(func(_ policy.Time, st *spread.State) { st.SetPeriod(period) })
 	s.way.setPeriod(period)
 	select {
 	case s.changed <- struct{}{}:
@@ -249,7 +249,7 @@
 
 // tell has the core word this agent's summary, for the steward that its state names.
 func (s *Spreader) tell() {
-	s.core.Spread(func(now policy.Time, st *spread.State) {
+	s.core.WithSpread(func(now policy.Time, st *spread.State) {
 		looked := s.way.look(now, st)
 		st.ExpireView(now)
 		to := st.CurrentSteward(now)
@@ -275,7 +275,7 @@
 	s.said.view, s.said.viewAt = v, time.Now()
 	s.said.heard++
 	s.mu.Unlock()
-	s.core.Follow(v)
+	s.core.ApplyView(v)
 }
 
 // Say words the state for the console.
--- a/internal/fleet/spreader/spreader_test.go
+++ b/internal/fleet/spreader/spreader_test.go
@@ -57,8 +57,8 @@
 
 type core struct{ state *spread.State }
 
-func (c core) Spread(do func(policy.Time, *spread.State)) { do(time.Second, c.state) }
-func (c core) Follow(v spread.View)                       { c.state.HandleView(time.Second, v) }
+func (c core) WithSpread(do func(policy.Time, *spread.State)) { do(time.Second, c.state) }
+func (c core) ApplyView(v spread.View)                        { c.state.HandleView(time.Second, v) }
 
 // TestJunk: junk, oversized, impossible and replayed messages are counted and passed over, and
 // what is known stays.
@@ -87,8 +87,8 @@
 // told is a core that hands over nothing, and notes when it is asked to.
 type told chan struct{}
 
-func (c told) Spread(func(policy.Time, *spread.State)) { c <- struct{}{} }
-func (told) Follow(spread.View)                        {}
+func (c told) WithSpread(func(policy.Time, *spread.State)) { c <- struct{}{} }
+func (told) ApplyView(spread.View)                         {}
 
 // TestSilentSeed: a seed that takes connections and never answers holds up no summary, and no stop.
 func TestSilentSeed(t *testing.T) {
--- a/internal/front/callapi/callapi_test.go
+++ b/internal/front/callapi/callapi_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 
 	"woodrouter/agent"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 	"woodrouter/internal/front/ws"
 	"woodrouter/internal/standin"
 )
 
-func start(t *testing.T, cfg desk.Config) (*Front, *standin.Core, string) {
+func startFront(t *testing.T, cfg connmgr.Config) (*Front, *standin.Core, string) {
 	c := standin.NewCore()
 	f := New(cfg, c)
 	f.Configure(ws.Endpoint{Path: "/calls"}, 4096)
@@ -45,20 +45,20 @@
 	return client{conn, t, ctx}
 }
 
-func (c client) say(text string) {
+func (c client) send(text string) {
 	c.t.Helper()
 	require.NoError(c.t, c.Write(c.ctx, websocket.MessageText, []byte(text)))
 }
 
-// hear returns the next message in one form: what was told, without its prose.
-func (c client) hear() string {
+// receive returns the next message in one form: what was told, without its prose.
+func (c client) receive() string {
 	c.t.Helper()
 	_, text, err := c.Read(c.ctx)
 	require.NoError(c.t, err)
-	return brief(c.t, text)
+	return withoutMessage(c.t, text)
 }
 
-func brief(t *testing.T, text []byte) string {
+func withoutMessage(t *testing.T, text []byte) string {
 	var m map[string]any
 	require.NoError(t, json.Unmarshal(text, &m))
 	require.Equal(t, "2.0", m["jsonrpc"])
@@ -99,13 +99,13 @@
 			[]string{`{"error":{"code":1003,"data":{"id":"` + id + `","retry_after_ms":1000}},"id":1}`}},
 		{"duplicate at another front", func(f *Front, c agent.Call) { f.Rejected(c, agent.ErrDuplicate) },
 			[]string{`{"error":{"code":1005,"data":{"id":"` + id + `","retry_after_ms":0}},"id":1}`}},
-		{"unknown class", func(f *Front, c agent.Call) { f.Rejected(c, agent.ErrClass) },
+		{"unknown class", func(f *Front, c agent.Call) { f.Rejected(c, agent.ErrUnknownClass) },
 			[]string{`{"error":{"code":1006,"data":{"id":"` + id + `","retry_after_ms":0}},"id":1}`}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f, core, url := start(t, desk.Config{StayAway: time.Second})
+			f, core, url := startFront(t, connmgr.Config{RetryAfter: time.Second})
 			c := dial(t, url)
-			c.say(setUp)
+			c.send(setUp)
 			call := standin.Next(t, core.Offered)
 			assert.Equal(t, "voice t 12 2 offer", strings.Join([]string{call.Class, call.Tenant, call.Number,
 				string(rune('0' + call.Pool)), string(call.Description)}, " "))
@@ -113,19 +113,19 @@
 			tc.do(f, call)
 			tc.do(f, call) // whatever comes again says nothing
 			for _, want := range tc.want {
-				assert.Equal(t, want, c.hear())
+				assert.Equal(t, want, c.receive())
 			}
-			c.say(`{"jsonrpc":"2.0","id":9,"method":"nothing"}`)
-			assert.Contains(t, c.hear(), `-32601`, "nothing else was said")
+			c.send(`{"jsonrpc":"2.0","id":9,"method":"nothing"}`)
+			assert.Contains(t, c.receive(), `-32601`, "nothing else was said")
 		})
 	}
 }
 
 // TestBadRequests: each is answered, and the connection and its calls go on.
 func TestBadRequests(t *testing.T) {
-	f, core, url := start(t, desk.Config{})
+	f, core, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
-	c.say(setUp)
+	c.send(setUp)
 	call := standin.Next(t, core.Offered)
 	for name, tc := range map[string]struct{ in, want string }{
 		"not JSON":               {`{`, `{"error":{"code":-32700},"id":null}`},
@@ -144,33 +144,33 @@
 		"params that are a list": {`{"jsonrpc":"2.0","id":2,"method":"call.release","params":[1]}`, `{"error":{"code":-32602},"id":2}`},
 		"unknown call":           {`{"jsonrpc":"2.0","id":2,"method":"call.release","params":{"id":"0"}}`, `{"error":{"code":1007,"data":{"id":"0","retry_after_ms":0}},"id":2}`},
 	} {
-		c.say(tc.in)
-		assert.Equal(t, tc.want, c.hear(), name)
+		c.send(tc.in)
+		assert.Equal(t, tc.want, c.receive(), name)
 	}
-	c.say(`{"jsonrpc":"2.0","method":"call.setUp"}`) // a notification is not answered
+	c.send(`{"jsonrpc":"2.0","method":"call.setUp"}`) // a notification is not answered
 	f.Answered(call, nil)
-	assert.Contains(t, c.hear(), `"result"`)
+	assert.Contains(t, c.receive(), `"result"`)
 }
 
 // TestCancel: a cancel answers the set-up's request too; a release ends a call that
 // stands, by another connection as well. Neither reaches the core twice.
 func TestCancel(t *testing.T) {
-	f, core, url := start(t, desk.Config{})
+	f, core, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
-	c.say(setUp)
+	c.send(setUp)
 	standin.Next(t, core.Offered)
-	c.say(`{"jsonrpc":"2.0","id":2,"method":"call.cancel","params":{"id":"` + id + `"}}`)
-	assert.Equal(t, `{"error":{"code":1004,"data":{"id":"`+id+`","retry_after_ms":0}},"id":1}`, c.hear())
-	assert.Equal(t, `{"id":2,"result":{}}`, c.hear())
+	c.send(`{"jsonrpc":"2.0","id":2,"method":"call.cancel","params":{"id":"` + id + `"}}`)
+	assert.Equal(t, `{"error":{"code":1004,"data":{"id":"`+id+`","retry_after_ms":0}},"id":1}`, c.receive())
+	assert.Equal(t, `{"id":2,"result":{}}`, c.receive())
 	assert.Equal(t, id, standin.Next(t, core.Withdrawn))
 
-	c.say(setUp)
+	c.send(setUp)
 	f.Answered(standin.Next(t, core.Offered), nil)
-	c.hear()
+	c.receive()
 	c.CloseNow()
 	other := dial(t, url)
-	other.say(`{"jsonrpc":"2.0","id":1,"method":"call.release","params":{"id":"` + id + `"}}`)
-	assert.Equal(t, `{"id":1,"result":{}}`, other.hear())
+	other.send(`{"jsonrpc":"2.0","id":1,"method":"call.release","params":{"id":"` + id + `"}}`)
+	assert.Equal(t, `{"id":1,"result":{}}`, other.receive())
 	assert.Equal(t, id, standin.Next(t, core.Withdrawn))
 	assert.Empty(t, core.Withdrawn, "the connection's end withdraws no call that stands")
 }
@@ -178,28 +178,28 @@
 // TestClientGone: a client that leaves mid-set-up withdraws its calls. The end of a call
 // that stands is told to its host's next connection.
 func TestClientGone(t *testing.T) {
-	f, core, url := start(t, desk.Config{})
+	f, core, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
-	c.say(setUp)
+	c.send(setUp)
 	standing := standin.Next(t, core.Offered)
 	f.Answered(standing, nil)
-	c.hear()
-	c.say(strings.NewReplacer(id, "0000000000000002", `"id":1,`, `"id":2,`).Replace(setUp))
+	c.receive()
+	c.send(strings.NewReplacer(id, "0000000000000002", `"id":1,`, `"id":2,`).Replace(setUp))
 	open := standin.Next(t, core.Offered)
 	c.CloseNow()
 	assert.Equal(t, open.ID, standin.Next(t, core.Withdrawn))
 	f.Answered(open, nil) // crosses the withdrawal: nobody hears it
 	f.Ended(standing, nil)
-	assert.Contains(t, dial(t, url).hear(), `"call.ended"`)
+	assert.Contains(t, dial(t, url).receive(), `"call.ended"`)
 }
 
-// TestBusy: a core that takes no more calls has the front refuse at once.
-func TestBusy(t *testing.T) {
-	_, core, url := start(t, desk.Config{StayAway: 700 * time.Millisecond})
+// TestBusyCore: a core that takes no more calls has the front refuse at once.
+func TestBusyCore(t *testing.T) {
+	_, core, url := startFront(t, connmgr.Config{RetryAfter: 700 * time.Millisecond})
 	core.Busy = true
 	c := dial(t, url)
-	c.say(setUp)
-	assert.Equal(t, `{"error":{"code":1001,"data":{"id":"`+id+`","retry_after_ms":700}},"id":1}`, c.hear())
+	c.send(setUp)
+	assert.Equal(t, `{"error":{"code":1001,"data":{"id":"`+id+`","retry_after_ms":700}},"id":1}`, c.receive())
 }
 
 // TestConnectionFaults: a fault of the framing ends the connection with the status that
@@ -210,7 +210,7 @@
 		do   func(c client)
 		want websocket.StatusCode
 	}{
-		{"oversized", func(c client) { c.say(strings.Repeat("x", 5000)) }, websocket.StatusMessageTooBig},
+		{"oversized", func(c client) { c.send(strings.Repeat("x", 5000)) }, websocket.StatusMessageTooBig},
 		{"oversized in fragments", func(c client) {
 			w, err := c.Writer(c.ctx, websocket.MessageText)
 			require.NoError(c.t, err)
@@ -219,12 +219,12 @@
 			}
 		}, websocket.StatusMessageTooBig},
 		{"binary", func(c client) { c.Write(c.ctx, websocket.MessageBinary, []byte("x")) }, websocket.StatusUnsupportedData},
-		{"not UTF-8", func(c client) { c.say("\xff") }, websocket.StatusInvalidFramePayloadData},
+		{"not UTF-8", func(c client) { c.send("\xff") }, websocket.StatusInvalidFramePayloadData},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, core, url := start(t, desk.Config{})
+			_, core, url := startFront(t, connmgr.Config{})
 			c := dial(t, url)
-			c.say(setUp)
+			c.send(setUp)
 			standin.Next(t, core.Offered)
 			tc.do(c)
 			_, _, err := c.Read(c.ctx)
@@ -236,7 +236,7 @@
 
 // TestUnmasked: RFC 6455 has a server close on an unmasked frame.
 func TestUnmasked(t *testing.T) {
-	_, _, url := start(t, desk.Config{})
+	_, _, url := startFront(t, connmgr.Config{})
 	conn, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(url, "ws://"), "/calls"))
 	require.NoError(t, err)
 	defer conn.Close()
@@ -258,9 +258,9 @@
 
 // TestSlowReader: a client that reads nothing is cut off; the front does not wait for it.
 func TestSlowReader(t *testing.T) {
-	_, core, url := start(t, desk.Config{MaxWaiting: 16, WriteTimeout: 100 * time.Millisecond})
+	_, core, url := startFront(t, connmgr.Config{MaxQueued: 16, WriteTimeout: 100 * time.Millisecond})
 	slow := dial(t, url)
-	slow.say(setUp)
+	slow.send(setUp)
 	standin.Next(t, core.Offered)
 	ask := []byte(`{"jsonrpc":"2.0","id":"` + strings.Repeat("i", 3000) + `","method":"none"}`)
 	for range 20000 { // bounded: 60 MB of answers fill any buffer
@@ -270,16 +270,16 @@
 	}
 	assert.Equal(t, id, standin.Next(t, core.Withdrawn), "its connection ended")
 	c := dial(t, url)
-	c.say(setUp)
+	c.send(setUp)
 	standin.Next(t, core.Offered)
 }
 
 // TestVanishedClient: a connection that stays open and silent is pinged and then ended;
 // one that answers the pings stays.
 func TestVanishedClient(t *testing.T) {
-	_, core, url := start(t, desk.Config{Idle: 300 * time.Millisecond})
+	_, core, url := startFront(t, connmgr.Config{IdleTimeout: 300 * time.Millisecond})
 	c := dial(t, url) // answers pings only while it reads
-	c.say(setUp)
+	c.send(setUp)
 	standin.Next(t, core.Offered)
 	assert.Equal(t, id, standin.Next(t, core.Withdrawn))
 	quiet := dial(t, url)
@@ -291,7 +291,7 @@
 
 // TestUpgradeRefused: who may not connect is told by a status.
 func TestUpgradeRefused(t *testing.T) {
-	f, _, url := start(t, desk.Config{})
+	f, _, url := startFront(t, connmgr.Config{})
 	f.Configure(ws.Endpoint{Path: "/calls", Allow: func(*http.Request) int { return http.StatusUnauthorized }}, 0)
 	_, resp, err := websocket.Dial(context.Background(), url, nil)
 	require.Error(t, err)
@@ -301,10 +301,10 @@
 
 // TestClose: at the end of the front its clients hear a close frame.
 func TestClose(t *testing.T) {
-	f, _, url := start(t, desk.Config{})
+	f, _, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
-	c.say(`{"jsonrpc":"2.0","id":1,"method":"none"}`)
-	c.hear()
+	c.send(`{"jsonrpc":"2.0","id":1,"method":"none"}`)
+	c.receive()
 	go f.Close()
 	_, _, err := c.Read(c.ctx)
 	assert.Equal(t, websocket.StatusGoingAway, websocket.CloseStatus(err))
@@ -313,7 +313,7 @@
 // TestSilent: a connection that never asks for an upgrade is ended soon, as one that says
 // nothing is on the other front; an upgraded one may be idle.
 func TestSilent(t *testing.T) {
-	_, _, url := start(t, desk.Config{FirstTime: 100 * time.Millisecond})
+	_, _, url := startFront(t, connmgr.Config{FirstMessageTimeout: 100 * time.Millisecond})
 	idle := dial(t, url)
 	for _, half := range []string{"", "GET /calls HTTP/1.1\r\n"} {
 		conn, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(url, "ws://"), "/calls"))
@@ -324,6 +324,6 @@
 		_, err = io.ReadAll(conn)
 		require.NoError(t, err, "the agent ended it, not the test")
 	}
-	idle.say(`{}`)
-	assert.Contains(t, idle.hear(), "error")
+	idle.send(`{}`)
+	assert.Contains(t, idle.receive(), "error")
 }
--- a/internal/front/callapi/front.go
+++ b/internal/front/callapi/front.go
@@ -13,99 +13,99 @@
 
 	"woodrouter/agent"
 	"woodrouter/internal/front/callproto"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 	"woodrouter/internal/front/ws"
 )
 
 // Front serves clients; Serve, Limit, Clear and Close are its desk's.
 type Front struct {
-	*desk.Desk
-	set atomic.Pointer[terms]
+	*connmgr.Manager
+	options atomic.Pointer[options]
 }
 
-// terms are what holds for connections that come from now on.
-type terms struct {
-	endpoint ws.Endpoint
-	most     int // bytes of a message
+// options are what holds for connections that come from now on.
+type options struct {
+	endpoint        ws.Endpoint
+	maxMessageBytes int // bytes of a message
 }
 
 // New returns a front that hands calls to core.
-func New(cfg desk.Config, core desk.Core) *Front {
+func New(cfg connmgr.Config, core connmgr.Core) *Front {
 	f := &Front{}
 	f.Configure(ws.Endpoint{}, 0)
-	cfg.Goodbye = ws.AppendClose(nil, ws.StatusGoingAway, "the agent stops or its settings change")
-	f.Desk = desk.New(cfg, core, f, f.converse)
+	cfg.CloseMessage = ws.AppendClose(nil, ws.StatusGoingAway, "the agent stops or its settings change")
+	f.Manager = connmgr.New(cfg, core, f, f.serveConn)
 	return f
 }
 
 // Configure sets what is upgraded, and the most bytes of a message; 0: 64 KiB.
-func (f *Front) Configure(e ws.Endpoint, most int) {
+func (f *Front) Configure(e ws.Endpoint, maxMessageBytes int) {
 	e.Subprotocol = callproto.Subprotocol
-	f.set.Store(&terms{e, cmp.Or(most, 64<<10)})
+	f.options.Store(&options{e, cmp.Or(maxMessageBytes, 64<<10)})
 }
 
 // session is one client's connection: the request ids that wait for their answers.
 type session struct {
-	peer *desk.Peer
-	mu   sync.Mutex
-	open map[string]bool
+	peer    *connmgr.Peer
+	mu      sync.Mutex
+	pending map[string]bool
 }
 
 func (s *session) begin(id json.RawMessage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[string(id)] {
+	if s.pending[string(id)] {
 		return false
 	}
-	s.open[string(id)] = true
+	s.pending[string(id)] = true
 	return true
 }
 
 func (s *session) finish(id json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, string(id))
+	delete(s.pending, string(id))
 }
 
-func (s *session) say(text []byte) { s.peer.Send(desk.Item{Data: frame(text)}) }
+func (s *session) send(text []byte) { s.peer.Send(connmgr.Message{Data: frame(text)}) }
 
 func frame(text []byte) []byte { return ws.AppendFrame(nil, ws.Text, text) }
 
-// ticket is what a call in the desk's table keeps of its request.
-type ticket struct {
-	s  *session
-	id json.RawMessage
+// pendingRequest is what a call in the desk's table keeps of its request.
+type pendingRequest struct {
+	session *session
+	id      json.RawMessage
 }
 
-// reply words the answer of a call's request; it is asked for once.
-func reply(text func(id json.RawMessage) []byte) func(any) []byte {
+// replyWith words the answer of a call's request; it is asked for once.
+func replyWith(text func(id json.RawMessage) []byte) func(any) []byte {
 	return func(tag any) []byte {
-		t := tag.(ticket)
-		t.s.finish(t.id)
+		t := tag.(pendingRequest)
+		t.session.finish(t.id)
 		return frame(text(t.id))
 	}
 }
 
 func replyError(e *callproto.Error) func(any) []byte {
-	return reply(func(id json.RawMessage) []byte { return errorText(id, e) })
+	return replyWith(func(id json.RawMessage) []byte { return encodeError(id, e) })
 }
 
 // Answered gives the set-up's result.
 func (f *Front) Answered(c agent.Call, description []byte) {
-	f.Answer(c.ID, reply(func(id json.RawMessage) []byte {
-		return resultText(id, callproto.Standing{ID: c.ID, Description: description})
+	f.SendAnswer(c.ID, replyWith(func(id json.RawMessage) []byte {
+		return encodeResult(id, callproto.Standing{ID: c.ID, Description: description})
 	}))
 }
 
 // Refused tells the client when to return.
-func (f *Front) Refused(c agent.Call, stayAway time.Duration) {
-	f.Final(c.ID, replyError(&callproto.Error{Code: callproto.CodeRefused, Message: "refused: trying again is harmless", Data: &callproto.ErrorData{ID: c.ID, RetryAfterMs: stayAway.Milliseconds()}}))
+func (f *Front) Refused(c agent.Call, retryAfter time.Duration) {
+	f.SendFinal(c.ID, replyError(&callproto.Error{Code: callproto.CodeRefused, Message: "refused: trying again is harmless", Data: &callproto.ErrorData{ID: c.ID, RetryAfterMs: retryAfter.Milliseconds()}}))
 }
 
 // Failed tells how far the call came.
 func (f *Front) Failed(c agent.Call, err error) {
 	e := &callproto.Error{Code: callproto.CodeFailed, Message: "failed: " + err.Error(), Data: &callproto.ErrorData{ID: c.ID,
-		RetryAfterMs: f.StayAway.Milliseconds()}}
+		RetryAfterMs: f.RetryAfter.Milliseconds()}}
 	if errors.Is(err, agent.ErrOverdue) {
 		e.Code = callproto.CodeOverdue
 	}
@@ -113,7 +113,7 @@
 	if errors.As(err, &fail) {
 		e.Data.Stage = fail.Stage.String()
 	}
-	f.Final(c.ID, replyError(e))
+	f.SendFinal(c.ID, replyError(e))
 }
 
 // Rejected tells why a call was not taken.
@@ -122,10 +122,10 @@
 	switch {
 	case errors.Is(err, agent.ErrDuplicate):
 		code = callproto.CodeDuplicate
-	case errors.Is(err, agent.ErrCall):
+	case errors.Is(err, agent.ErrUnusableCall):
 		code = callproto.CodeParams
 	}
-	f.Final(c.ID, replyError(&callproto.Error{Code: code, Message: err.Error(), Data: &callproto.ErrorData{ID: c.ID}}))
+	f.SendFinal(c.ID, replyError(&callproto.Error{Code: code, Message: err.Error(), Data: &callproto.ErrorData{ID: c.ID}}))
 }
 
 // Ended notifies the client of the end of a call that stood.
@@ -134,26 +134,26 @@
 	if err != nil {
 		cause = "cut"
 	}
-	f.End(c.ID, frame(endedText(callproto.End{ID: c.ID, Cause: cause})))
+	f.SendEnd(c.ID, frame(encodeEnded(callproto.End{ID: c.ID, Cause: cause})))
 }
 
-// converse upgrades one connection and reads its messages.
-func (f *Front) converse(p *desk.Peer) error {
-	if err := p.Await(); err != nil {
+// serveConn upgrades one connection and reads its messages.
+func (f *Front) serveConn(p *connmgr.Peer) error {
+	if err := p.AwaitMessage(); err != nil {
 		return err
 	}
-	set := f.set.Load()
-	response, err := set.endpoint.Upgrade(p.In)
-	p.Said()
-	p.Send(desk.Item{Data: response})
+	opts := f.options.Load()
+	response, err := opts.endpoint.Upgrade(p.In)
+	p.MessageRead()
+	p.Send(connmgr.Message{Data: response})
 	if err != nil {
 		return err
 	}
-	f.Ready(p)
-	err = f.readAll(&session{peer: p, open: map[string]bool{}}, set.most)
+	f.MarkReady(p)
+	err = f.readAll(&session{peer: p, pending: map[string]bool{}}, opts.maxMessageBytes)
 	var closed *ws.CloseError
 	if errors.As(err, &closed) {
-		p.Send(desk.Item{Data: ws.AppendClose(nil, closed.Code, closed.Reason)})
+		p.Send(connmgr.Message{Data: ws.AppendClose(nil, closed.Code, closed.Reason)})
 		if closed.Peer {
 			return nil
 		}
@@ -163,26 +163,26 @@
 
 // readAll reads messages until the connection ends. A client that is silent is pinged,
 // and ends if it does not answer: a vanished one leaves its connection open.
-func (f *Front) readAll(s *session, most int) error {
-	in, pinged := ws.Reader{In: s.peer.In, Most: most}, false
+func (f *Front) readAll(s *session, maxMessageBytes int) error {
+	in, pinged := ws.Reader{In: s.peer.In, MaxMessageBytes: maxMessageBytes}, false
 	for {
-		switch err := s.peer.Await(); {
-		case errors.Is(err, desk.ErrIdle) && !pinged:
+		switch err := s.peer.AwaitMessage(); {
+		case errors.Is(err, connmgr.ErrIdle) && !pinged:
 			pinged = true
-			s.peer.Send(desk.Item{Data: ws.AppendFrame(nil, ws.Ping, nil)})
+			s.peer.Send(connmgr.Message{Data: ws.AppendFrame(nil, ws.Ping, nil)})
 			continue
 		case err != nil:
 			return err
 		}
 		pinged = false
 		op, data, ok, err := in.Next()
-		s.peer.Said()
+		s.peer.MessageRead()
 		switch {
 		case err != nil:
 			return err
 		case !ok || op == ws.Pong:
 		case op == ws.Ping:
-			s.peer.Send(desk.Item{Data: ws.AppendFrame(nil, ws.Pong, data)})
+			s.peer.Send(connmgr.Message{Data: ws.AppendFrame(nil, ws.Pong, data)})
 		case op == ws.Binary:
 			return &ws.CloseError{Code: ws.StatusUnsupported, Reason: "text messages only"}
 		default:
@@ -200,7 +200,7 @@
 	}
 	if bad != nil {
 		f.Log.Warn("bad request", "method", r.Method, "error", bad)
-		s.say(errorText(r.ID, bad))
+		s.send(encodeError(r.ID, bad))
 		return
 	}
 	result, e := f.dispatch(s, r)
@@ -209,10 +209,10 @@
 	}
 	s.finish(r.ID)
 	if e != nil {
-		s.say(errorText(r.ID, e))
+		s.send(encodeError(r.ID, e))
 		return
 	}
-	s.say(resultText(r.ID, result))
+	s.send(encodeResult(r.ID, result))
 }
 
 func (f *Front) dispatch(s *session, r request) (any, *callproto.Error) {
@@ -234,7 +234,7 @@
 	if bad != nil {
 		return bad
 	}
-	if err := f.Offer(s.peer, c, ticket{s, r.ID}); err != nil {
+	if err := f.Offer(s.peer, c, pendingRequest{s, r.ID}); err != nil {
 		return &callproto.Error{Code: callproto.CodeDuplicate, Message: err.Error(), Data: &callproto.ErrorData{ID: c.ID}}
 	}
 	return nil
@@ -252,7 +252,7 @@
 		return nil, &callproto.Error{Code: callproto.CodeUnknownCall, Message: "no such call", Data: &callproto.ErrorData{ID: p.ID}}
 	}
 	if by != nil {
-		by.Send(desk.Item{Data: replyError(&callproto.Error{Code: callproto.CodeCancelled, Message: "given up by the caller", Data: &callproto.ErrorData{ID: p.ID}})(tag)})
+		by.Send(connmgr.Message{Data: replyError(&callproto.Error{Code: callproto.CodeCancelled, Message: "given up by the caller", Data: &callproto.ErrorData{ID: p.ID}})(tag)})
 	}
 	return struct{}{}, nil
 }
--- a/internal/front/callapi/message.go
+++ b/internal/front/callapi/message.go
@@ -14,9 +14,9 @@
 
 // Bounds of a set-up's parameters. A description must fit a message to a setup server.
 const (
-	maxDescription    = 15000
-	maxName           = 256
-	maxDeadlineMillis = 600_000
+	maxDescriptionBytes = 15000
+	maxNameBytes        = 256
+	maxDeadlineMillis   = 600_000
 )
 
 // request is a JSON-RPC request, or a notification where it has no id.
@@ -76,10 +76,10 @@
 		err = errors.New("class: missing")
 	case p.DeadlineMs < 1 || p.DeadlineMs > maxDeadlineMillis:
 		err = fmt.Errorf("deadline_ms: %d is outside 1 to %d", p.DeadlineMs, maxDeadlineMillis)
-	case len(p.Description) > maxDescription:
-		err = fmt.Errorf("description: over %d bytes", maxDescription)
-	case max(len(p.Class), len(p.Tenant), len(p.Number)) > maxName:
-		err = fmt.Errorf("class, tenant, number: over %d bytes", maxName)
+	case len(p.Description) > maxDescriptionBytes:
+		err = fmt.Errorf("description: over %d bytes", maxDescriptionBytes)
+	case max(len(p.Class), len(p.Tenant), len(p.Number)) > maxNameBytes:
+		err = fmt.Errorf("class, tenant, number: over %d bytes", maxNameBytes)
 	}
 	if err != nil {
 		return agent.Call{}, &callproto.Error{Code: callproto.CodeParams, Message: err.Error()}
@@ -112,17 +112,17 @@
 	return b
 }
 
-func resultText(id json.RawMessage, result any) []byte {
+func encodeResult(id json.RawMessage, result any) []byte {
 	return marshal(response{ID: id, Result: result})
 }
 
-func errorText(id json.RawMessage, e *callproto.Error) []byte {
+func encodeError(id json.RawMessage, e *callproto.Error) []byte {
 	if len(id) == 0 {
 		id = json.RawMessage("null")
 	}
 	return marshal(response{ID: id, Error: e})
 }
 
-func endedText(e callproto.End) []byte {
+func encodeEnded(e callproto.End) []byte {
 	return marshal(response{Method: callproto.Ended, Params: e})
 }
--- a/internal/front/desk/leak_test.go
+++ b/internal/front/connmgr/leak_test.go
@@ -1,4 +1,4 @@
-package desk
+package connmgr
 
 import (
 	"testing"
--- /dev/null
+++ b/internal/front/connmgr/room_test.go
@@ -0,0 +1,96 @@
+package connmgr
+
+import (
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestEvictOne: in a full house the connection that is missed least goes: one that never said
+// anything, then an idle one, then one that stopped in the middle of a message; never one whose
+// message is still coming, nor one with a set-up in it.
+func TestEvictOne(t *testing.T) {
+	old := time.Now().Add(-time.Hour).UnixNano()
+	kinds := []func(p *Peer){
+		func(p *Peer) { p.lastUsed.Store(old) },
+		func(p *Peer) { p.gotMessage.Store(true); p.lastUsed.Store(old) },
+		func(p *Peer) { p.midMessage.Store(true); p.lastUsed.Store(old) },
+		func(p *Peer) { p.midMessage.Store(true); p.touch() },
+		func(p *Peer) { p.gotMessage.Store(true); p.lastUsed.Store(old); p.openSetUps, p.calls = 1, 1 },
+	}
+	m := New(Config{MaxPeers: len(kinds)}, nullCore{}, nil, nil)
+	var peers []*Peer
+	for _, is := range kinds {
+		p := addPeer(t, m)
+		is(p)
+		peers = append(peers, p)
+	}
+	for i := range peers {
+		assert.Equal(t, i < 3, m.evictOne(), i)
+		for j, p := range peers {
+			assert.Equal(t, j > min(i, 2), registered(m, p), "after %d: %d", i, j)
+		}
+	}
+}
+
+func registered(m *Manager, p *Peer) bool { _, ok := m.peers[p]; return ok }
+
+// TestBytesCountAsUse: bytes that come count as use, before the message is whole.
+func TestBytesCountAsUse(t *testing.T) {
+	m := New(Config{}, nullCore{}, nil, nil)
+	ours, theirs := net.Pipe()
+	p := newPeer(m, ours)
+	p.lastUsed.Store(0)
+	go theirs.Write([]byte{1})
+	p.In.ReadByte()
+	assert.Less(t, p.sinceUsed(), time.Minute)
+}
+
+// TestClosingBound: connections on their way out cost descriptors until they are closed. Past a bound
+// nobody is let in before one of them is.
+func TestClosingBound(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		m := New(Config{MaxPeers: 8, LingerTimeout: time.Hour}, nullCore{}, nil, func(p *Peer) error { _, err := p.In.ReadByte(); return err })
+		var theirs []net.Conn
+		enter := func() {
+			ours, their := net.Pipe()
+			theirs = append(theirs, their)
+			m.admit(ours)
+		}
+		for range 8 {
+			enter()
+		}
+		stuck := 0
+		for p := range m.peers { // their callers take nothing of what is still to be said
+			p.Send(Message{Data: []byte("x")})
+			m.mu.Lock()
+			m.startClosing(p, false)
+			m.mu.Unlock()
+			if stuck++; stuck == 2 {
+				break
+			}
+		}
+		entered := make(chan struct{})
+		go func() { enter(); close(entered) }()
+		synctest.Wait()
+		select {
+		case <-entered:
+			t.Error("let in while two of eight were on their way out")
+		default:
+		}
+		time.Sleep(m.WriteTimeout)
+		<-entered
+		synctest.Wait()
+		m.mu.Lock()
+		assert.Equal(t, 7, m.openConns)
+		m.mu.Unlock()
+		go m.Close()
+		for _, c := range theirs {
+			c.Close()
+		}
+		m.Close()
+	})
+}
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -10,20 +10,20 @@
 	"time"
 
 	"woodrouter/agent"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 	"woodrouter/isup"
 )
 
 // Front serves callers; Serve and Close are its desk's.
 type Front struct {
-	*desk.Desk
+	*connmgr.Manager
 	ready func() bool
 }
 
 // New returns a front that hands calls to core; ready answers tests.
-func New(cfg desk.Config, core desk.Core, ready func() bool) *Front {
+func New(cfg connmgr.Config, core connmgr.Core, ready func() bool) *Front {
 	f := &Front{ready: ready}
-	f.Desk = desk.New(cfg, core, f, f.converse)
+	f.Manager = connmgr.New(cfg, core, f, f.readMessages)
 	return f
 }
 
@@ -36,39 +36,39 @@
 	return b
 }
 
-func message(t isup.Type, id string) isup.Message {
+func newMessage(t isup.Type, id string) isup.Message {
 	n, _ := isup.ParseCallID(id) // the id came in by this front
 	return isup.Message{Type: t, Call: n}
 }
 
-func (f *Front) say(m isup.Message) func(any) []byte {
+func (f *Front) encoder(m isup.Message) func(any) []byte {
 	return func(any) []byte { return f.encode(m) }
 }
 
 // Answered passes the setup server's description on, unchanged.
 func (f *Front) Answered(c agent.Call, description []byte) {
-	f.Answer(c.ID, f.say(message(isup.Answer, c.ID).With(isup.Description, description)))
+	f.SendAnswer(c.ID, f.encoder(newMessage(isup.Answer, c.ID).With(isup.Description, description)))
 }
 
 // Refused passes a refusal on, with when to return.
-func (f *Front) Refused(c agent.Call, stayAway time.Duration) {
-	m := message(isup.Release, c.ID).WithCause(isup.Congestion)
-	if stayAway > 0 {
-		m = m.WithMillis(isup.StayAway, stayAway)
+func (f *Front) Refused(c agent.Call, retryAfter time.Duration) {
+	m := newMessage(isup.Release, c.ID).WithCause(isup.Congestion)
+	if retryAfter > 0 {
+		m = m.WithMillis(isup.RetryAfter, retryAfter)
 	}
-	f.Final(c.ID, f.say(m))
+	f.SendFinal(c.ID, f.encoder(m))
 }
 
 // Failed passes a failure on.
 func (f *Front) Failed(c agent.Call, _ error) {
-	f.Final(c.ID, f.say(message(isup.Release, c.ID).WithCause(isup.Unavailable)))
+	f.SendFinal(c.ID, f.encoder(newMessage(isup.Release, c.ID).WithCause(isup.Unavailable)))
 }
 
 // Rejected ends the connection that used an id of another front's call, as any answer
 // would seem to be of that call; other rejections are failures.
 func (f *Front) Rejected(c agent.Call, err error) {
 	if errors.Is(err, agent.ErrDuplicate) {
-		f.Blame(c.ID, err)
+		f.FailCall(c.ID, err)
 		return
 	}
 	f.Log.Warn("call rejected", "call", c.ID, "class", fmt.Sprintf("%.40s", c.Class), "error", err)
@@ -76,25 +76,27 @@
 }
 
 // Ended passes the end of a call that stood on.
-func (f *Front) Ended(c agent.Call, err error) { f.End(c.ID, f.ending(c.ID, err)) }
+func (f *Front) Ended(c agent.Call, err error) { f.SendEnd(c.ID, f.endMessage(c.ID, err)) }
 
-// Stray passes the end of a call from before a restart on.
-func (f *Front) Stray(id string, err error) { f.Desk.Stray(id, f.ending(id, err)) }
+// UnknownEnded passes the end of a call from before a restart on.
+func (f *Front) UnknownEnded(id string, err error) {
+	f.Manager.SendUnknownEnd(id, f.endMessage(id, err))
+}
 
-func (f *Front) ending(id string, err error) []byte {
+func (f *Front) endMessage(id string, err error) []byte {
 	cause := isup.Normal
 	if err != nil {
 		cause = isup.TempFailure
 	}
-	return f.encode(message(isup.Release, id).WithCause(cause))
+	return f.encode(newMessage(isup.Release, id).WithCause(cause))
 }
 
-// converse reads one connection. Idle ones end, but for those with a set-up open.
-func (f *Front) converse(p *desk.Peer) error {
-	f.Ready(p)
+// readMessages reads one connection. Idle ones end, but for those with a set-up open.
+func (f *Front) readMessages(p *connmgr.Peer) error {
+	f.MarkReady(p)
 	for {
-		switch err := p.Await(); {
-		case errors.Is(err, desk.ErrIdle):
+		switch err := p.AwaitMessage(); {
+		case errors.Is(err, connmgr.ErrIdle):
 			if p.Busy() {
 				continue
 			}
@@ -106,14 +108,14 @@
 		if err != nil {
 			return err
 		}
-		p.Said()
-		if err := f.take(p, m); err != nil {
+		p.MessageRead()
+		if err := f.handle(p, m); err != nil {
 			return fmt.Errorf("message of type %d, call %v: %w", m.Type, m.Call, err)
 		}
 	}
 }
 
-func (f *Front) take(p *desk.Peer, m isup.Message) error {
+func (f *Front) handle(p *connmgr.Peer, m isup.Message) error {
 	switch m.Type {
 	case isup.SetUp:
 		c, err := parseCall(m, time.Now())
@@ -133,7 +135,7 @@
 		if f.ready() {
 			cause = isup.Passed
 		}
-		p.Send(desk.Item{Data: f.encode(isup.Message{Type: isup.TestResult, Call: m.Call}.WithCause(cause))})
+		p.Send(connmgr.Message{Data: f.encode(isup.Message{Type: isup.TestResult, Call: m.Call}.WithCause(cause))})
 	case isup.Progress, isup.Released:
 	default:
 		return errors.New("unexpected type")
@@ -141,16 +143,16 @@
 	return nil
 }
 
-// maxLeft bounds a caller's patience: more is no figure that anyone means.
-const maxLeft = 10 * time.Minute
+// maxTimeLeft bounds a caller's patience: more is no figure that anyone means.
+const maxTimeLeft = 10 * time.Minute
 
 // parseCall reads a set-up. Of the figures the first choice and the width matter here.
 func parseCall(m isup.Message, now time.Time) (agent.Call, error) {
 	c := agent.Call{ID: m.Call.String(), Class: m.Text(isup.Class), Tenant: m.Text(isup.Tenant),
 		Number: m.Text(isup.Number), Pool: -1}
-	left, err := m.Millis(isup.Left)
-	if err == nil && left > maxLeft {
-		err = fmt.Errorf("parameter %d: %v is out of range", isup.Left, left)
+	left, err := m.Millis(isup.TimeLeft)
+	if err == nil && left > maxTimeLeft {
+		err = fmt.Errorf("parameter %d: %v is out of range", isup.TimeLeft, left)
 	}
 	if err != nil {
 		return c, err
@@ -159,25 +161,25 @@
 	switch mark := m.Text(isup.Retry); mark {
 	case "":
 	case "1":
-		c.Again = true
+		c.Redialled = true
 	default:
 		return c, fmt.Errorf("parameter %d: %.40q is not 1", isup.Retry, mark)
 	}
 	c.Description, _ = m.Get(isup.Description)
 	var bad error
-	err = isup.Fields(m.Text(isup.Figures), func(name, value string) {
-		n, least := &c.Pool, 0
+	err = isup.EachField(m.Text(isup.Figures), func(name, value string) {
+		target, minimum := &c.Pool, 0
 		switch name {
 		case "dest":
 		case "width":
-			n, least = &c.Width, 1
+			target, minimum = &c.Width, 1
 		default:
 			return
 		}
-		if x, err := strconv.Atoi(value); err != nil || x < least {
+		if x, err := strconv.Atoi(value); err != nil || x < minimum {
 			bad = errors.Join(bad, fmt.Errorf("figure %s: %.40q", name, value))
 		} else {
-			*n = x
+			*target = x
 		}
 	})
 	return c, errors.Join(err, bad)
--- a/internal/front/isupfront/isupfront_test.go
+++ b/internal/front/isupfront/isupfront_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 
 	"woodrouter/agent"
-	"woodrouter/internal/front/desk"
+	"woodrouter/internal/front/connmgr"
 	"woodrouter/internal/standin"
 	"woodrouter/isup"
 )
 
-func start(t *testing.T, cfg desk.Config) (*Front, *standin.Core, string) {
+func startFront(t *testing.T, cfg connmgr.Config) (*Front, *standin.Core, string) {
 	c := standin.NewCore()
 	f := New(cfg, c, func() bool { return true })
 	return f, c, standin.Serve(t, f)
@@ -33,10 +33,10 @@
 		{"refused", func(f *Front, c agent.Call) { f.Refused(c, 1500*time.Millisecond) }, isup.Congestion, "1500"},
 		{"refused, no advice", func(f *Front, c agent.Call) { f.Refused(c, 0) }, isup.Congestion, ""},
 		{"failed", func(f *Front, c agent.Call) { f.Failed(c, agent.ErrOverdue) }, isup.Unavailable, ""},
-		{"unknown class", func(f *Front, c agent.Call) { f.Rejected(c, agent.ErrClass) }, isup.Unavailable, ""},
+		{"unknown class", func(f *Front, c agent.Call) { f.Rejected(c, agent.ErrUnknownClass) }, isup.Unavailable, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f, core, addr := start(t, desk.Config{})
+			f, core, addr := startFront(t, connmgr.Config{})
 			c := standin.NewCaller(t, addr)
 			c.SetUp(7, "voice", 3*time.Second, 2)
 			call := standin.Next(t, core.Offered)
@@ -49,7 +49,7 @@
 			cause, err := m.Cause()
 			require.NoError(t, err)
 			assert.Equal(t, tc.cause, cause)
-			assert.Equal(t, tc.away, m.Text(isup.StayAway))
+			assert.Equal(t, tc.away, m.Text(isup.RetryAfter))
 			c.Send(isup.Message{Type: isup.Test, Call: 9}.WithCause(0))
 			passed, err := c.Await(t, isup.TestResult, 9).Cause()
 			require.NoError(t, err)
@@ -58,19 +58,19 @@
 	}
 }
 
-// TestBusy: what the core can't take is refused at once, with when to return.
-func TestBusy(t *testing.T) {
-	_, core, addr := start(t, desk.Config{StayAway: 700 * time.Millisecond})
+// TestBusyCore: what the core can't take is refused at once, with when to return.
+func TestBusyCore(t *testing.T) {
+	_, core, addr := startFront(t, connmgr.Config{RetryAfter: 700 * time.Millisecond})
 	core.Busy = true
 	c := standin.NewCaller(t, addr)
 	c.SetUp(7, "voice", 3*time.Second, 2)
-	assert.Equal(t, "700", c.Await(t, isup.Release, 7).Text(isup.StayAway))
+	assert.Equal(t, "700", c.Await(t, isup.Release, 7).Text(isup.RetryAfter))
 }
 
 // TestStandingOutlivesConnection: the end of a call is told on its connection, else on
 // any of that caller's, else on the next; its release may come on any.
 func TestStandingOutlivesConnection(t *testing.T) {
-	f, core, addr := start(t, desk.Config{})
+	f, core, addr := startFront(t, connmgr.Config{})
 	c := standin.NewCaller(t, addr)
 	stand := func(id isup.CallID) agent.Call {
 		c.SetUp(id, "voice", 3*time.Second, 2)
@@ -98,20 +98,20 @@
 	other.Await(t, isup.TestResult, 9)
 }
 
-// TestStray: the end of a call from before a restart goes to any caller, or to the next;
+// TestUnknownEnded: the end of a call from before a restart goes to any caller, or to the next;
 // a caller's release of one is handed on.
-func TestStray(t *testing.T) {
-	f, core, addr := start(t, desk.Config{})
-	f.Stray("0000000000000007", nil)
+func TestUnknownEnded(t *testing.T) {
+	f, core, addr := startFront(t, connmgr.Config{})
+	f.UnknownEnded("0000000000000007", nil)
 	c := standin.NewCaller(t, addr)
 	c.Await(t, isup.Release, 7)
 	c.Send(isup.Message{Type: isup.Release, Call: 8}.WithCause(isup.Normal))
 	assert.Equal(t, "0000000000000008", standin.Next(t, core.Unknown))
 }
 
-// raw words a set-up with odd figures.
-func raw(t *testing.T, left, figures string) string {
-	b, err := isup.Message{Type: isup.SetUp, Call: 2}.WithText(isup.Class, "voice").WithText(isup.Left, left).
+// encodeSetUp words a set-up with odd figures.
+func encodeSetUp(t *testing.T, left, figures string) string {
+	b, err := isup.Message{Type: isup.SetUp, Call: 2}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, left).
 		WithText(isup.Figures, figures).Append(nil)
 	require.NoError(t, err)
 	return string(b)
@@ -120,7 +120,7 @@
 // TestFaults: a message that is malformed, oversized or out of order ends its connection
 // and the calls open on it, and no other.
 func TestFaults(t *testing.T) {
-	setUp, err := isup.Message{Type: isup.SetUp, Call: 1}.WithText(isup.Class, "voice").WithText(isup.Left, "3000").Append(nil)
+	setUp, err := isup.Message{Type: isup.SetUp, Call: 1}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, "3000").Append(nil)
 	require.NoError(t, err)
 	for name, bad := range map[string]string{
 		"oversized":              "\xff\xff",
@@ -131,16 +131,16 @@
 		"set-up without time":    "\x00\x09\x01\x00\x00\x00\x00\x00\x00\x00\x02",
 		"release, no cause":      "\x00\x09\x0c\x00\x00\x00\x00\x00\x00\x00\x01",
 		"bad figures":            "\x00\x18\x01\x00\x00\x00\x00\x00\x00\x00\x02\x11\x00\x011\x15\x00\x06dest:x\x00",
-		"first choice no number": raw(t, "3000", "dest:nan;width:1;via:-1"),
-		"negative first choice":  raw(t, "3000", "dest:-3"),
-		"no width":               raw(t, "3000", "dest:0;width:0"),
-		"negative time":          raw(t, "-5", "dest:0"),
-		"days":                   raw(t, "864000000", "dest:0"),
+		"first choice no number": encodeSetUp(t, "3000", "dest:nan;width:1;via:-1"),
+		"negative first choice":  encodeSetUp(t, "3000", "dest:-3"),
+		"no width":               encodeSetUp(t, "3000", "dest:0;width:0"),
+		"negative time":          encodeSetUp(t, "-5", "dest:0"),
+		"days":                   encodeSetUp(t, "864000000", "dest:0"),
 		"id open already":        string(setUp),
 		"cut off":                "\x00\x30\x01",
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, core, addr := start(t, desk.Config{MessageTime: 200 * time.Millisecond})
+			_, core, addr := startFront(t, connmgr.Config{MessageTimeout: 200 * time.Millisecond})
 			good := standin.NewCaller(t, addr)
 			good.SetUp(5, "voice", 3*time.Second, 2)
 			standin.Next(t, core.Offered)
@@ -160,7 +160,7 @@
 
 // TestIdle: a connection without a set-up is closed in time; one with a set-up is not.
 func TestIdle(t *testing.T) {
-	f, core, addr := start(t, desk.Config{Idle: 500 * time.Millisecond})
+	f, core, addr := startFront(t, connmgr.Config{IdleTimeout: 500 * time.Millisecond})
 	busy := standin.NewCaller(t, addr)
 	busy.SetUp(1, "voice", 3*time.Second, 2)
 	call := standin.Next(t, core.Offered)
@@ -174,7 +174,7 @@
 // TestSilent: who connects and says nothing, or half a message, is ended soon; who has asked
 // once may hold its connection.
 func TestSilent(t *testing.T) {
-	_, core, addr := start(t, desk.Config{FirstTime: 500 * time.Millisecond})
+	_, core, addr := startFront(t, connmgr.Config{FirstMessageTimeout: 500 * time.Millisecond})
 	asked := standin.NewCaller(t, addr)
 	asked.SetUp(1, "voice", 3*time.Second, 2)
 	standin.Next(t, core.Offered)
@@ -189,11 +189,11 @@
 	asked.Await(t, isup.TestResult, 9)
 }
 
-// TestTooMany: each connection costs a descriptor. In a full house a newcomer takes the place
+// TestTooManyConnections: each connection costs a descriptor. In a full house a newcomer takes the place
 // of one that never spoke, then of one without a call; one with a call stays, and in the end
 // the newcomer is closed.
-func TestTooMany(t *testing.T) {
-	f, core, addr := start(t, desk.Config{MaxPeers: 3, FirstTime: time.Hour, RoomAfter: time.Nanosecond})
+func TestTooManyConnections(t *testing.T) {
+	f, core, addr := startFront(t, connmgr.Config{MaxPeers: 3, FirstMessageTimeout: time.Hour, EvictAfter: time.Nanosecond})
 	say := func() *standin.Caller {
 		c := standin.NewCaller(t, addr)
 		c.Send(isup.Message{Type: isup.Test, Call: 9}.WithCause(0))
@@ -224,10 +224,10 @@
 	assert.Empty(t, core.Withdrawn, "no call was lost")
 }
 
-// TestJustUsed: a connection that was used just now makes no room, as a set-up may be on its
+// TestRecentlyUsedStays: a connection that was used just now makes no room, as a set-up may be on its
 // way there; the newcomer is closed.
-func TestJustUsed(t *testing.T) {
-	_, core, addr := start(t, desk.Config{MaxPeers: 1, RoomAfter: time.Hour})
+func TestRecentlyUsedStays(t *testing.T) {
+	_, core, addr := startFront(t, connmgr.Config{MaxPeers: 1, EvictAfter: time.Hour})
 	c := standin.NewCaller(t, addr)
 	c.Send(isup.Message{Type: isup.Test, Call: 9}.WithCause(0))
 	c.Await(t, isup.TestResult, 9)
@@ -240,22 +240,22 @@
 // TestRetryMark: parameter 19 marks a caller's retry, which the module weighs less.
 func TestRetryMark(t *testing.T) {
 	for mark, want := range map[string]bool{"": false, "1": true} {
-		m := isup.Message{Type: isup.SetUp, Call: 3}.WithText(isup.Class, "voice").WithText(isup.Left, "3000")
+		m := isup.Message{Type: isup.SetUp, Call: 3}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, "3000")
 		if mark != "" {
 			m = m.WithText(isup.Retry, mark)
 		}
 		c, err := parseCall(m, time.Now())
 		require.NoError(t, err)
-		assert.Equal(t, want, c.Again)
+		assert.Equal(t, want, c.Redialled)
 	}
-	_, err := parseCall(isup.Message{Type: isup.SetUp}.WithText(isup.Left, "1").WithText(isup.Retry, "yes"), time.Now())
+	_, err := parseCall(isup.Message{Type: isup.SetUp}.WithText(isup.TimeLeft, "1").WithText(isup.Retry, "yes"), time.Now())
 	assert.ErrorContains(t, err, "parameter 19")
 }
 
 // TestCloseCrossing: a set-up that crosses the end of its connection is not taken, and does not
 // reset it: its caller reads what was written before, and that the connection has ended.
 func TestCloseCrossing(t *testing.T) {
-	f, core, addr := start(t, desk.Config{Linger: standin.Patience})
+	f, core, addr := startFront(t, connmgr.Config{LingerTimeout: standin.Patience})
 	c := standin.NewCaller(t, addr)
 	c.SetUp(1, "voice", 3*time.Second, 2)
 	f.Answered(standin.Next(t, core.Offered), []byte("there"))
@@ -264,7 +264,7 @@
 	c.Await(t, isup.Answer, 1)
 	_, err := c.Next()
 	require.ErrorIs(t, err, io.EOF)
-	setUp := []byte(raw(t, "3000", "dest:0"))
+	setUp := []byte(encodeSetUp(t, "3000", "dest:0"))
 	for range 3 {
 		_, err = c.Write(setUp)
 		require.NoError(t, err, "ended, not reset")
@@ -274,19 +274,19 @@
 	assert.Empty(t, core.Offered)
 }
 
-// TestTwoSeconds: a caller may take 2 s over a set-up, and what the way adds, its first or a later one; its bytes are read
+// TestSlowSetUp: a caller may take 2 s over a set-up, and what the way adds, its first or a later one; its bytes are read
 // as they come.
-func TestTwoSeconds(t *testing.T) {
+func TestSlowSetUp(t *testing.T) {
 	for name, first := range map[string]bool{"the first": true, "a later one": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, core, addr := start(t, desk.Config{})
+			_, core, addr := startFront(t, connmgr.Config{})
 			c := standin.NewCaller(t, addr)
 			if !first {
 				c.Send(isup.Message{Type: isup.Test, Call: 9}.WithCause(0))
 				c.Await(t, isup.TestResult, 9)
 			}
-			setUp := []byte(raw(t, "3000", "dest:0"))
+			setUp := []byte(encodeSetUp(t, "3000", "dest:0"))
 			began := time.Now()
 			for i := range setUp {
 				time.Sleep(time.Until(began.Add(2200 * time.Millisecond * time.Duration(i+1) / time.Duration(len(setUp)))))
--- a/internal/front/ws/frame.go
+++ b/internal/front/ws/frame.go
@@ -80,28 +80,28 @@
 	case h.opcode.control() && (!h.final || h.length > 125):
 		return h, protocolError("control frame fragmented or over 125 bytes")
 	}
-	size, least := 0, uint64(0)
+	size, minLength := 0, uint64(0)
 	switch h.length {
 	case 126:
-		size, least = 2, 126
+		size, minLength = 2, 126
 	case 127:
-		size, least = 8, 1<<16
+		size, minLength = 8, 1<<16
 	}
 	if size > 0 {
 		if _, err = io.ReadFull(r, b[8-size:]); err != nil {
-			return h, whole(err)
+			return h, noEOFInside(err)
 		}
 		clear(b[:8-size])
-		if h.length = binary.BigEndian.Uint64(b[:]); h.length < least || h.length>>63 != 0 {
+		if h.length = binary.BigEndian.Uint64(b[:]); h.length < minLength || h.length>>63 != 0 {
 			return h, protocolError("length %d in a longer form than needed", h.length)
 		}
 	}
 	_, err = io.ReadFull(r, h.mask[:])
-	return h, whole(err)
+	return h, noEOFInside(err)
 }
 
-// whole turns an end inside a frame into an error of its own.
-func whole(err error) error {
+// noEOFInside turns an end inside a frame into an error of its own.
+func noEOFInside(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -109,17 +109,17 @@
 }
 
 // ReadFrame reads one frame of a client; a data frame may have at most most bytes.
-func ReadFrame(r io.Reader, most int) (Frame, error) {
+func ReadFrame(r io.Reader, maxPayload int) (Frame, error) {
 	h, err := readHeader(r)
 	if err != nil {
 		return Frame{}, err
 	}
-	if !h.opcode.control() && h.length > uint64(most) {
-		return Frame{}, &CloseError{Code: StatusTooBig, Reason: fmt.Sprintf("more than %d bytes", most)}
+	if !h.opcode.control() && h.length > uint64(maxPayload) {
+		return Frame{}, &CloseError{Code: StatusTooBig, Reason: fmt.Sprintf("more than %d bytes", maxPayload)}
 	}
 	f := Frame{h.final, h.opcode, make([]byte, h.length)}
 	if _, err := io.ReadFull(r, f.Payload); err != nil {
-		return Frame{}, whole(err)
+		return Frame{}, noEOFInside(err)
 	}
 	for i := range f.Payload {
 		f.Payload[i] ^= h.mask[i%4]
@@ -175,8 +175,8 @@
 
 // Reader puts frames together to messages.
 type Reader struct {
-	In   *bufio.Reader
-	Most int // bytes of a message
+	In              *bufio.Reader
+	MaxMessageBytes int // bytes of a message
 
 	op   Opcode // of the message under way; 0: none
 	data []byte
@@ -185,7 +185,7 @@
 // Next reads one frame. It returns a whole message, or a ping or pong on its own;
 // otherwise ok is false and the next frame is due. A close frame is an error.
 func (r *Reader) Next() (op Opcode, data []byte, ok bool, err error) {
-	f, err := ReadFrame(r.In, r.Most-len(r.data))
+	f, err := ReadFrame(r.In, r.MaxMessageBytes-len(r.data))
 	switch {
 	case err != nil:
 		return 0, nil, false, err
--- a/internal/front/ws/upgrade.go
+++ b/internal/front/ws/upgrade.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// maxRequest bounds the upgrade request.
-const maxRequest = 16 << 10
+// maxRequestBytes bounds the upgrade request.
+const maxRequestBytes = 16 << 10
 
 // Endpoint tells what a server upgrades.
 type Endpoint struct {
@@ -36,7 +36,7 @@
 // Upgrade reads an upgrade request. It returns the response to write in any case, and
 // an error where the connection is to end after it; without a response it ends at once.
 func (e Endpoint) Upgrade(in *bufio.Reader) (response []byte, err error) {
-	limited := bufio.NewReaderSize(&io.LimitedReader{R: byteReader{in}, N: maxRequest}, 16)
+	limited := bufio.NewReaderSize(&io.LimitedReader{R: byteReader{in}, N: maxRequestBytes}, 16)
 	req, err := http.ReadRequest(limited)
 	if err != nil {
 		return respond(http.StatusBadRequest), fmt.Errorf("upgrade request: %w", err)
--- a/internal/front/ws/ws_test.go
+++ b/internal/front/ws/ws_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// client words a client's frame; its mask is not zero, so that it counts.
-func client(first byte, payload string) string {
+// clientFrame words a client's frame; its mask is not zero, so that it counts.
+func clientFrame(first byte, payload string) string {
 	mask := []byte{1, 2, 3, 4}
 	b := []byte{first, 0x80 | byte(len(payload))}
 	if len(payload) > 125 {
@@ -32,35 +32,35 @@
 		want     string // messages, each with its opcode in front
 		code     int    // of the close error; 0: the input just ends
 	}{
-		{"text", client(0x81, "hello"), "1hello ", 0},
-		{"empty text", client(0x81, ""), "1 ", 0},
-		{"two-byte length", client(0x81, long), "1" + long + " ", 0},
-		{"fragmented", client(0x01, "he") + client(0x00, "ll") + client(0x80, "o"), "1hello ", 0},
-		{"ping between fragments", client(0x01, "a") + client(0x89, "p") + client(0x80, "b"), "9p 1ab ", 0},
-		{"ping when little is left", client(0x01, long) + client(0x00, long) + client(0x00, long) + client(0x89, long[:120]) +
-			client(0x80, ""), "9" + long[:120] + " 1" + long + long + long + " ", 0},
-		{"binary", client(0x82, "x"), "2x ", 0},
+		{"text", clientFrame(0x81, "hello"), "1hello ", 0},
+		{"empty text", clientFrame(0x81, ""), "1 ", 0},
+		{"two-byte length", clientFrame(0x81, long), "1" + long + " ", 0},
+		{"fragmented", clientFrame(0x01, "he") + clientFrame(0x00, "ll") + clientFrame(0x80, "o"), "1hello ", 0},
+		{"ping between fragments", clientFrame(0x01, "a") + clientFrame(0x89, "p") + clientFrame(0x80, "b"), "9p 1ab ", 0},
+		{"ping when little is left", clientFrame(0x01, long) + clientFrame(0x00, long) + clientFrame(0x00, long) + clientFrame(0x89, long[:120]) +
+			clientFrame(0x80, ""), "9" + long[:120] + " 1" + long + long + long + " ", 0},
+		{"binary", clientFrame(0x82, "x"), "2x ", 0},
 		{"unmasked", "\x81\x05hello", "", StatusProtocol},
-		{"reserved bit", client(0xc1, "x"), "", StatusProtocol},
-		{"unknown opcode", client(0x83, "x"), "", StatusProtocol},
-		{"unknown control opcode", client(0x8b, "x"), "", StatusProtocol},
-		{"fragmented ping", client(0x09, "x"), "", StatusProtocol},
-		{"long ping", client(0x89, long), "", StatusProtocol},
-		{"continuation of nothing", client(0x80, "x"), "", StatusProtocol},
-		{"message inside a message", client(0x01, "x") + client(0x81, "y"), "", StatusProtocol},
+		{"reserved bit", clientFrame(0xc1, "x"), "", StatusProtocol},
+		{"unknown opcode", clientFrame(0x83, "x"), "", StatusProtocol},
+		{"unknown control opcode", clientFrame(0x8b, "x"), "", StatusProtocol},
+		{"fragmented ping", clientFrame(0x09, "x"), "", StatusProtocol},
+		{"long ping", clientFrame(0x89, long), "", StatusProtocol},
+		{"continuation of nothing", clientFrame(0x80, "x"), "", StatusProtocol},
+		{"message inside a message", clientFrame(0x01, "x") + clientFrame(0x81, "y"), "", StatusProtocol},
 		{"longer form than needed", "\x81\xfe\x00\x05\x00\x00\x00\x00hello", "", StatusProtocol},
 		{"length over 63 bits", "\x81\xff\xff\xff\xff\xff\xff\xff\xff\xff\x00\x00\x00\x00", "", StatusProtocol},
 		{"oversized", "\x81\xff\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00", "", StatusTooBig},
-		{"oversized in fragments", strings.Repeat(client(0x01, long), 1) + strings.Repeat(client(0x00, long), 4), "", StatusTooBig},
-		{"not UTF-8", client(0x81, "\xff\xfe"), "", StatusInvalid},
-		{"close", client(0x88, "\x03\xe8bye"), "", StatusNormal},
-		{"close without a code", client(0x88, ""), "", StatusNoCode},
-		{"close of one byte", client(0x88, "\x03"), "", StatusProtocol},
-		{"close code out of use", client(0x88, "\x03\xee"), "", StatusProtocol},
-		{"close reason not UTF-8", client(0x88, "\x03\xe8\xff"), "", StatusInvalid},
+		{"oversized in fragments", strings.Repeat(clientFrame(0x01, long), 1) + strings.Repeat(clientFrame(0x00, long), 4), "", StatusTooBig},
+		{"not UTF-8", clientFrame(0x81, "\xff\xfe"), "", StatusInvalid},
+		{"close", clientFrame(0x88, "\x03\xe8bye"), "", StatusNormal},
+		{"close without a code", clientFrame(0x88, ""), "", StatusNoCode},
+		{"close of one byte", clientFrame(0x88, "\x03"), "", StatusProtocol},
+		{"close code out of use", clientFrame(0x88, "\x03\xee"), "", StatusProtocol},
+		{"close reason not UTF-8", clientFrame(0x88, "\x03\xe8\xff"), "", StatusInvalid},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r, got := Reader{In: bufio.NewReader(strings.NewReader(tc.in)), Most: 1000}, ""
+			r, got := Reader{In: bufio.NewReader(strings.NewReader(tc.in)), MaxMessageBytes: 1000}, ""
 			for {
 				op, data, ok, err := r.Next()
 				if err != nil {
@@ -83,7 +83,7 @@
 
 // TestEndInsideAFrame: an end inside a frame is told from one between two.
 func TestEndInsideAFrame(t *testing.T) {
-	whole := client(0x81, strings.Repeat("z", 200))
+	whole := clientFrame(0x81, strings.Repeat("z", 200))
 	for n := 1; n < len(whole); n++ {
 		_, err := ReadFrame(strings.NewReader(whole[:n]), 1000)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "%d bytes", n)
@@ -114,7 +114,7 @@
 		{"other version", strings.Replace(good, "13", "8", 1), "426 "},
 		{"short key", strings.Replace(good, "dGhlIHNhbXBsZSBub25jZQ==", "dGhl", 1), "400 "},
 		{"not HTTP", "hello\r\n", "400 "},
-		{"endless", "GET /calls HTTP/1.1\r\nA: " + strings.Repeat("a", 2*maxRequest), "400 "},
+		{"endless", "GET /calls HTTP/1.1\r\nA: " + strings.Repeat("a", 2*maxRequestBytes), "400 "},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			in := bufio.NewReaderSize(strings.NewReader(tc.in+"\r\nrest"), 1<<17)
@@ -132,9 +132,9 @@
 
 // FuzzNext: no bytes of a client may panic the reader.
 func FuzzNext(f *testing.F) {
-	f.Add([]byte(client(0x01, "a") + client(0x89, "p") + client(0x80, "b")))
+	f.Add([]byte(clientFrame(0x01, "a") + clientFrame(0x89, "p") + clientFrame(0x80, "b")))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		r := Reader{In: bufio.NewReader(strings.NewReader(string(in))), Most: 100}
+		r := Reader{In: bufio.NewReader(strings.NewReader(string(in))), MaxMessageBytes: 100}
 		for {
 			_, data, _, err := r.Next()
 			if err != nil {
--- a/internal/lab/chainlab/peer.go
+++ b/internal/lab/chainlab/peer.go
@@ -203,7 +203,7 @@
 		p.mu.Lock()
 		l.placed = time.Now()
 		p.mu.Unlock()
-		err = out.say(setUpMessage(m.Call, m.Text(isup.Class), m.Text(isup.Left), m.Text(isup.Number), m.Text(isup.Description)))
+		err = out.say(setUpMessage(m.Call, m.Text(isup.Class), m.Text(isup.TimeLeft), m.Text(isup.Number), m.Text(isup.Description)))
 	}
 	if err != nil {
 		p.refuse(in, m.Call)
@@ -213,7 +213,7 @@
 // setUpMessage words a set-up.
 func setUpMessage(id isup.CallID, class, left, number, description string) isup.Message {
 	return isup.Message{Type: isup.SetUp, Call: id, Values: []isup.Value{{Code: isup.Class, Data: []byte(class)},
-		{Code: isup.Left, Data: []byte(left)}, {Code: isup.Number, Data: []byte(number)},
+		{Code: isup.TimeLeft, Data: []byte(left)}, {Code: isup.Number, Data: []byte(number)},
 		{Code: isup.Figures, Data: []byte(figures)}, {Code: isup.Description, Data: []byte(description)}}}
 }
 
--- a/internal/lab/emulator/callers.go
+++ b/internal/lab/emulator/callers.go
@@ -273,7 +273,7 @@
 	if dest >= 0 {
 		figures = fmt.Sprintf("dest:%d;%s", dest, figures)
 	}
-	m := isup.Message{Type: isup.SetUp, Call: t.id}.WithText(isup.Class, r.class.Name).WithMillis(isup.Left, left).
+	m := isup.Message{Type: isup.SetUp, Call: t.id}.WithText(isup.Class, r.class.Name).WithMillis(isup.TimeLeft, left).
 		WithText(isup.Number, r.number).WithText(isup.Figures, figures).WithText(isup.Description, "offer "+t.id.String())
 	if r.tenant != "" {
 		m = m.WithText(isup.Tenant, r.tenant)
@@ -366,7 +366,7 @@
 		c.ended(l, t, cause != isup.Normal)
 		return
 	}
-	away, _ := m.Millis(isup.StayAway)
+	away, _ := m.Millis(isup.RetryAfter)
 	cause, _ := m.Cause()
 	switch {
 	case room != "":
--- a/internal/lab/fleetlab/reference.go
+++ b/internal/lab/fleetlab/reference.go
@@ -136,7 +136,7 @@
 		k.server = nil
 	}
 	delete(f.calls, id)
-	say(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithMillis(isup.StayAway, time.Second))
+	say(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithMillis(isup.RetryAfter, time.Second))
 }
 
 func (f *reference) pick(k *refCall) (best *emulator.Server) {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -193,7 +193,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(askTime + time.Second))
-	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.Left, askTime).
+	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.TimeLeft, askTime).
 		WithText(isup.Number, id.String()).WithText(isup.Figures, "dest:0;width:1;via:-1").WithText(isup.Description, "offer").Append(nil)
 	if err != nil {
 		return Heard{Err: err}
@@ -210,7 +210,7 @@
 		case m.Type == isup.Answer:
 			return Heard{Served: m.Text(isup.Description)}
 		case m.Type == isup.Release:
-			away, _ := m.Millis(isup.StayAway)
+			away, _ := m.Millis(isup.RetryAfter)
 			return Heard{Away: away}
 		}
 	}
--- a/internal/lab/promiselab/fleet_test.go
+++ b/internal/lab/promiselab/fleet_test.go
@@ -67,7 +67,7 @@
 	}
 	refused := func(agent string, id isup.CallID, sent int) {
 		m := ask(agent, id)
-		away, err := m.Millis(isup.StayAway)
+		away, err := m.Millis(isup.RetryAfter)
 		require.Equal(t, isup.Release, m.Type, "%s, call %v", agent, id)
 		require.True(t, err == nil && away > 0, "%s, call %v: stay away %v", agent, id, away)
 		require.Equal(t, sent, server.Seen(isup.SetUp, id))
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -268,10 +268,10 @@
 			set.Rank, set.Senders = spreading.Rank, spreading.Senders
 		}
 	}
-	if h.core, err = agent.New(agent.Config{Sights: h.deal.has(Zones), Settings: set, Seed: uint64(h.i), Log: h.log}); err != nil {
+	if h.core, err = agent.New(agent.Config{ObserveServers: h.deal.has(Zones), Settings: set, Seed: uint64(h.i), Log: h.log}); err != nil {
 		return err
 	}
-	h.core.Attach(nobody{})
+	h.core.SetBackend(nobody{})
 	go h.core.Run()
 	return nil
 }
@@ -294,18 +294,18 @@
 // spreads is the core as spreading load sees it, fed with a call made up for every other summary.
 type spreads struct{ *hollow }
 
-func (s spreads) Spread(do func(now policy.Time, st *spread.State)) {
-	s.core.Spread(func(now policy.Time, st *spread.State) {
+func (s spreads) WithSpread(do func(now policy.Time, st *spread.State)) {
+	s.core.WithSpread(func(now policy.Time, st *spread.State) {
 		s.feed(now, st)
 		do(now, st)
 		s.follows.Store(st.FollowsView(now))
 	})
 }
 
-func (s spreads) Follow(v spread.View) {
+func (s spreads) ApplyView(v spread.View) {
 	s.senders.Store(int64(v.Senders))
 	s.views.Add(1)
-	s.core.Follow(v)
+	s.core.ApplyView(v)
 }
 
 // feed has the module think that it sent a call to one of the servers, in turn, which answered.
@@ -356,7 +356,7 @@
 		c.Topology.Zones = append(c.Topology.Zones, failover.Zone{Name: z, Region: regionOf(z)})
 	}
 	var err error
-	if h.placer, err = placer.New(c, h.Name, h.Zone, h.core.Sights(), h.ctrl, h.log); err != nil {
+	if h.placer, err = placer.New(c, h.Name, h.Zone, h.core.Observations(), h.ctrl, h.log); err != nil {
 		return err
 	}
 	h.work.Go(func() { h.placer.Run(ctx) })
--- a/internal/servers/trunk/hear.go
+++ b/internal/servers/trunk/hear.go
@@ -85,7 +85,7 @@
 	}
 	a := t.open[m.Call]
 	if a == nil { // the answer to a give-up, or the end of a call from before a restart
-		t.core.Unknown(m.Call.String(), verdict(t.server.ID, cause, m.Text(isup.Note), true))
+		t.core.UnknownEnded(m.Call.String(), verdict(t.server.ID, cause, m.Text(isup.Note), true))
 		return nil
 	}
 	f := verdict(t.server.ID, cause, m.Text(isup.Note), a.stands)
@@ -116,7 +116,7 @@
 // server has written it. The call's caller is owed the end, and a release makes sure of it at
 // the server.
 func (t *trunk) cutOff(begun opening) {
-	kind, prefix, ok := isup.Half(begun)
+	kind, prefix, ok := isup.ParsePartial(begun)
 	if !ok || kind != isup.Release || len(prefix) < leastCall {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // verdict words a release; nil: the call has come to its end.
 func verdict(server string, cause isup.Cause, note string, stood bool) *agent.Failure {
-	f := failure(server, agent.Spoken, policy.Faulted, fmt.Errorf("released with cause %d %s", cause, note))
+	f := failure(server, agent.Responded, policy.Faulted, fmt.Errorf("released with cause %d %s", cause, note))
 	if stood {
 		if cause == isup.Normal {
 			return nil
@@ -223,7 +223,7 @@
 		"util": &r.Utilisation, "queue": &r.QueueLength, "qps": &r.AcceptRate, "allowed": &r.AcceptRate, "eps": &r.RefuseShare,
 		"cut_by": &r.RefuseShare, "latency_ms": &r.WaitSeconds}
 	var bad error
-	err := isup.Fields(string(text), func(name, value string) {
+	err := isup.EachField(string(text), func(name, value string) {
 		place := places[name]
 		if place == nil {
 			return
--- a/internal/servers/trunk/pool.go
+++ b/internal/servers/trunk/pool.go
@@ -20,7 +20,7 @@
 type Core interface {
 	Stands(id string, n int, description []byte)
 	Ended(id string, n int, err *agent.Failure, r policy.Report)
-	Unknown(id string, err *agent.Failure)
+	UnknownEnded(id string, err *agent.Failure)
 	Reported(p policy.ReportReceived)
 }
 
@@ -182,7 +182,7 @@
 func (p *Pool) SetUp(a agent.Attempt) {
 	t := p.trunks[a.Server]
 	if t == nil || !t.box.Offer(func() { t.setUp(a) }) {
-		p.core.Ended(a.ID, a.N, failure(a.Server, agent.Unwritten, policy.NotSent, errBusy), policy.EmptyReport())
+		p.core.Ended(a.ID, a.Index, failure(a.Server, agent.Unwritten, policy.NotSent, errBusy), policy.EmptyReport())
 	}
 }
 
--- a/internal/servers/trunk/source.go
+++ b/internal/servers/trunk/source.go
@@ -53,6 +53,6 @@
 type opening []byte
 
 func (s *opening) Write(b []byte) (int, error) {
-	*s = append(*s, b[:min(len(b), isup.Head-len(*s))]...)
+	*s = append(*s, b[:min(len(b), isup.HeaderBytes-len(*s))]...)
 	return len(b), nil
 }
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -185,13 +185,13 @@
 func (t *trunk) setUp(a agent.Attempt) {
 	open := t.server.State == policy.Up && !t.stopped
 	if open && !t.placed(subset.ForCall) { // told at once: another server may have one
-		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, policy.NotSent, errPlace), policy.EmptyReport())
+		t.core.Ended(a.ID, a.Index, failure(t.server.ID, agent.Unwritten, policy.NotSent, errPlace), policy.EmptyReport())
 		return
 	}
 	if t.link == nil && open {
 		t.waiting = append(t.waiting, a)
 		// Each wait has its own limit: the dial under way may be older than this set-up.
-		time.AfterFunc(t.cfg.ConnectTimeout, func() { t.post(func() { t.tired(a.ID, a.N) }) })
+		time.AfterFunc(t.cfg.ConnectTimeout, func() { t.post(func() { t.tired(a.ID, a.Index) }) })
 		t.connect()
 		return
 	}
@@ -202,9 +202,9 @@
 // may have outlasted the news of a drain, the deadline or the caller. What it looks at is set by
 // whoever knows first, past this actor's mailbox: a message there may wait behind the set-up.
 func (t *trunk) write(a agent.Attempt) {
-	left := time.Until(a.Until)
+	left := time.Until(a.Deadline)
 	unwritten := func(r policy.Result, err error) {
-		t.core.Ended(a.ID, a.N, failure(t.server.ID, agent.Unwritten, r, err), policy.EmptyReport())
+		t.core.Ended(a.ID, a.Index, failure(t.server.ID, agent.Unwritten, r, err), policy.EmptyReport())
 	}
 	id, err := isup.ParseCallID(a.ID)
 	switch {
@@ -217,7 +217,7 @@
 	case t.server.State != policy.Up || t.barred.Load():
 		unwritten(policy.NotSent, errState)
 		return
-	case a.Unwanted() != nil:
+	case a.CancelCause() != nil:
 		unwritten(policy.NotSent, errGivenUp)
 		return
 	case left < time.Millisecond:
@@ -228,7 +228,7 @@
 		return
 	}
 	m := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, a.Class).
-		WithMillis(isup.Left, left)
+		WithMillis(isup.TimeLeft, left)
 	if a.Number != "" {
 		m = m.WithText(isup.Number, a.Number)
 	}
@@ -240,7 +240,7 @@
 	if err != nil && n <= 0 {
 		unwritten(policy.NotSent, err)
 	} else { // a part of it may have been enough: its end comes with the connection's
-		t.open[id] = &attempt{n: a.N, sent: time.Now(), link: link}
+		t.open[id] = &attempt{n: a.Index, sent: time.Now(), link: link}
 		if link.out++; link.out == 1 {
 			link.since = time.Now()
 		}
@@ -442,7 +442,7 @@
 	waiting := t.waiting
 	t.waiting = nil
 	for _, a := range waiting {
-		t.core.Ended(a.ID, a.N, failure(t.server.ID, stage, r, err), policy.EmptyReport())
+		t.core.Ended(a.ID, a.Index, failure(t.server.ID, stage, r, err), policy.EmptyReport())
 	}
 }
 
@@ -456,7 +456,7 @@
 
 // dequeue takes a set-up out of those that wait for a connection, if it is there.
 func (t *trunk) dequeue(id string, n int) bool {
-	i := slices.IndexFunc(t.waiting, func(w agent.Attempt) bool { return w.ID == id && w.N == n })
+	i := slices.IndexFunc(t.waiting, func(w agent.Attempt) bool { return w.ID == id && w.Index == n })
 	if i >= 0 {
 		t.waiting = slices.Delete(t.waiting, i, i+1)
 	}
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -39,7 +39,7 @@
 func (c *core) Ended(id string, n int, err *agent.Failure, _ policy.Report) {
 	c.told <- told{false, id, n, err, time.Now()}
 }
-func (c *core) Unknown(id string, err *agent.Failure) { c.unknown <- id }
+func (c *core) UnknownEnded(id string, err *agent.Failure) { c.unknown <- id }
 func (c *core) Reported(p policy.ReportReceived) {
 	select {
 	case c.reports <- p:
@@ -87,7 +87,7 @@
 func (p *Pool) news(servers ...agent.Server) { p.Servers(servers, false) }
 
 func attemptFor(id string, left time.Duration) agent.Attempt {
-	return agent.Attempt{ID: id, Server: "s", Class: "voice", Number: "12", Until: time.Now().Add(left),
+	return agent.Attempt{ID: id, Server: "s", Class: "voice", Number: "12", Deadline: time.Now().Add(left),
 		Description: []byte("offer")}
 }
 
@@ -112,7 +112,7 @@
 	g := s.Await(t, isup.SetUp)
 	assert.Equal(t, one, g.Call.String())
 	assert.Equal(t, "voice 12 offer", g.Text(isup.Class)+" "+g.Text(isup.Number)+" "+g.Text(isup.Description))
-	left, err := g.Millis(isup.Left)
+	left, err := g.Millis(isup.TimeLeft)
 	require.NoError(t, err)
 	assert.InDelta(t, 3000, left.Milliseconds(), 2900)
 	g.Answer("there")
@@ -125,11 +125,11 @@
 		stage  agent.Stage
 		result policy.Result
 	}{
-		{isup.NoCircuit, "overload", agent.Spoken, policy.Full},
-		{isup.NoCircuit, "no_circuit", agent.Spoken, policy.NoLines},
-		{isup.UserBusy, "lines_busy", agent.Spoken, policy.Busy},
-		{isup.Unavailable, "", agent.Spoken, policy.Faulted},
-		{isup.TimerExpiry, "", agent.Spoken, policy.NotSent},
+		{isup.NoCircuit, "overload", agent.Responded, policy.Full},
+		{isup.NoCircuit, "no_circuit", agent.Responded, policy.NoLines},
+		{isup.UserBusy, "lines_busy", agent.Responded, policy.Busy},
+		{isup.Unavailable, "", agent.Responded, policy.Faulted},
+		{isup.TimerExpiry, "", agent.Responded, policy.NotSent},
 		{isup.TempFailure, "", agent.Written, policy.Cut},
 	} {
 		p.SetUp(attemptFor(one, 3*time.Second))
@@ -144,7 +144,7 @@
 			m = m.WithText(isup.Wait, text)
 		}
 		g.Conn.Send(m)
-		assert.Equal(t, want, c.ended(t, agent.Spoken, policy.Full).err.Wait)
+		assert.Equal(t, want, c.ended(t, agent.Responded, policy.Full).err.Wait)
 	}
 }
 
--- a/internal/servers/trunk/wanted_test.go
+++ b/internal/servers/trunk/wanted_test.go
@@ -55,7 +55,7 @@
 			standin.Next(t, conn.begun)
 			second := attemptFor(two, 3*time.Second)
 			var unwant func()
-			second.Wanted, unwant = context.WithCancel(context.Background())
+			second.Context, unwant = context.WithCancel(context.Background())
 			p.SetUp(second)
 			news(p, s.Addr, unwant)
 			close(conn.free)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -184,7 +184,7 @@
 
 // SetUp sends a set-up.
 func (c *Caller) SetUp(id isup.CallID, class string, left time.Duration, dest int) {
-	c.Send(isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, class).WithMillis(isup.Left, left).
+	c.Send(isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, class).WithMillis(isup.TimeLeft, left).
 		WithText(isup.Number, fmt.Sprint(id)).WithText(isup.Figures, fmt.Sprintf("dest:%d;width:1;via:-1", dest)).
 		WithText(isup.Description, "offer "+id.String()))
 }
--- a/isup/isup.go
+++ b/isup/isup.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// MaxMessage is the most that may follow the length field.
-const MaxMessage = 16 << 10
+// MaxMessageBytes is the most that may follow the length field.
+const MaxMessageBytes = 16 << 10
 
 // Type is a message's type.
 type Type byte
@@ -37,12 +37,12 @@
 // The parameters.
 const (
 	Class       Param = 16
-	Left        Param = 17 // milliseconds
+	TimeLeft    Param = 17 // milliseconds
 	Tenant      Param = 18
 	Retry       Param = 19 // `1` on a caller's retry, else absent
 	Number      Param = 20
 	Figures     Param = 21
-	StayAway    Param = 22 // milliseconds
+	RetryAfter  Param = 22 // milliseconds
 	Note        Param = 23
 	Wait        Param = 24 // milliseconds, at a full processor
 	Report      Param = 25
@@ -107,10 +107,10 @@
 	ErrParameter = errors.New("parameter runs over the end of the message")
 )
 
-const head = 9 // type and call
+const minBodyBytes = 9 // type and call
 
-// Head is how many bytes of a message tell its length, type and call.
-const Head = 2 + head
+// HeaderBytes is how many bytes of a message tell its length, type and call.
+const HeaderBytes = 2 + minBodyBytes
 
 // Read takes one message off r. The message owns its memory. io.EOF means that r
 // ended between two messages.
@@ -121,9 +121,9 @@
 	}
 	n := int(binary.BigEndian.Uint16(size[:]))
 	switch {
-	case n > MaxMessage:
+	case n > MaxMessageBytes:
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrOversized, n)
-	case n < head:
+	case n < minBodyBytes:
 		return Message{}, fmt.Errorf("%w: %d bytes", ErrShort, n)
 	}
 	body := make([]byte, n)
@@ -136,18 +136,18 @@
 	return parse(body)
 }
 
-// Half reads what has come of a message that stopped half-way: its type, and as much of its
+// ParsePartial reads what has come of a message that stopped half-way: its type, and as much of its
 // call's text form as there is. ok is false where not even the type has come.
-func Half(b []byte) (t Type, call string, ok bool) {
+func ParsePartial(b []byte) (t Type, call string, ok bool) {
 	if len(b) < 3 {
 		return 0, "", false
 	}
-	return Type(b[2]), hex.EncodeToString(b[3:min(len(b), Head)]), true
+	return Type(b[2]), hex.EncodeToString(b[3:min(len(b), HeaderBytes)]), true
 }
 
 func parse(body []byte) (Message, error) {
 	m := Message{Type: Type(body[0]), Call: CallID(binary.BigEndian.Uint64(body[1:]))}
-	for rest := body[head:]; len(rest) > 0; {
+	for rest := body[minBodyBytes:]; len(rest) > 0; {
 		if len(rest) < 3 || int(binary.BigEndian.Uint16(rest[1:])) > len(rest)-3 {
 			return m, ErrParameter
 		}
@@ -211,11 +211,11 @@
 
 // Append writes the message behind b, or tells that it is too large.
 func (m Message) Append(b []byte) ([]byte, error) {
-	n := head
+	n := minBodyBytes
 	for _, v := range m.Values {
 		n += 3 + len(v.Data)
 	}
-	if n > MaxMessage {
+	if n > MaxMessageBytes {
 		return b, fmt.Errorf("%w: %d bytes", ErrOversized, n)
 	}
 	b = binary.BigEndian.AppendUint16(b, uint16(n))
@@ -229,8 +229,8 @@
 	return b, nil
 }
 
-// Fields walks over a text such as "x0:12;x1:40". A part without a colon is malformed.
-func Fields(text string, each func(name, value string)) error {
+// EachField walks over a text such as "x0:12;x1:40". A part without a colon is malformed.
+func EachField(text string, each func(name, value string)) error {
 	for part := range strings.SplitSeq(text, ";") {
 		if part == "" {
 			continue
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// raw frames a body with its length.
-func raw(body string) string { return string([]byte{byte(len(body) >> 8), byte(len(body))}) + body }
+// frame frames a body with its length.
+func frame(body string) string { return string([]byte{byte(len(body) >> 8), byte(len(body))}) + body }
 
 const id = "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"
 
@@ -22,19 +22,19 @@
 		want     Message
 		err      error
 	}{
-		{"set-up", raw("\x01" + id + "\x10\x00\x05voice\x11\x00\x041500"), Message{Type: SetUp, Call: 0x7f3a9c21e0b4d655,
-			Values: []Value{{Class, []byte("voice")}, {Left, []byte("1500")}}}, nil},
-		{"no parameters", raw("\x06" + id), Message{Type: Progress, Call: 0x7f3a9c21e0b4d655}, nil},
-		{"unknown parameter kept", raw("\x06" + id + "\xee\x00\x00"), Message{Type: Progress, Call: 0x7f3a9c21e0b4d655,
+		{"set-up", frame("\x01" + id + "\x10\x00\x05voice\x11\x00\x041500"), Message{Type: SetUp, Call: 0x7f3a9c21e0b4d655,
+			Values: []Value{{Class, []byte("voice")}, {TimeLeft, []byte("1500")}}}, nil},
+		{"no parameters", frame("\x06" + id), Message{Type: Progress, Call: 0x7f3a9c21e0b4d655}, nil},
+		{"unknown parameter kept", frame("\x06" + id + "\xee\x00\x00"), Message{Type: Progress, Call: 0x7f3a9c21e0b4d655,
 			Values: []Value{{0xee, []byte{}}}}, nil},
 		{"nothing", "", Message{}, io.EOF},
 		{"half a length", "\x00", Message{}, io.ErrUnexpectedEOF},
-		{"cut off", raw("\x01" + id)[:6], Message{}, io.ErrUnexpectedEOF},
+		{"cut off", frame("\x01" + id)[:6], Message{}, io.ErrUnexpectedEOF},
 		{"length only", "\x00\x20", Message{}, io.ErrUnexpectedEOF},
-		{"too short for a call", raw("\x01\x02"), Message{}, ErrShort},
-		{"oversized", "\x40\x01" + strings.Repeat("x", MaxMessage+1), Message{}, ErrOversized},
-		{"parameter over the end", raw("\x01" + id + "\x10\x00\x06voice"), Message{}, ErrParameter},
-		{"half a parameter head", raw("\x01" + id + "\x10\x00"), Message{}, ErrParameter},
+		{"too short for a call", frame("\x01\x02"), Message{}, ErrShort},
+		{"oversized", "\x40\x01" + strings.Repeat("x", MaxMessageBytes+1), Message{}, ErrOversized},
+		{"parameter over the end", frame("\x01" + id + "\x10\x00\x06voice"), Message{}, ErrParameter},
+		{"half a parameter head", frame("\x01" + id + "\x10\x00"), Message{}, ErrParameter},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got, err := Read(strings.NewReader(tc.in))
@@ -52,21 +52,21 @@
 }
 
 func TestValues(t *testing.T) {
-	m := Message{Type: Release}.WithCause(NoCircuit).WithText(Note, "overload").WithMillis(StayAway, 1500*time.Millisecond)
+	m := Message{Type: Release}.WithCause(NoCircuit).WithText(Note, "overload").WithMillis(RetryAfter, 1500*time.Millisecond)
 	cause, err := m.Cause()
 	require.NoError(t, err)
 	assert.Equal(t, NoCircuit, cause)
 	assert.Equal(t, "overload", m.Text(Note))
-	d, err := m.Millis(StayAway)
+	d, err := m.Millis(RetryAfter)
 	require.NoError(t, err)
 	assert.Equal(t, 1500*time.Millisecond, d)
 	for _, bad := range []string{"", "-1", "soon", "99999999999"} {
-		_, err := Message{}.WithText(Left, bad).Millis(Left)
+		_, err := Message{}.WithText(TimeLeft, bad).Millis(TimeLeft)
 		assert.Error(t, err, "%q", bad)
 	}
 	_, err = Message{}.With(CauseCode, []byte{1, 2}).Cause()
 	assert.Error(t, err, "a cause is one byte")
-	_, err = Message{}.With(Description, make([]byte, MaxMessage)).Append(nil)
+	_, err = Message{}.With(Description, make([]byte, MaxMessageBytes)).Append(nil)
 	assert.ErrorIs(t, err, ErrOversized)
 }
 
@@ -80,10 +80,10 @@
 	}
 }
 
-func TestFields(t *testing.T) {
+func TestEachField(t *testing.T) {
 	for in, want := range map[string]string{"": "", "x0:12;x1:40": "x0=12 x1=40 ", "a:;;b:c:d": "a= b=c:d ", "a": "error"} {
 		got := ""
-		if err := Fields(in, func(n, v string) { got += n + "=" + v + " " }); err != nil {
+		if err := EachField(in, func(n, v string) { got += n + "=" + v + " " }); err != nil {
 			got = "error"
 		}
 		assert.Equal(t, want, got, "%q", in)
@@ -92,7 +92,7 @@
 
 // FuzzRead: no input may panic the reader, and what it takes it can write again.
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(raw("\x01" + id + "\x10\x00\x05voice")))
+	f.Add([]byte(frame("\x01" + id + "\x10\x00\x05voice")))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		m, err := Read(bytes.NewReader(in))
 		if err != nil {
@@ -104,12 +104,12 @@
 	})
 }
 
-// TestHalf: what stopped half-way tells its type and the part of its call that has come.
-func TestHalf(t *testing.T) {
+// TestParsePartial: what stopped half-way tells its type and the part of its call that has come.
+func TestParsePartial(t *testing.T) {
 	whole, err := Message{Type: Release, Call: 0x1122334455667788}.WithCause(Normal).Append(nil)
 	require.NoError(t, err)
 	for n, want := range map[int]string{0: "", 2: "", 3: "", 4: "11", 10: "11223344556677", 11: "1122334455667788", 15: "1122334455667788"} {
-		kind, call, ok := Half(whole[:n])
+		kind, call, ok := ParsePartial(whole[:n])
 		assert.Equal(t, n > 2, ok, n)
 		assert.Equal(t, want, call, n)
 		if ok {
