--- a/agent/agent.go
+++ b/agent/agent.go
@@ -70,7 +70,7 @@
 	cfg             Config
 	controller      *policy.Controller
 	backend         Backend
-	mailbox         *mailbox.Box[event]
+	mailbox         *mailbox.Queue[event]
 	calls           map[string]*call
 	classes         map[string]policy.Class
 	tenants         map[string]bool
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -123,24 +123,24 @@
 			return nil, fmt.Errorf("spread: %s: %w", cfg.Spread, err)
 		}
 	}
-	d.pool = trunk.NewPool(trunk.Config{Wrote: d.wrote(), ConnectTimeout: settings.Micros(cfg.info.Limits.ConnectTimeout),
-		Aim: cfg.info.ShortestAim(), Probes: cfg.info.Limits.Probes, Source: cfg.source, MaxConns: d.parts.beside, Part: d.parts.servers,
-		Name: cfg.Name, Placed: func(ids []string, placed bool) {
+	d.pool = trunk.NewPool(trunk.Config{OnSetUpSent: d.wrote(), ConnectTimeout: settings.Micros(cfg.info.Limits.ConnectTimeout),
+		Aim: cfg.info.ShortestAim(), Probes: cfg.info.Limits.Probes, Source: cfg.source, ExtraConnLimit: d.parts.beside, MaxConns: d.parts.servers,
+		Name: cfg.Name, OnSlotsChanged: func(ids []string, placed bool) {
 			d.core.WithSpread(func(_ policy.Time, s *spread.State) { s.SetConnected(ids, placed) })
 		}, Log: log}, d.core)
 	d.core.SetBackend(d.pool)
 	d.stayAway = min(busyAway, set.Limits.MaxRetryAfter)
 	d.front = isupfront.New(connmgr.Config{MaxPeers: d.parts.callers, RetryAfter: d.stayAway, Log: log}, d.core, d.ready)
 	d.second = second{d: d, front: callapi.New(connmgr.Config{RetryAfter: d.stayAway, Log: log}, d.core)}
-	d.follower = &bulletin.Follower{Core: d.core, Log: log, Patience: listPatience, Grace: listGrace,
-		Retry: listRetry, Source: cfg.source}
-	d.follower.Move(cfg.Bulletin)
+	d.follower = &bulletin.Follower{Core: d.core, Log: log, PollWait: listPatience, Grace: listGrace,
+		RetryDelay: listRetry, Source: cfg.source}
+	d.follower.SetAddress(cfg.Bulletin)
 	if cfg.State != "" { // what can't be read is told before anything is served
 		if _, err := plan.ReadState(cfg.State); err != nil {
 			return nil, err
 		}
 	}
-	if err := d.follower.Take(cfg.Known); err != nil {
+	if err := d.follower.Apply(cfg.Known); err != nil {
 		return nil, fmt.Errorf("configuration: field known.%w", err)
 	}
 	if err := d.takeRoutes(); err != nil { // a refused file at the start: the program exits
@@ -286,7 +286,7 @@
 	if err != nil {
 		return err
 	}
-	d.follower.Move(next.Bulletin)
+	d.follower.SetAddress(next.Bulletin)
 	d.log.Info("configuration taken", "bulletin", next.Bulletin)
 	if next.Name != d.cfg.Name || next.Listen != d.cfg.Listen || next.Limits != d.cfg.Limits ||
 		!bytes.Equal(next.Settings, d.cfg.Settings) {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -13,8 +13,8 @@
 
 	"github.com/alecthomas/kong"
 
+	"woodrouter/internal/loglimit"
 	"woodrouter/internal/plan"
-	"woodrouter/internal/quiet"
 )
 
 // Exit codes; plan tells of changes by one of its own.
@@ -89,7 +89,7 @@
 	if json {
 		handler = slog.NewJSONHandler(logs, options)
 	}
-	log := slog.New(quiet.New(handler, logMost))
+	log := slog.New(loglimit.New(handler, logMost))
 	Limit(cfg.Limits)
 	d, err := New(cfg, log)
 	if err != nil {
--- a/internal/front/connmgr/peer.go
+++ b/internal/front/connmgr/peer.go
@@ -37,7 +37,7 @@
 	manager  *Manager
 	conn     net.Conn
 	host     string
-	queue    *mailbox.Box[Message]
+	queue    *mailbox.Queue[Message]
 	readDone chan struct{} // closed once nothing more is read of it
 
 	opened      time.Time
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -179,16 +179,16 @@
 		}
 	}
 	if d.has(Discovery) {
-		f := &bulletin.Follower{Core: h, Log: h.log, Patience: listPatience, Grace: listGrace, Retry: listRetry,
+		f := &bulletin.Follower{Core: h, Log: h.log, PollWait: listPatience, Grace: listGrace, RetryDelay: listRetry,
 			Source: &net.TCPAddr{IP: net.ParseIP(d.Hosts[h.i])}}
-		f.Move(d.List)
+		f.SetAddress(d.List)
 		h.work.Go(func() { f.Run(ctx) })
 	} else if h.core != nil {
 		var b bulletin.Batch
 		if err := json.Unmarshal(d.Known, &b); err != nil {
 			return err
 		}
-		if err := (&bulletin.Follower{Core: h, Log: h.log}).Take(b); err != nil {
+		if err := (&bulletin.Follower{Core: h, Log: h.log}).Apply(b); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scalelab/scale_test.go
+++ b/internal/lab/scalelab/scale_test.go
@@ -56,9 +56,9 @@
 	var work sync.WaitGroup
 	cores := make([]heard, agents)
 	for i := range cores {
-		f := &bulletin.Follower{Core: &cores[i], Log: slog.New(slog.DiscardHandler), Patience: time.Hour, Grace: time.Hour,
-			Retry: time.Millisecond, Source: &net.TCPAddr{IP: net.ParseIP(octet.Host(10 + i))}}
-		f.Move(list.Addr)
+		f := &bulletin.Follower{Core: &cores[i], Log: slog.New(slog.DiscardHandler), PollWait: time.Hour, Grace: time.Hour,
+			RetryDelay: time.Millisecond, Source: &net.TCPAddr{IP: net.ParseIP(octet.Host(10 + i))}}
+		f.SetAddress(list.Addr)
 		work.Go(func() { f.Run(ctx) })
 	}
 	defer func() { cancel(); work.Wait(); list.Close() }()
--- a/internal/quiet/quiet_test.go
+++ b/internal/loglimit/quiet_test.go
@@ -1,4 +1,4 @@
-package quiet
+package loglimit
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFlood: a fault that comes thousands of times a second must not fill the log, nor
+// TestRateLimit: a fault that comes thousands of times a second must not fill the log, nor
 // hide other lines; the next line of its kind tells how many were left out.
-func TestFlood(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		log := slog.New(New(slog.NewTextHandler(&out, nil), 3))
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBox: the limit binds offers and holds admissions back, what must not be lost passes,
+// TestQueue: the limit binds offers and holds admissions back, what must not be lost passes,
 // and a closed box hands out what it has.
-func TestBox(t *testing.T) {
+func TestQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New[int](2)
 		require.True(t, b.Offer(1))
@@ -21,7 +21,7 @@
 		var admitted atomic.Int32
 		for _, n := range []int{4, 5} {
 			go func() {
-				if b.Admit(n) {
+				if b.Put(n) {
 					admitted.Add(1)
 				}
 			}()
@@ -47,9 +47,9 @@
 	})
 }
 
-// TestBoxPlaces: an actor that keeps up costs no memory an item, one that never quite does costs what
+// TestQueueCapacity: an actor that keeps up costs no memory an item, one that never quite does costs what
 // waits, and a box that was full keeps none of it.
-func TestBoxPlaces(t *testing.T) {
+func TestQueueCapacity(t *testing.T) {
 	b := New[int](1 << 20)
 	for _, waiting := range []int{0, 5} {
 		for n := range waiting {
@@ -63,7 +63,7 @@
 			}
 			next++
 		}), "%d wait", waiting)
-		assert.LessOrEqual(t, cap(b.items), keptMost)
+		assert.LessOrEqual(t, cap(b.items), maxKeptCapacity)
 	}
 	for n := range 1000 {
 		b.Post(n)
@@ -71,5 +71,5 @@
 	for b.waiting() > 0 {
 		b.Take()
 	}
-	assert.LessOrEqual(t, cap(b.items), keptMost)
+	assert.LessOrEqual(t, cap(b.items), maxKeptCapacity)
 }
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -7,27 +7,27 @@
 // An id is remembered for span at least, unless more than most come meanwhile: a flood of
 // ids must not take the memory.
 const (
-	span = time.Minute
-	most = 8192
+	retention        = time.Minute
+	maxPerGeneration = 8192
 )
 
 // Set holds ids in two generations. Its zero value is empty; it is for one goroutine.
 type Set[K comparable] struct {
-	now, before map[K]struct{}
-	since       time.Time
+	current, previous map[K]struct{}
+	currentSince      time.Time
 }
 
 // Add remembers an id.
 func (s *Set[K]) Add(id K) {
-	if s.now == nil || len(s.now) >= most || time.Since(s.since) > span {
-		s.before, s.now, s.since = s.now, map[K]struct{}{}, time.Now()
+	if s.current == nil || len(s.current) >= maxPerGeneration || time.Since(s.currentSince) > retention {
+		s.previous, s.current, s.currentSince = s.current, map[K]struct{}{}, time.Now()
 	}
-	s.now[id] = struct{}{}
+	s.current[id] = struct{}{}
 }
 
 // Has tells whether an id is remembered.
 func (s *Set[K]) Has(id K) bool {
-	_, now := s.now[id]
-	_, before := s.before[id]
+	_, now := s.current[id]
+	_, before := s.previous[id]
 	return now || before
 }
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -15,18 +15,18 @@
 		var s Set[int]
 		assert.False(t, s.Has(-1))
 		s.Add(-1)
-		time.Sleep(span)
+		time.Sleep(retention)
 		s.Add(-2)
 		assert.True(t, s.Has(-1))
-		time.Sleep(span + 1)
+		time.Sleep(retention + 1)
 		s.Add(-3)
-		time.Sleep(span + 1)
+		time.Sleep(retention + 1)
 		s.Add(-4)
 		assert.Equal(t, []bool{false, false, true, true}, []bool{s.Has(-1), s.Has(-2), s.Has(-3), s.Has(-4)})
-		for i := range 10 * most {
+		for i := range 10 * maxPerGeneration {
 			s.Add(i)
 		}
-		assert.LessOrEqual(t, len(s.now)+len(s.before), 2*most)
-		assert.True(t, s.Has(10*most-1))
+		assert.LessOrEqual(t, len(s.current)+len(s.previous), 2*maxPerGeneration)
+		assert.True(t, s.Has(10*maxPerGeneration-1))
 	})
 }
--- a/internal/servers/bulletin/bulletin.go
+++ b/internal/servers/bulletin/bulletin.go
@@ -50,13 +50,13 @@
 	SinceMs int64  `json:"since_ms"`
 }
 
-var states = map[string]policy.State{"up": policy.Up, "draining": policy.Draining, "removed": policy.Gone}
+var stateByStatus = map[string]policy.State{"up": policy.Up, "draining": policy.Draining, "removed": policy.Gone}
 
 // Servers words a roster for the core. A malformed entry is an error that names its field.
 func (r Roster) Servers() ([]agent.Server, error) {
 	var list []agent.Server
 	for i, e := range r.Endpoints {
-		state, ok := states[e.Status]
+		state, ok := stateByStatus[e.Status]
 		switch {
 		case e.Name == "":
 			return nil, fmt.Errorf("endpoints[%d].name: missing", i)
@@ -84,84 +84,84 @@
 
 // Follower is the actor of the list.
 type Follower struct {
-	Core     Core
-	Log      *slog.Logger
-	Patience time.Duration // how long the bulletin may hold an answer back
-	Grace    time.Duration // and how long the answer may take beside that
-	Retry    time.Duration // after a failed call
-	Source   net.Addr      // the bulletin is called from this address; nil: the system's choice
+	Core       Core
+	Log        *slog.Logger
+	PollWait   time.Duration // how long the bulletin may hold an answer back
+	Grace      time.Duration // and how long the answer may take beside that
+	RetryDelay time.Duration // after a failed call
+	Source     net.Addr      // the bulletin is called from this address; nil: the system's choice
 
-	mu      sync.Mutex
-	address string
-	cut     context.CancelFunc // ends the call under way
+	mu         sync.Mutex
+	address    string
+	cancelCall context.CancelFunc // ends the call under way
 
-	last  int64
-	gap   int64 // the event that did not come where it was due; 0: none is missed
-	conn  net.Conn
-	limit *io.LimitedReader // of one answer
-	in    *bufio.Reader
-	slow  int // answers in a row that were still coming when their time was up
+	lastEvent    int64
+	missingEvent int64 // the event that did not come where it was due; 0: none is missed
+	conn         net.Conn
+	answerLimit  *io.LimitedReader // of one answer
+	reader       *bufio.Reader
+	slowAnswers  int // answers in a row that were still coming when their time was up
 }
 
-// Move has the bulletin asked at another address from now on. The call under way is cut,
+// SetAddress has the bulletin asked at another address from now on. The call under way is cut,
 // as the former address may tell nothing more and yet hold its answer back.
-func (f *Follower) Move(address string) {
+func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == f.address {
 		return
 	}
 	f.address = address
-	if f.cut != nil {
-		f.cut()
+	if f.cancelCall != nil {
+		f.cancelCall()
 	}
 }
 
-// aim returns the address of the next call and the context that a Move ends.
-func (f *Follower) aim(ctx context.Context) (context.Context, context.CancelFunc, string) {
+// nextCall returns the address of the next call and the context that a Move ends.
+func (f *Follower) nextCall(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ctx, f.cut = context.WithCancel(ctx)
-	return ctx, f.cut, f.address
+	ctx, f.cancelCall = context.WithCancel(ctx)
+	return ctx, f.cancelCall, f.address
 }
 
 // maxAnswer bounds an answer of the bulletin, and maxHead what comes before its body.
 const (
-	maxAnswer = 4 << 20
-	maxHead   = 64 << 10
+	maxBodyBytes = 4 << 20
+	maxHeadBytes = 64 << 10
 )
 
-// maxSlow is how often the grace of an answer that keeps coming is doubled: a list that comes slowly
+// maxGraceDoublings is how often the grace of an answer that keeps coming is doubled: a list that comes slowly
 // is read in the end, and one that stops half-way costs no more than the protocol's 7 s.
-const maxSlow = 2
+const maxGraceDoublings = 2
 
-// maxWait is how many times Retry the wait between failed calls grows to; hundreds of processes ask
+// maxRetryFactor is how many times Retry the wait between failed calls grows to; hundreds of processes ask
 // one bulletin, and each draws its wait.
-const maxWait = 8
+const maxRetryFactor = 8
 
-// errGap tells that an answer left events out. They are asked for once more.
-var errGap = errors.New("events are missing in the answer")
+// errMissingEvents tells that an answer left events out. They are asked for once more.
+var errMissingEvents = errors.New("events are missing in the answer")
 
-// Take hands a batch's new events to the core, in order: all that was known at the start.
-func (f *Follower) Take(b Batch) error {
-	err := f.take(b.Items, true)
-	f.last = max(f.last, b.No)
+// Apply hands a batch's new events to the core, in order: all that was known at the start.
+func (f *Follower) Apply(b Batch) error {
+	err := f.applyEvents(b.Items, true)
+	f.lastEvent = max(f.lastEvent, b.No)
 	return err
 }
 
-// take hands new events to the core. An event that can't be read is passed over, as asking again
+// applyEvents hands new events to the core. An event that can't be read is passed over, as asking again
 // would bring the same one. At a gap it stops, unless gaps are allowed: an event that was left out
 // is never told again once a later one has been asked after.
-func (f *Follower) take(items []Item, gaps bool) error {
+func (f *Follower) applyEvents(items []Item, allowGaps bool) error {
 	var bad error
 	for _, item := range items {
-		if item.No <= f.last {
+		if item.No <= f.lastEvent {
 			continue
 		}
-		if item.No != f.last+1 && !gaps && (item.Roster == nil || !item.Roster.Snapshot) {
-			return errors.Join(bad, fmt.Errorf("%w: event %d follows %d", errGap, item.No, f.last))
+		if item.No != f.lastEvent+1 && !allowGaps && (item.Roster == nil || !item.Roster.Snapshot) {
+			return errors.Join(bad, fmt.Errorf("%w: event %d follows %d", errMissingEvents, item.No, f.lastEvent))
 		}
-		f.last = item.No
+		f.lastEvent = item.No
 		if item.Roster == nil {
 			continue
 		}
@@ -175,33 +175,33 @@
 	return bad
 }
 
-// answered takes an answer, and tells whether the next may be asked for at once: not where one came
+// handleAnswer takes an answer, and tells whether the next may be asked for at once: not where one came
 // before its time and told nothing, as a bulletin that answers so is not to be asked in a tight loop.
 // What was missing twice at the same place is not to be had.
-func (f *Follower) answered(b Batch, took time.Duration) (atOnce bool, err error) {
-	before := f.last
-	err = f.take(b.Items, f.gap == before+1)
-	if !errors.Is(err, errGap) && b.No > f.last { // it says that there are more than it told
-		err = errors.Join(err, fmt.Errorf("%w: %d is the last, %d was told", errGap, b.No, f.last))
-		if f.gap == before+1 && f.last == before {
-			f.last = b.No
+func (f *Follower) handleAnswer(b Batch, took time.Duration) (atOnce bool, err error) {
+	previous := f.lastEvent
+	err = f.applyEvents(b.Items, f.missingEvent == previous+1)
+	if !errors.Is(err, errMissingEvents) && b.No > f.lastEvent { // it says that there are more than it told
+		err = errors.Join(err, fmt.Errorf("%w: %d is the last, %d was told", errMissingEvents, b.No, f.lastEvent))
+		if f.missingEvent == previous+1 && f.lastEvent == previous {
+			f.lastEvent = b.No
 		}
 	}
-	again := errors.Is(err, errGap) && (f.gap != before+1 || f.last > before)
-	if f.gap = 0; again {
-		f.gap = f.last + 1
+	askAgain := errors.Is(err, errMissingEvents) && (f.missingEvent != previous+1 || f.lastEvent > previous)
+	if f.missingEvent = 0; askAgain {
+		f.missingEvent = f.lastEvent + 1
 	}
-	return f.last > before && f.gap == 0 || took >= f.Patience/2, err
+	return f.lastEvent > previous && f.missingEvent == 0 || took >= f.PollWait/2, err
 }
 
 // Run polls until ctx ends. A failure ends one call, never the actor.
 func (f *Follower) Run(ctx context.Context) {
-	defer f.drop()
+	defer f.closeConn()
 	failures, asked := 0, ""
 	for ctx.Err() == nil {
-		call, cut, address := f.aim(ctx)
+		call, cut, address := f.nextCall(ctx)
 		if address != asked {
-			f.drop()
+			f.closeConn()
 			failures, asked = 0, address
 		}
 		atOnce, err := f.poll(call, address)
@@ -211,7 +211,7 @@
 			}
 			failures = 0
 		} else {
-			f.drop()
+			f.closeConn()
 			if failures++; failures == 1 && call.Err() == nil {
 				f.Log.Warn("bulletin not reached", "address", address, "error", err)
 			}
@@ -225,14 +225,14 @@
 
 // pause waits before the next call, longer with each failure in a row; a new address is asked at once.
 func (f *Follower) pause(call context.Context, failures int) {
-	wait := f.Retry * time.Duration(min(1<<min(max(failures-1, 0), 10), maxWait))
+	wait := f.RetryDelay * time.Duration(min(1<<min(max(failures-1, 0), 10), maxRetryFactor))
 	select {
 	case <-call.Done():
 	case <-time.After(wait/2 + rand.N(wait+1)):
 	}
 }
 
-func (f *Follower) drop() {
+func (f *Follower) closeConn() {
 	if f.conn != nil {
 		f.conn.Close()
 	}
@@ -248,8 +248,8 @@
 	if err != nil {
 		return err
 	}
-	f.limit = &io.LimitedReader{R: conn}
-	f.conn, f.in = conn, bufio.NewReader(f.limit)
+	f.answerLimit = &io.LimitedReader{R: conn}
+	f.conn, f.reader = conn, bufio.NewReader(f.answerLimit)
 	return nil
 }
 
@@ -262,47 +262,47 @@
 		}
 	}()
 	began := time.Now()
-	until := began.Add(f.Patience + f.Grace<<f.slow)
-	if f.conn != nil && f.in.Buffered() > 0 { // more than was asked for: it would pass for the next answer
-		f.drop()
+	deadline := began.Add(f.PollWait + f.Grace<<f.slowAnswers)
+	if f.conn != nil && f.reader.Buffered() > 0 { // more than was asked for: it would pass for the next answer
+		f.closeConn()
 	}
 	if err := f.connect(ctx, address); err != nil {
 		return false, err
 	}
 	stop := context.AfterFunc(ctx, func(c net.Conn) func() { return func() { c.Close() } }(f.conn))
 	defer stop()
-	f.conn.SetDeadline(until)
-	f.limit.N = maxHead + maxAnswer
+	f.conn.SetDeadline(deadline)
+	f.answerLimit.N = maxHeadBytes + maxBodyBytes
 	if _, err = fmt.Fprintf(f.conn, "GET /bulletins?after=%d&patience=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-		f.last, f.Patience.Milliseconds(), address); err != nil {
+		f.lastEvent, f.PollWait.Milliseconds(), address); err != nil {
 		return false, err
 	}
-	b, ends, err := f.read()
+	b, closes, err := f.readAnswer()
 	switch {
 	case err == nil:
-		f.slow = 0
-	case errors.Is(err, os.ErrDeadlineExceeded) && f.limit.N < maxHead+maxAnswer: // some of it came
-		f.slow = min(f.slow+1, maxSlow)
+		f.slowAnswers = 0
+	case errors.Is(err, os.ErrDeadlineExceeded) && f.answerLimit.N < maxHeadBytes+maxBodyBytes: // some of it came
+		f.slowAnswers = min(f.slowAnswers+1, maxGraceDoublings)
 		return false, err
 	default:
 		return false, err
 	}
-	if ends {
-		f.drop()
+	if closes {
+		f.closeConn()
 	}
-	atOnce, err = f.answered(b, time.Since(began))
+	atOnce, err = f.handleAnswer(b, time.Since(began))
 	switch {
-	case errors.Is(err, errGap):
-		f.Log.Warn("bulletin left events out", "error", err, "asked_again", f.gap != 0)
+	case errors.Is(err, errMissingEvents):
+		f.Log.Warn("bulletin left events out", "error", err, "asked_again", f.missingEvent != 0)
 	case err != nil:
 		f.Log.Error("bulletin event passed over", "error", err)
 	}
 	return atOnce, nil
 }
 
-// read reads one answer, and tells whether its connection ends with it.
-func (f *Follower) read() (b Batch, ends bool, err error) {
-	resp, err := http.ReadResponse(f.in, nil)
+// readAnswer reads one answer, and tells whether its connection ends with it.
+func (f *Follower) readAnswer() (b Batch, closes bool, err error) {
+	resp, err := http.ReadResponse(f.reader, nil)
 	if err != nil {
 		return b, false, err
 	}
@@ -310,12 +310,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return b, false, fmt.Errorf("status %s", resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes+1))
 	if err != nil {
 		return b, false, err
 	}
-	if len(body) > maxAnswer {
-		return b, false, fmt.Errorf("answer over %d bytes", maxAnswer)
+	if len(body) > maxBodyBytes {
+		return b, false, fmt.Errorf("answer over %d bytes", maxBodyBytes)
 	}
 	return b, resp.Close, json.Unmarshal(body, &b)
 }
--- a/internal/servers/bulletin/bulletin_test.go
+++ b/internal/servers/bulletin/bulletin_test.go
@@ -17,11 +17,11 @@
 	"woodrouter/policy"
 )
 
-type core chan string
+type fakeCore chan string
 
-func (c core) Servers(list []agent.Server, whole bool) { c <- fmt.Sprint(whole, " ", list) }
+func (c fakeCore) Servers(list []agent.Server, whole bool) { c <- fmt.Sprint(whole, " ", list) }
 
-func TestServers(t *testing.T) {
+func TestRosterServers(t *testing.T) {
 	const entry = `"name":"s-1","address":"10.1.0.9:5070","zone":"east","new":1`
 	for _, tc := range []struct{ name, in, bad string }{
 		{"up", `{` + entry + `,"group":2,"status":"up","since_ms":1700000000123}`, ""},
@@ -48,11 +48,11 @@
 	}
 }
 
-func follow(t *testing.T, addr string) (core, *Follower) {
-	c := make(core, 100)
-	f := &Follower{Core: c, Log: slog.New(slog.DiscardHandler), Patience: 200 * time.Millisecond,
-		Grace: 300 * time.Millisecond, Retry: 10 * time.Millisecond}
-	f.Move(addr)
+func startFollower(t *testing.T, addr string) (fakeCore, *Follower) {
+	c := make(fakeCore, 100)
+	f := &Follower{Core: c, Log: slog.New(slog.DiscardHandler), PollWait: 200 * time.Millisecond,
+		Grace: 300 * time.Millisecond, RetryDelay: 10 * time.Millisecond}
+	f.SetAddress(addr)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { f.Run(ctx); close(done) }()
@@ -60,7 +60,7 @@
 	return c, f
 }
 
-func (c core) next(t *testing.T) string {
+func (c fakeCore) nextUpdate(t *testing.T) string {
 	t.Helper()
 	select {
 	case s := <-c:
@@ -71,15 +71,15 @@
 	}
 }
 
-// TestFollow: events come once and in order, over empty answers. One that can't be read
+// TestEventsInOrder: events come once and in order, over empty answers. One that can't be read
 // is passed over: it would come again for ever.
-func TestFollow(t *testing.T) {
+func TestEventsInOrder(t *testing.T) {
 	b := standin.NewBulletin(t, standin.Endpoint("a", "x:1", 0, "up"))
-	c, _ := follow(t, b.Addr)
-	assert.Contains(t, c.next(t), "true [{{a 0 0 0s} x:1 z}]")
+	c, _ := startFollower(t, b.Addr)
+	assert.Contains(t, c.nextUpdate(t), "true [{{a 0 0 0s} x:1 z}]")
 	b.Tell(false, standin.Endpoint("a", "x:1", 0, "odd"))
 	b.Tell(false, standin.Endpoint("a", "x:1", 0, "draining"))
-	assert.Contains(t, c.next(t), "false [{{a 0 1 0s} x:1 z}]")
+	assert.Contains(t, c.nextUpdate(t), "false [{{a 0 1 0s} x:1 z}]")
 	assert.Empty(t, c)
 }
 
@@ -103,35 +103,35 @@
 			conn.Close()
 		}
 	}()
-	c, _ := follow(t, ln.Addr().String())
-	assert.Contains(t, c.next(t), "[{{a -1 0 0s} x:1 }]")
+	c, _ := startFollower(t, ln.Addr().String())
+	assert.Contains(t, c.nextUpdate(t), "[{{a -1 0 0s} x:1 }]")
 }
 
-// TestMove: after a move the new address is asked at once for what follows the last event,
+// TestSetAddress: after a move the new address is asked at once for what follows the last event,
 // though the former one still holds its answer back. Waiting for it would leave the list
 // behind by all that it may take.
-func TestMove(t *testing.T) {
+func TestSetAddress(t *testing.T) {
 	entry := standin.Endpoint("a", "x:1", 0, "up")
 	old, next := standin.NewBulletin(t, entry), standin.NewBulletin(t, entry)
-	c := make(core, 100)
-	f := &Follower{Core: c, Log: slog.New(slog.DiscardHandler), Patience: time.Hour, Grace: time.Hour,
-		Retry: time.Hour}
-	f.Move(old.Addr)
+	c := make(fakeCore, 100)
+	f := &Follower{Core: c, Log: slog.New(slog.DiscardHandler), PollWait: time.Hour, Grace: time.Hour,
+		RetryDelay: time.Hour}
+	f.SetAddress(old.Addr)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { f.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	c.next(t)
+	c.nextUpdate(t)
 	require.Eventually(t, old.Taken, standin.Patience, time.Millisecond)
 	next.Tell(false, standin.Endpoint("a", "x:1", 0, "draining"))
-	f.Move(next.Addr)
-	assert.Contains(t, c.next(t), "false [{{a 0 1 0s} x:1 z}]", "the first event is not told again")
+	f.SetAddress(next.Addr)
+	assert.Contains(t, c.nextUpdate(t), "false [{{a 0 1 0s} x:1 z}]", "the first event is not told again")
 	assert.Empty(t, c)
 }
 
-// TestStopped: an answer that stops half-way is waited for no longer than the patience asked
+// TestTruncatedAnswer: an answer that stops half-way is waited for no longer than the patience asked
 // for and the grace; then the bulletin is asked again.
-func TestStopped(t *testing.T) {
+func TestTruncatedAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -148,7 +148,7 @@
 		}
 	}()
 	began := time.Now()
-	c, f := follow(t, ln.Addr().String())
-	assert.Contains(t, c.next(t), "[{{a -1 0 0s} x:1 }]")
-	assert.Less(t, time.Since(began), f.Patience+f.Grace+2*time.Second, "what it would have told counts as told by then")
+	c, f := startFollower(t, ln.Addr().String())
+	assert.Contains(t, c.nextUpdate(t), "[{{a -1 0 0s} x:1 }]")
+	assert.Less(t, time.Since(began), f.PollWait+f.Grace+2*time.Second, "what it would have told counts as told by then")
 }
--- a/internal/servers/trunk/doubt_test.go
+++ b/internal/servers/trunk/doubt_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDoubts guards the fleet against handshakes in vain: a wrong doubt has the next come later,
+// TestAdaptiveTimeout guards the fleet against handshakes in vain: a wrong doubt has the next come later,
 // up to the pace at which states are told; a right one brings it back to its earliest.
-func TestDoubts(t *testing.T) {
-	d := newDoubts()
-	assert.Equal(t, 400*ms, d.after(400*ms))
+func TestAdaptiveTimeout(t *testing.T) {
+	d := newAdaptiveTimeout()
+	assert.Equal(t, 400*ms, d.timeout(400*ms))
 	for range 10 {
-		d.wrong()
+		d.recordFalseAlarm()
 	}
-	assert.Equal(t, paceFirst+paceMargin, d.after(400*ms), "a state is due by then")
+	assert.Equal(t, initialStatePeriod+statePeriodMargin, d.timeout(400*ms), "a state is due by then")
 	for range 60 {
-		d.told(2 * time.Second)
+		d.observeStatePeriod(2 * time.Second)
 	}
-	d.told(time.Minute) // a connection that was cut off
-	assert.InDelta(t, 2*time.Second+paceMargin, d.after(400*ms), float64(20*ms))
+	d.observeStatePeriod(time.Minute) // a connection that was cut off
+	assert.InDelta(t, 2*time.Second+statePeriodMargin, d.timeout(400*ms), float64(20*ms))
 	for range 10 {
-		d.right()
+		d.recordStall()
 	}
-	assert.Equal(t, 400*ms, d.after(400*ms))
-	assert.Equal(t, 3*time.Second, d.after(3*time.Second), "never sooner than without it")
+	assert.Equal(t, 400*ms, d.timeout(400*ms))
+	assert.Equal(t, 3*time.Second, d.timeout(3*time.Second), "never sooner than without it")
 }
--- a/internal/servers/trunk/hear.go
+++ b/internal/servers/trunk/hear.go
@@ -12,41 +12,41 @@
 	"woodrouter/policy"
 )
 
-// hear handles one message of the server. One that can't be understood ends the connection.
-func (t *trunk) hear(l *link, m isup.Message) {
-	l.heard, l.spoke = time.Now(), true
-	if l.retired && !l.late { // it was slow, not deaf
-		l.late = true
-		t.cfg.doubts.wrong()
-	}
-	t.heard = l.heard
+// receive handles one message of the server. One that can't be understood ends the connection.
+func (sa *serverActor) receive(l *link, m isup.Message) {
+	l.lastReceived, l.received = time.Now(), true
+	if l.retired && !l.falseAlarm { // it was slow, not deaf
+		l.falseAlarm = true
+		sa.cfg.adaptive.recordFalseAlarm()
+	}
+	sa.lastReceived = l.lastReceived
 	report, err := parseReport(m)
 	if err == nil && report.WaitSeconds >= 0 {
-		t.queued, t.queuedAt = time.Duration(report.WaitSeconds*float64(time.Second)), l.heard
+		sa.statedWait, sa.statedWaitAt = time.Duration(report.WaitSeconds*float64(time.Second)), l.lastReceived
 	}
 	if err == nil {
-		err = t.take(l, m, report)
+		err = sa.handle(l, m, report)
 	}
 	if err != nil {
-		t.log.Warn("bad message from setup server", "type", m.Type, "call", m.Call, "error", err)
-		t.lost(l, err)
+		sa.log.Warn("bad message from setup server", "type", m.Type, "call", m.Call, "error", err)
+		sa.linkLost(l, err)
 	}
 }
 
-func (t *trunk) take(l *link, m isup.Message, report policy.Report) error {
+func (sa *serverActor) handle(l *link, m isup.Message, report policy.Report) error {
 	switch m.Type {
 	case isup.GroupState:
-		if !l.stated.IsZero() {
-			t.cfg.doubts.told(l.heard.Sub(l.stated))
+		if !l.lastGroupState.IsZero() {
+			sa.cfg.adaptive.observeStatePeriod(l.lastReceived.Sub(l.lastGroupState))
 		}
-		l.stated = l.heard
-		t.core.Reported(policy.ReportReceived{Server: t.server.ID, Result: policy.OK, Report: report})
+		l.lastGroupState = l.lastReceived
+		sa.core.Reported(policy.ReportReceived{Server: sa.server.ID, Result: policy.OK, Report: report})
 	case isup.TestResult:
-		return t.probed(m, report)
+		return sa.handleTestResult(m, report)
 	case isup.Answer:
-		t.answered(l, m)
+		sa.handleAnswer(l, m)
 	case isup.Release:
-		return t.released(m, report)
+		return sa.handleRelease(m, report)
 	case isup.Progress, isup.Released:
 	default:
 		return fmt.Errorf("message of type %d", m.Type)
@@ -54,137 +54,137 @@
 	return nil
 }
 
-// answered takes an answer. One for an attempt that is over is released at the server:
+// handleAnswer takes an answer. One for an attempt that is over is released at the server:
 // nobody else would. A second copy says nothing new, and a release for it would cut a call
 // that stands; nor is there anything to release of an id that was never sent there.
-func (t *trunk) answered(l *link, m isup.Message) {
-	a := t.open[m.Call]
+func (sa *serverActor) handleAnswer(l *link, m isup.Message) {
+	a := sa.open[m.Call]
 	switch {
-	case a == nil && t.over.Has(m.Call):
-		t.log.Info("late answer released", "call", m.Call)
-		t.release(l, m.Call)
+	case a == nil && sa.unconfirmed.Has(m.Call):
+		sa.log.Info("late answer released", "call", m.Call)
+		sa.sendRelease(l, m.Call)
 		return
 	case a == nil || a.stands:
-		t.log.Info("answer passed over", "call", m.Call, "stands", a != nil)
+		sa.log.Info("answer passed over", "call", m.Call, "stands", a != nil)
 		return
 	}
-	t.settled(a.link)
-	a.stands, a.since = true, time.Now()
-	t.delay += (a.since.Sub(a.sent) - t.delay) / 4
+	sa.setUpDone(a.link)
+	a.stands, a.stoodAt = true, time.Now()
+	sa.answerDelay += (a.stoodAt.Sub(a.sent) - sa.answerDelay) / 4
 	description, _ := m.Get(isup.Description)
-	t.core.Stands(m.Call.String(), a.n, description)
-	if l == t.link && l == a.link {
-		t.overtaken()
+	sa.core.Stands(m.Call.String(), a.number, description)
+	if l == sa.link && l == a.link {
+		sa.closeStalledLinks()
 	}
 }
 
-func (t *trunk) released(m isup.Message, report policy.Report) error {
+func (sa *serverActor) handleRelease(m isup.Message, report policy.Report) error {
 	cause, err := m.Cause()
 	if err != nil {
 		return err
 	}
-	a := t.open[m.Call]
+	a := sa.open[m.Call]
 	if a == nil { // the answer to a give-up, or the end of a call from before a restart
-		t.core.UnknownEnded(m.Call.String(), verdict(t.server.ID, cause, m.Text(isup.Note), true))
+		sa.core.UnknownEnded(m.Call.String(), releaseFailure(sa.server.ID, cause, m.Text(isup.Note), true))
 		return nil
 	}
-	f := verdict(t.server.ID, cause, m.Text(isup.Note), a.stands)
-	if f != nil && f.Result == policy.Full {
-		if f.Wait, err = statedWait(m); err != nil {
+	failure := releaseFailure(sa.server.ID, cause, m.Text(isup.Note), a.stands)
+	if failure != nil && failure.Result == policy.Full {
+		if failure.Wait, err = parseWait(m); err != nil {
 			return err
 		}
 	}
-	t.end(m.Call, a, f, report)
+	sa.endAttempt(m.Call, a, failure, report)
 	return nil
 }
 
-// statedWait is how long a full processor says that it keeps set-ups waiting; 0: it does not
+// parseWait is how long a full processor says that it keeps set-ups waiting; 0: it does not
 // say. The module bounds what it makes of it, as a wait may be longer than any call's deadline.
-func statedWait(m isup.Message) (time.Duration, error) {
+func parseWait(m isup.Message) (time.Duration, error) {
 	if _, ok := m.Get(isup.Wait); !ok {
 		return 0, nil
 	}
 	return m.Millis(isup.Wait)
 }
 
-// leastCall is how many hex digits must have come of a call's id to know it among those that
+// minIDPrefix is how many hex digits must have come of a call's id to know it among those that
 // stand at one server.
-const leastCall = 6
+const minIDPrefix = 6
 
-// cutOff takes what came of a message that its connection ended in the middle of. A release
+// endTruncatedRelease takes what came of a message that its connection ended in the middle of. A release
 // whose cause is missing still says that its call is over, and it may not be said again: the
 // server has written it. The call's caller is owed the end, and a release makes sure of it at
 // the server.
-func (t *trunk) cutOff(begun opening) {
+func (sa *serverActor) endTruncatedRelease(begun messageHead) {
 	kind, prefix, ok := isup.ParsePartial(begun)
-	if !ok || kind != isup.Release || len(prefix) < leastCall {
+	if !ok || kind != isup.Release || len(prefix) < minIDPrefix {
 		return
 	}
-	for id, a := range t.open {
+	for id, a := range sa.open {
 		if a.stands && strings.HasPrefix(id.String(), prefix) {
-			t.log.Info("release cut off half-way: call taken for over", "call", id)
-			t.release(t.link, id)
-			if t.open[id] == a {
-				t.end(id, a, failure(t.server.ID, agent.Stood, policy.Cut, errHalf), policy.EmptyReport())
+			sa.log.Info("release cut off half-way: call taken for over", "call", id)
+			sa.sendRelease(sa.link, id)
+			if sa.open[id] == a {
+				sa.endAttempt(id, a, newFailure(sa.server.ID, agent.Stood, policy.Cut, errTruncated), policy.EmptyReport())
 			}
 			return
 		}
 	}
 }
 
-// verdict words a release; nil: the call has come to its end.
-func verdict(server string, cause isup.Cause, note string, stood bool) *agent.Failure {
-	f := failure(server, agent.Responded, policy.Faulted, fmt.Errorf("released with cause %d %s", cause, note))
+// releaseFailure words a release; nil: the call has come to its end.
+func releaseFailure(server string, cause isup.Cause, note string, stood bool) *agent.Failure {
+	failure := newFailure(server, agent.Responded, policy.Faulted, fmt.Errorf("released with cause %d %s", cause, note))
 	if stood {
 		if cause == isup.Normal {
 			return nil
 		}
-		f.Stage, f.Result = agent.Stood, policy.Cut
-		return f
+		failure.Stage, failure.Result = agent.Stood, policy.Cut
+		return failure
 	}
 	switch cause {
 	case isup.NoCircuit:
-		f.Result = policy.Full
+		failure.Result = policy.Full
 		if note == "no_circuit" {
-			f.Result = policy.NoLines
+			failure.Result = policy.NoLines
 		}
 	case isup.UserBusy, isup.Unavailable:
 		if note == "lines_busy" {
-			f.Result = policy.Busy
+			failure.Result = policy.Busy
 		}
 	case isup.TimerExpiry:
-		f.Result = policy.NotSent
+		failure.Result = policy.NotSent
 	case isup.TempFailure:
-		f.Stage, f.Result = agent.Written, policy.Cut
+		failure.Stage, failure.Result = agent.Written, policy.Cut
 	case isup.Normal:
-		f.Result = policy.Cancelled
+		failure.Result = policy.Cancelled
 	}
-	return f
+	return failure
 }
 
 // probe asks for a report with a test of its own call id.
-func (t *trunk) probe() {
-	if kept := t.keeps(); t.link == nil || t.server.State != policy.Up || !kept {
+func (sa *serverActor) probe() {
+	if kept := sa.pinSlot(); sa.link == nil || sa.server.State != policy.Up || !kept {
 		result := policy.Unreachable
 		if !kept { // that it has no connection tells nothing of it
 			result = policy.NotSent
 		}
-		t.core.Reported(policy.ReportReceived{Server: t.server.ID, Result: result, Solicited: true, Report: policy.EmptyReport()})
-		t.connectAgain()
+		sa.core.Reported(policy.ReportReceived{Server: sa.server.ID, Result: result, Solicited: true, Report: policy.EmptyReport()})
+		sa.reconnect()
 		return
 	}
-	t.probeNo++
-	id := t.probeNo
-	t.probes[id] = time.Now()
-	time.AfterFunc(t.cfg.ProbeTimeout, func() {
-		t.post(func() { t.probeEnded(id, policy.TimedOut, policy.EmptyReport()) })
+	sa.lastProbe++
+	id := sa.lastProbe
+	sa.probes[id] = time.Now()
+	time.AfterFunc(sa.cfg.ProbeTimeout, func() {
+		sa.post(func() { sa.probeEnded(id, policy.TimedOut, policy.EmptyReport()) })
 	})
-	if _, err := t.say(t.link, isup.Message{Type: isup.Test, Call: id}.WithCause(isup.Passed)); err != nil {
-		t.lost(t.link, err)
+	if _, err := sa.send(sa.link, isup.Message{Type: isup.Test, Call: id}.WithCause(isup.Passed)); err != nil {
+		sa.linkLost(sa.link, err)
 	}
 }
 
-func (t *trunk) probed(m isup.Message, report policy.Report) error {
+func (sa *serverActor) handleTestResult(m isup.Message, report policy.Report) error {
 	cause, err := m.Cause()
 	if err != nil {
 		return err
@@ -193,21 +193,21 @@
 	if cause != isup.Passed {
 		result = policy.Faulted
 	}
-	took := time.Since(t.probes[m.Call])
-	t.probeEnded(m.Call, result, report)
-	if result == policy.OK && report.WaitSeconds >= 0 && max(took, time.Duration(report.WaitSeconds*float64(time.Second))) < t.cfg.Stall/2 {
-		t.overtaken()
+	took := time.Since(sa.probes[m.Call])
+	sa.probeEnded(m.Call, result, report)
+	if result == policy.OK && report.WaitSeconds >= 0 && max(took, time.Duration(report.WaitSeconds*float64(time.Second))) < sa.cfg.StallTimeout/2 {
+		sa.closeStalledLinks()
 	}
 	return nil
 }
 
-func (t *trunk) probeEnded(id isup.CallID, r policy.Result, report policy.Report) {
-	at, ok := t.probes[id]
+func (sa *serverActor) probeEnded(id isup.CallID, r policy.Result, report policy.Report) {
+	at, ok := sa.probes[id]
 	if !ok {
 		return
 	}
-	delete(t.probes, id)
-	t.core.Reported(policy.ReportReceived{Server: t.server.ID, Result: r, Delay: time.Since(at), Solicited: true,
+	delete(sa.probes, id)
+	sa.core.Reported(policy.ReportReceived{Server: sa.server.ID, Result: r, Delay: time.Since(at), Solicited: true,
 		Report: report})
 }
 
@@ -219,13 +219,13 @@
 	if !ok {
 		return r, nil
 	}
-	places := map[string]*float64{"x0": &r.FreeLines, "spare": &r.FreeLines, "x1": &r.TotalLines, "total": &r.TotalLines,
+	fields := map[string]*float64{"x0": &r.FreeLines, "spare": &r.FreeLines, "x1": &r.TotalLines, "total": &r.TotalLines,
 		"util": &r.Utilisation, "queue": &r.QueueLength, "qps": &r.AcceptRate, "allowed": &r.AcceptRate, "eps": &r.RefuseShare,
 		"cut_by": &r.RefuseShare, "latency_ms": &r.WaitSeconds}
 	var bad error
 	err := isup.EachField(string(text), func(name, value string) {
-		place := places[name]
-		if place == nil {
+		field := fields[name]
+		if field == nil {
 			return
 		}
 		x, err := strconv.ParseFloat(value, 64)
@@ -233,7 +233,7 @@
 			bad = fmt.Errorf("report field %s: %q is no number", name, value)
 			return
 		}
-		if *place = x; name == "latency_ms" {
+		if *field = x; name == "latency_ms" {
 			r.WaitSeconds /= 1000
 		}
 	})
--- a/internal/servers/trunk/looks_test.go
+++ b/internal/servers/trunk/looks_test.go
@@ -16,95 +16,95 @@
 	"woodrouter/policy"
 )
 
-// deaf is a connection on which all is written, nothing comes, and deadlines are counted.
-type deaf struct {
+// silentConn is a connection on which all is written, nothing comes, and deadlines are counted.
+type silentConn struct {
 	net.Conn
 	in        []byte
 	deadlines []time.Time
 }
 
-func (c *deaf) Write(b []byte) (int, error)      { return len(b), nil }
-func (c *deaf) SetWriteDeadline(time.Time) error { return nil }
-func (c *deaf) Close() error                     { return nil }
-func (c *deaf) SetReadDeadline(when time.Time) error {
+func (c *silentConn) Write(b []byte) (int, error)      { return len(b), nil }
+func (c *silentConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *silentConn) Close() error                     { return nil }
+func (c *silentConn) SetReadDeadline(when time.Time) error {
 	c.deadlines = append(c.deadlines, when)
 	return nil
 }
-func (c *deaf) Read(b []byte) (int, error) {
+func (c *silentConn) Read(b []byte) (int, error) {
 	n := copy(b, c.in)
 	c.in = c.in[n:]
 	return n, nil
 }
 
-// looked is a trunk with one connection and an actor that counts what it is woken for.
-type looked struct {
-	*trunk
-	l      *link
-	woken  int
-	dialed time.Duration // when another connection was tried first, since the start; 0: never
-	lost   time.Duration // when the connection was given up
+// checkedActor is a trunk with one connection and an actor that counts what it is woken for.
+type checkedActor struct {
+	*serverActor
+	firstLink   *link
+	wakeUps     int
+	dialedAfter time.Duration // when another connection was tried first, since the start; 0: never
+	lostAfter   time.Duration // when the connection was given up
 }
 
-func newLooked(cfg Config) *looked {
-	began, k := time.Now(), &looked{}
+func newCheckedActor(cfg Config) *checkedActor {
+	began, k := time.Now(), &checkedActor{}
 	cfg.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
-		k.dialed = time.Since(began)
+		k.dialedAfter = time.Since(began)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	cfg.ConnectTimeout = 100 * time.Hour
-	p := NewPool(cfg, &core{make(chan told, 1000), nil, nil})
-	k.trunk = newTrunk(p.cfg, p.core, listed("peer", policy.Up, time.Time{}), &p.sent, &p.conns, p.places)
-	k.l = &link{conn: &deaf{}, heard: time.Now(), read: make(chan struct{})}
-	k.link = k.l
+	p := NewPool(cfg, &fakeCore{make(chan coreEvent, 1000), nil, nil})
+	k.serverActor = newServerActor(p.cfg, p.core, listedServer("peer", policy.Up, time.Time{}), &p.sentCount, &p.connCount, p.slots)
+	k.firstLink = &link{conn: &silentConn{}, lastReceived: time.Now(), readDone: make(chan struct{})}
+	k.link = k.firstLink
 	go func() {
-		for f, ok := k.box.Take(); ok; f, ok = k.box.Take() {
-			k.woken++
+		for f, ok := k.mailbox.Take(); ok; f, ok = k.mailbox.Take() {
+			k.wakeUps++
 			f()
-			if k.link != k.l && k.lost == 0 {
-				k.lost = time.Since(began)
+			if k.link != k.firstLink && k.lostAfter == 0 {
+				k.lostAfter = time.Since(began)
 			}
 		}
 	}()
 	return k
 }
 
-// do has the actor do something, which is no wake-up of its own.
-func (k *looked) do(f func()) {
-	k.post(func() { k.woken--; f() })
+// runOnActor has the actor do something, which is no wake-up of its own.
+func (k *checkedActor) runOnActor(f func()) {
+	k.post(func() { k.wakeUps--; f() })
 	synctest.Wait()
 }
 
-func (k *looked) shut() {
-	k.do(func() { k.stopped = true; k.link = nil })
-	if k.cancel != nil {
-		k.cancel()
+func (k *checkedActor) shutDown() {
+	k.runOnActor(func() { k.stopped = true; k.link = nil })
+	if k.cancelDial != nil {
+		k.cancelDial()
 	}
-	k.box.Close()
+	k.mailbox.Close()
 	synctest.Wait()
 }
 
-// polled is the rule that looks keep to without saying when they come: one each quarter of Stall.
-func (k *looked) polled() {
+// pollChecks is the rule that looks keep to without saying when they come: one each quarter of Stall.
+func (k *checkedActor) pollChecks() {
 	k.post(func() {
-		if k.link != k.l {
+		if k.link != k.firstLink {
 			return
 		}
-		k.listen(k.l)
-		k.unset()
-		time.AfterFunc(k.cfg.Stall/4, k.polled)
+		k.checkLink(k.firstLink)
+		k.stopCheckTimer()
+		time.AfterFunc(k.cfg.StallTimeout/4, k.pollChecks)
 	})
 }
 
-// unset takes back the look that the trunk itself has set up.
-func (k *looked) unset() {
-	if k.l.timer != nil {
-		k.l.timer.Stop()
+// stopCheckTimer takes back the look that the trunk itself has set up.
+func (k *checkedActor) stopCheckTimer() {
+	if k.firstLink.checkTimer != nil {
+		k.firstLink.checkTimer.Stop()
 	}
 }
 
-// TestIdleLooks: what an idle agent is woken for, with figures of a deployment: an aim of 1.5 s.
-func TestIdleLooks(t *testing.T) {
+// TestIdleChecks: what an idle agent is woken for, with figures of a deployment: an aim of 1.5 s.
+func TestIdleChecks(t *testing.T) {
 	for name, tc := range map[string]struct {
 		out, stand  int
 		least, most int // in a minute, states coming once a second
@@ -115,72 +115,72 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newLooked(Config{})
-				defer k.shut()
-				k.do(func() {
-					k.listen(k.l)
-					k.l.spoke = true
+				k := newCheckedActor(Config{})
+				defer k.shutDown()
+				k.runOnActor(func() {
+					k.checkLink(k.firstLink)
+					k.firstLink.received = true
 					for i := range tc.out + tc.stand {
-						k.write(attemptFor(isup.CallID(i+1).String(), time.Hour))
+						k.writeSetUp(newAttempt(isup.CallID(i+1).String(), time.Hour))
 					}
 				})
-				k.do(func() {
+				k.runOnActor(func() {
 					for i := range tc.stand {
-						k.answered(k.l, isup.Message{Call: isup.CallID(i + 1)})
+						k.handleAnswer(k.firstLink, isup.Message{Call: isup.CallID(i + 1)})
 					}
 				})
 				time.Sleep(2 * time.Second) // what was due before they were known
-				k.do(func() { k.l.heard = time.Now(); k.woken = 0 })
+				k.runOnActor(func() { k.firstLink.lastReceived = time.Now(); k.wakeUps = 0 })
 				for range 60 {
 					time.Sleep(time.Second)
-					k.do(func() { k.l.heard = time.Now() })
+					k.runOnActor(func() { k.firstLink.lastReceived = time.Now() })
 				}
-				assert.True(t, tc.least <= k.woken && k.woken <= tc.most, "%d times", k.woken)
-				assert.Equal(t, tc.out > 0, k.dialed > 0, "states alone answer nothing")
+				assert.True(t, tc.least <= k.wakeUps && k.wakeUps <= tc.most, "%d times", k.wakeUps)
+				assert.Equal(t, tc.out > 0, k.dialedAfter > 0, "states alone answer nothing")
 			})
 		})
 	}
 }
 
-// TestLooksInTime: whatever is written, answered, ended and heard at whatever time, a silent connection
+// TestChecksOnTime: whatever is written, answered, ended and heard at whatever time, a silent connection
 // is doubted at the moment at which it would be if it were looked at each quarter of Stall.
-func TestLooksInTime(t *testing.T) {
+func TestChecksOnTime(t *testing.T) {
 	dials, losses := 0, 0
 	for seed := range uint64(200) {
 		play := func(poll bool) (dialed, lost time.Duration) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				k := newLooked(Config{Aim: time.Duration(400+rng.IntN(2000)) * ms, Silence: time.Duration(500+rng.IntN(4000)) * ms})
-				defer k.shut()
+				k := newCheckedActor(Config{Aim: time.Duration(400+rng.IntN(2000)) * ms, SilenceTimeout: time.Duration(500+rng.IntN(4000)) * ms})
+				defer k.shutDown()
 				if poll {
-					k.polled()
+					k.pollChecks()
 				} else {
-					k.do(func() { k.listen(k.l) })
+					k.runOnActor(func() { k.checkLink(k.firstLink) })
 				}
 				for n := range 40 {
 					time.Sleep(time.Duration(rng.ExpFloat64() * 300 * float64(ms)))
 					what, id := rng.IntN(8), isup.CallID(1+rng.IntN(n+1))
-					k.do(func() {
+					k.runOnActor(func() {
 						switch a := k.open[id]; {
-						case k.link != k.l:
+						case k.link != k.firstLink:
 						case what < 2:
-							k.write(attemptFor(isup.CallID(n+1).String(), time.Hour))
+							k.writeSetUp(newAttempt(isup.CallID(n+1).String(), time.Hour))
 						case what < 4:
-							k.l.heard, k.l.spoke = time.Now(), true
+							k.firstLink.lastReceived, k.firstLink.received = time.Now(), true
 						case a != nil && what < 6:
-							k.l.heard, k.l.spoke = time.Now(), true
-							k.answered(k.l, isup.Message{Call: id})
+							k.firstLink.lastReceived, k.firstLink.received = time.Now(), true
+							k.handleAnswer(k.firstLink, isup.Message{Call: id})
 						case a != nil:
-							k.trunk.end(id, a, nil, policy.EmptyReport())
+							k.serverActor.endAttempt(id, a, nil, policy.EmptyReport())
 						}
 						if poll {
-							k.unset()
+							k.stopCheckTimer()
 						}
 					})
 				}
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				dialed, lost = k.dialed, k.lost
+				dialed, lost = k.dialedAfter, k.lostAfter
 			})
 			return dialed, lost
 		}
@@ -198,13 +198,13 @@
 	assert.Greater(t, losses, 5)
 }
 
-// TestDeadlines: a message that is there whole has no deadline set for it; one that comes in parts has
+// TestReadDeadlines: a message that is there whole has no deadline set for it; one that comes in parts has
 // its own from its beginning, and what comes after it none.
-func TestDeadlines(t *testing.T) {
+func TestReadDeadlines(t *testing.T) {
 	m, err := isup.Message{Type: isup.Progress, Call: 1}.Append(nil)
 	require.NoError(t, err)
-	c := &deaf{}
-	s := &source{conn: c, step: time.Second}
+	c := &silentConn{}
+	s := &messageReader{conn: c, interval: time.Second}
 	var b [100]byte
 	read := func(in []byte) {
 		c.in = in
@@ -212,25 +212,25 @@
 		require.Equal(t, len(in), n)
 	}
 	for range 100 {
-		s.await()
+		s.endMessage()
 		read(bytes.Repeat(m, 3))
 		for range 3 {
-			s.begin()
-			s.await()
+			s.beginMessage()
+			s.endMessage()
 		}
 	}
 	require.Empty(t, c.deadlines)
 	began := time.Now()
 	for range 2 {
-		s.begin()
+		s.beginMessage()
 		for range 3 {
 			read(m[:5])
 		}
-		s.await()
+		s.endMessage()
 	}
 	require.Len(t, c.deadlines, 2, "one a message")
 	for _, d := range c.deadlines {
-		assert.WithinRange(t, d, began.Add(s.step), time.Now().Add(s.step))
+		assert.WithinRange(t, d, began.Add(s.interval), time.Now().Add(s.interval))
 	}
 	read(m)
 	read(m)
--- a/internal/servers/trunk/places.go
+++ b/internal/servers/trunk/places.go
@@ -12,214 +12,214 @@
 	"woodrouter/subset"
 )
 
-var errPlace = errors.New("all connections to setup servers are in use")
+var errNoSlot = errors.New("all connections to setup servers are in use")
 
-// yieldMost bounds how long a dial waits until the connection whose place it takes has ended. That
+// defaultYieldTimeout bounds how long a dial waits until the connection whose place it takes has ended. That
 // one is idle, and so is its actor.
-const yieldMost = 100 * time.Millisecond
+const defaultYieldTimeout = 100 * time.Millisecond
 
-// places is the pool's table of who may have a connection (package subset). The actors reach it past
+// slots is the pool's table of who may have a connection (package subset). The actors reach it past
 // their mailboxes: who takes a place has it at once, and whoever had it sees that at the last
 // moment before it sends anything.
-type places struct {
-	mu     sync.Mutex
-	table  *subset.Table
-	actors map[string]*trunk
-	linked int             // servers with a connection
-	away   map[string]bool // those that were told of as without a place
-	whole  bool            // the list fitted when last looked at
-	tell   func(ids []string, placed bool)
-	log    *slog.Logger
-	serves atomic.Bool
+type slots struct {
+	mu            sync.Mutex
+	table         *subset.Table
+	actors        map[string]*serverActor
+	linkedServers int             // servers with a connection
+	withoutSlot   map[string]bool // those that were told of as without a place
+	fits          bool            // the list fitted when last looked at
+	notify        func(ids []string, hasSlot bool)
+	log           *slog.Logger
+	serves        atomic.Bool
 }
 
-func newPlaces(cfg Config) *places {
-	p := &places{table: subset.New(cfg.Name, cfg.Part, cfg.Linger), actors: map[string]*trunk{}, away: map[string]bool{}, whole: true,
-		tell: cfg.Placed, log: cfg.Log}
-	p.serves.Store(true)
-	return p
+func newSlots(cfg Config) *slots {
+	s := &slots{table: subset.New(cfg.Name, cfg.MaxConns, cfg.Linger), actors: map[string]*serverActor{}, withoutSlot: map[string]bool{}, fits: true,
+		notify: cfg.OnSlotsChanged, log: cfg.Log}
+	s.serves.Store(true)
+	return s
 }
 
-// listed notes what the list says of a server.
-func (p *places) listed(t *trunk, id string, up bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.actors[id] = t
-	p.table.Update(id, up)
+// setListed notes what the list says of a server.
+func (s *slots) setListed(actor *serverActor, id string, up bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.actors[id] = actor
+	s.table.Update(id, up)
 }
 
-// forget drops a server whose actor has ended.
-func (p *places) forget(t *trunk, id string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.actors[id] != t {
+// remove drops a server whose actor has ended.
+func (s *slots) remove(actor *serverActor, id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.actors[id] != actor {
 		return
 	}
-	p.link(t, false)
-	p.table.Remove(id)
-	delete(p.actors, id)
-	delete(p.away, id)
+	s.countLink(actor, false)
+	s.table.Remove(id)
+	delete(s.actors, id)
+	delete(s.withoutSlot, id)
 }
 
-// settle finds the standing set anew, and has those connect that came into it, but for those in named.
-func (p *places) settle(named map[string]bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.resettle(named)
+// rebalance finds the standing set anew, and has those connect that came into it, but for those in named.
+func (s *slots) rebalance(except map[string]bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rebalanceLocked(except)
 }
 
-func (p *places) resettle(named map[string]bool) {
-	for _, id := range p.table.UpdatePreferred() {
-		if t := p.actors[id]; !named[id] {
-			t.post(t.connectSoon)
+func (s *slots) rebalanceLocked(except map[string]bool) {
+	for _, id := range s.table.UpdatePreferred() {
+		if actor := s.actors[id]; !except[id] {
+			actor.post(actor.connectSoon)
 		}
 	}
-	if fits := p.table.Fits(); fits != p.whole {
-		p.whole = fits
-		listed, most, _ := p.table.Stats()
+	if fits := s.table.Fits(); fits != s.fits {
+		s.fits = fits
+		listed, limit, _ := s.table.Stats()
 		if fits {
-			p.log.Info("connections to all setup servers again", "listed", listed, "most", most)
+			s.log.Info("connections to all setup servers again", "listed", listed, "most", limit)
 		} else {
-			p.log.Info("more setup servers than connections: connecting to a subset", "listed", listed, "most", most)
+			s.log.Info("more setup servers than connections: connecting to a subset", "listed", listed, "most", limit)
 		}
 	}
-	ids := make([]string, 0, len(p.actors))
-	for id := range p.actors {
+	ids := make([]string, 0, len(s.actors))
+	for id := range s.actors {
 		ids = append(ids, id)
 	}
-	p.changed(ids...)
-	p.look()
+	s.notifyChanges(ids...)
+	s.updateServes()
 }
 
-// look sets whether calls can be served. Where all have a place, a call finds out.
-func (p *places) look() { p.serves.Store(p.table.Fits() || p.linked > 0) }
+// updateServes sets whether calls can be served. Where all have a place, a call finds out.
+func (s *slots) updateServes() { s.serves.Store(s.table.Fits() || s.linkedServers > 0) }
 
-// changed tells of servers that have lost their place or come by one, where not all have one.
-func (p *places) changed(ids ...string) {
-	if p.tell == nil {
+// notifyChanges tells of servers that have lost their place or come by one, where not all have one.
+func (s *slots) notifyChanges(ids ...string) {
+	if s.notify == nil {
 		return
 	}
 	var lost, got []string
 	for _, id := range ids {
-		away := !p.table.Fits() && !p.table.HasSlot(id)
+		noSlot := !s.table.Fits() && !s.table.HasSlot(id)
 		switch {
-		case away && !p.away[id]:
-			lost, p.away[id] = append(lost, id), true
-		case !away && p.away[id]:
+		case noSlot && !s.withoutSlot[id]:
+			lost, s.withoutSlot[id] = append(lost, id), true
+		case !noSlot && s.withoutSlot[id]:
 			got = append(got, id)
-			delete(p.away, id)
+			delete(s.withoutSlot, id)
 		}
 	}
 	if len(lost) > 0 {
-		p.tell(lost, false)
+		s.notify(lost, false)
 	}
 	if len(got) > 0 {
-		p.tell(got, true)
+		s.notify(got, true)
 	}
 }
 
-// take gives a server a place, pinned until its actor's event is over. had: it had one. freed is
+// acquire gives a server a place, pinned until its actor's event is over. had: it had one. freed is
 // closed once the connection whose place it is has ended; nil: there is none.
-func (p *places) take(t *trunk, need subset.Purpose) (freed <-chan struct{}, had, ok bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	id := t.name
-	if p.actors[id] != t {
-		return nil, true, p.table.Fits()
+func (s *slots) acquire(actor *serverActor, purpose subset.Purpose) (freed <-chan struct{}, had, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	id := actor.serverID
+	if s.actors[id] != actor {
+		return nil, true, s.table.Fits()
 	}
-	had = p.table.HasSlot(id)
-	from, ok := p.table.Acquire(time.Now(), id, need)
-	if from != "" {
-		v := p.actors[from]
-		freed = v.reading
-		v.post(v.yield)
-		p.changed(from)
+	had = s.table.HasSlot(id)
+	evicted, ok := s.table.Acquire(time.Now(), id, purpose)
+	if evicted != "" {
+		victim := s.actors[evicted]
+		freed = victim.readDone
+		victim.post(victim.yieldSlot)
+		s.notifyChanges(evicted)
 	}
 	if ok && !had {
-		p.changed(id)
+		s.notifyChanges(id)
 	}
 	return freed, had, ok
 }
 
-// keep pins a server's place until its actor's event is over; false: it has none any more.
-func (p *places) keep(t *trunk) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.actors[t.name] != t || !p.table.HasSlot(t.name) {
-		return p.table.Fits()
+// pin pins a server's place until its actor's event is over; false: it has none any more.
+func (s *slots) pin(actor *serverActor) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.actors[actor.serverID] != actor || !s.table.HasSlot(actor.serverID) {
+		return s.table.Fits()
 	}
-	p.table.Acquire(time.Now(), t.name, subset.ForCall)
+	s.table.Acquire(time.Now(), actor.serverID, subset.ForCall)
 	return true
 }
 
-func (p *places) has(t *trunk) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.actors[t.name] == t && p.table.HasSlot(t.name)
+func (s *slots) has(actor *serverActor) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.actors[actor.serverID] == actor && s.table.HasSlot(actor.serverID)
 }
 
-// apart tells whether a server has no place as not every one may have one.
-func (p *places) apart(t *trunk) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.actors[t.name] == t && !p.table.Fits() && !p.table.HasSlot(t.name)
+// excluded tells whether a server has no place as not every one may have one.
+func (s *slots) excluded(actor *serverActor) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.actors[actor.serverID] == actor && !s.table.Fits() && !s.table.HasSlot(actor.serverID)
 }
 
-// wanted tells whether a server is to have a connection though no call is for it.
-func (p *places) wanted(t *trunk) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.actors[t.name] == t && p.table.IsPreferred(t.name)
+// preferred tells whether a server is to have a connection though no call is for it.
+func (s *slots) preferred(actor *serverActor) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.actors[actor.serverID] == actor && s.table.IsPreferred(actor.serverID)
 }
 
-// opened notes the connection that a server's place holds now.
-func (p *places) opened(t *trunk, l *link) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	t.reading = l.read
+// setLink notes the connection that a server's place holds now.
+func (s *slots) setLink(actor *serverActor, l *link) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	actor.readDone = l.readDone
 }
 
-// another tells whether a connection beside a server's first may be opened. most bounds all
+// addExtra tells whether a connection beside a server's first may be opened. most bounds all
 // connections where the list fits, as it did before there were places.
-func (p *places) another(t *trunk, now, most int64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if most > 0 && now > most && p.table.Fits() {
+func (s *slots) addExtra(actor *serverActor, now, limit int64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if limit > 0 && now > limit && s.table.Fits() {
 		return false
 	}
-	return p.actors[t.name] != t || p.table.AddExtra(t.name)
+	return s.actors[actor.serverID] != actor || s.table.AddExtra(actor.serverID)
 }
 
-func (p *places) link(t *trunk, up bool) {
-	if up != t.counted {
-		t.counted = up
+func (s *slots) countLink(actor *serverActor, up bool) {
+	if up != actor.countedLinked {
+		actor.countedLinked = up
 		if up {
-			p.linked++
+			s.linkedServers++
 		} else {
-			p.linked--
+			s.linkedServers--
 		}
-		p.look()
+		s.updateServes()
 	}
 }
 
-// used takes what a server's place is used for after an event of its actor.
-func (p *places) used(t *trunk, u usage) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	id := t.name
-	if p.actors[id] != t {
+// setUse takes what a server's place is used for after an event of its actor.
+func (s *slots) setUse(actor *serverActor, u usage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	id := actor.serverID
+	if s.actors[id] != actor {
 		return
 	}
-	p.table.SetUse(time.Now(), id, u.Use)
-	p.table.SetExtra(id, u.beside)
-	p.link(t, u.linked)
-	if !u.linked && !u.Pinned && (u.Failed || !p.table.IsPreferred(id)) {
-		p.table.Release(id)
-		p.changed(id)
+	s.table.SetUse(time.Now(), id, u.Use)
+	s.table.SetExtra(id, u.extraConns)
+	s.countLink(actor, u.linked)
+	if !u.linked && !u.Pinned && (u.Failed || !s.table.IsPreferred(id)) {
+		s.table.Release(id)
+		s.notifyChanges(id)
 	}
-	if u.Failed != t.failed {
-		if t.failed = u.Failed; !p.table.Fits() {
-			p.resettle(nil)
+	if u.Failed != actor.countedFailed {
+		if actor.countedFailed = u.Failed; !s.table.Fits() {
+			s.rebalanceLocked(nil)
 		}
 	}
 }
@@ -227,103 +227,103 @@
 // usage is what an actor tells of its place.
 type usage struct {
 	subset.Use
-	linked bool
-	beside int // connections beyond the first
+	linked     bool
+	extraConns int // connections beyond the first
 }
 
-// account tells the table what the event that is over has changed.
-func (t *trunk) account() {
-	u := usage{Use: subset.Use{Pinned: len(t.open)+len(t.unsaid)+len(t.waiting) > 0 || t.dialing || t.retired > 0, Failed: t.failures > 0},
-		linked: t.link != nil, beside: t.retired}
-	if t.dialing && t.link != nil {
-		u.beside++
+// reportUsage tells the table what the event that is over has changed.
+func (sa *serverActor) reportUsage() {
+	u := usage{Use: subset.Use{Pinned: len(sa.open)+len(sa.unsentReleases)+len(sa.waiting) > 0 || sa.dialing || sa.retiredLinks > 0, Failed: sa.dialFailures > 0},
+		linked: sa.link != nil, extraConns: sa.retiredLinks}
+	if sa.dialing && sa.link != nil {
+		u.extraConns++
 	}
-	if u != t.told || t.touched {
-		t.told, t.touched = u, false
-		t.places.used(t, u)
+	if u != sa.reportedUsage || sa.slotUsed {
+		sa.reportedUsage, sa.slotUsed = u, false
+		sa.slots.setUse(sa, u)
 	}
 }
 
-// placed has this server come by a place, or keep it; false: none is to be had.
-func (t *trunk) placed(need subset.Purpose) bool {
-	t.touched = true
-	freed, had, ok := t.places.take(t, need)
+// acquireSlot has this server come by a place, or keep it; false: none is to be had.
+func (sa *serverActor) acquireSlot(purpose subset.Purpose) bool {
+	sa.slotUsed = true
+	freed, had, ok := sa.slots.acquire(sa, purpose)
 	if ok && !had {
-		t.freed = freed
-		if l := t.link; l != nil { // its place was another's meanwhile
-			t.lost(l, errPlace)
+		sa.slotFreed = freed
+		if l := sa.link; l != nil { // its place was another's meanwhile
+			sa.linkLost(l, errNoSlot)
 		}
 	}
 	return ok
 }
 
-// keeps tells whether this server still has its place, at the last moment before something is
+// pinSlot tells whether this server still has its place, at the last moment before something is
 // written: what is written on a connection that is about to end may be lost with it.
-func (t *trunk) keeps() bool {
-	t.touched = true
-	return t.places.keep(t)
+func (sa *serverActor) pinSlot() bool {
+	sa.slotUsed = true
+	return sa.slots.pin(sa)
 }
 
-// yield ends the connection whose place another server has taken.
-func (t *trunk) yield() {
-	if t.link != nil && !t.places.has(t) {
-		t.lost(t.link, errPlace)
+// yieldSlot ends the connection whose place another server has taken.
+func (sa *serverActor) yieldSlot() {
+	if sa.link != nil && !sa.slots.has(sa) {
+		sa.linkLost(sa.link, errNoSlot)
 	}
 }
 
-// room tells whether a connection may be opened, and counts it.
-func (t *trunk) room() bool {
-	if t.link != nil { // a second connection is a luxury where descriptors are short
-		if n := t.conns.Add(1); t.places.another(t, n, int64(t.cfg.MaxConns)) {
+// reserveConn tells whether a connection may be opened, and counts it.
+func (sa *serverActor) reserveConn() bool {
+	if sa.link != nil { // a second connection is a luxury where descriptors are short
+		if n := sa.connCount.Add(1); sa.slots.addExtra(sa, n, int64(sa.cfg.ExtraConnLimit)) {
 			return true
 		}
-		t.conns.Add(-1)
+		sa.connCount.Add(-1)
 		return false
 	}
-	need := subset.Standby
-	if len(t.waiting)+len(t.unsaid)+len(t.open) > 0 {
-		need = subset.ForCall
+	purpose := subset.Standby
+	if len(sa.waiting)+len(sa.unsentReleases)+len(sa.open) > 0 {
+		purpose = subset.ForCall
 	}
-	if !t.placed(need) {
-		if need == subset.ForCall || t.places.wanted(t) {
-			t.rest()
+	if !sa.acquireSlot(purpose) {
+		if purpose == subset.ForCall || sa.slots.preferred(sa) {
+			sa.retryLater()
 		}
 		return false
 	}
-	t.conns.Add(1)
+	sa.connCount.Add(1)
 	return true
 }
 
-// rest has a connection that found no place tried again later.
-func (t *trunk) rest() {
-	if !t.resting {
-		t.resting = true
-		time.AfterFunc(t.cfg.Redial/2+t.cfg.draw(t.cfg.Redial), func() {
-			t.post(func() { t.resting = false; t.connectAgain() })
+// retryLater has a connection that found no place tried again later.
+func (sa *serverActor) retryLater() {
+	if !sa.retryScheduled {
+		sa.retryScheduled = true
+		time.AfterFunc(sa.cfg.RedialInterval/2+sa.cfg.randomDelay(sa.cfg.RedialInterval), func() {
+			sa.post(func() { sa.retryScheduled = false; sa.reconnect() })
 		})
 	}
 }
 
-// crowded ends the set-ups of a dial whose place did not come free.
-func (t *trunk) crowded() {
-	t.refuseWaiting(agent.Unwritten, policy.NotSent, errPlace)
-	if len(t.unsaid)+len(t.open) > 0 || t.places.wanted(t) {
-		t.rest()
+// slotTimedOut ends the set-ups of a dial whose place did not come free.
+func (sa *serverActor) slotTimedOut() {
+	sa.failWaiting(agent.Unwritten, policy.NotSent, errNoSlot)
+	if len(sa.unsentReleases)+len(sa.open) > 0 || sa.slots.preferred(sa) {
+		sa.retryLater()
 	}
 }
 
-// vacated waits until the connection has ended whose place is taken.
-func vacated(done, freed <-chan struct{}, most time.Duration) error {
+// awaitSlot waits until the connection has ended whose place is taken.
+func awaitSlot(done, freed <-chan struct{}, limit time.Duration) error {
 	if freed == nil {
 		return nil
 	}
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(limit)
+	defer timer.Stop()
 	select {
 	case <-freed:
 		return nil
-	case <-late.C:
+	case <-timer.C:
 	case <-done:
 	}
-	return errPlace
+	return errNoSlot
 }
--- a/internal/servers/trunk/places_test.go
+++ b/internal/servers/trunk/places_test.go
@@ -18,35 +18,35 @@
 	"woodrouter/policy"
 )
 
-// town is setup servers and a pool that counts its dials, its draws and its connections.
-type town struct {
+// cluster is setup servers and a pool that counts its dials, its draws and its connections.
+type cluster struct {
 	*Pool
-	core    *core
+	core    *fakeCore
 	servers map[string]*standin.Server
 	list    []agent.Server
 
-	mu     sync.Mutex
-	dials  map[string]int // by server
-	open   int
-	most   int
-	draws  atomic.Int32
-	placed map[string]bool // as told
+	mu           sync.Mutex
+	dials        map[string]int // by server
+	open         int
+	maxOpen      int
+	randomDelays atomic.Int32
+	hasSlot      map[string]bool // as told
 }
 
-// shutting is a connection that tells of its end.
-type shutting struct {
+// closeNotifyConn is a connection that tells of its end.
+type closeNotifyConn struct {
 	net.Conn
-	once sync.Once
-	end  func()
+	once    sync.Once
+	onClose func()
 }
 
-func (c *shutting) Close() error {
-	c.once.Do(c.end)
+func (c *closeNotifyConn) Close() error {
+	c.once.Do(c.onClose)
 	return c.Conn.Close()
 }
 
-func newTown(t *testing.T, servers int, cfg Config) *town {
-	w := &town{servers: map[string]*standin.Server{}, dials: map[string]int{}, placed: map[string]bool{}}
+func newCluster(t *testing.T, servers int, cfg Config) *cluster {
+	w := &cluster{servers: map[string]*standin.Server{}, dials: map[string]int{}, hasSlot: map[string]bool{}}
 	at := map[string]string{}
 	for i := range servers {
 		id, s := fmt.Sprint("s", i), standin.NewServer(t, "")
@@ -54,12 +54,12 @@
 		w.list = append(w.list, agent.Server{Server: policy.Server{ID: id, Pool: i}, Address: s.Addr})
 	}
 	cfg.Name = "a"
-	cfg.draw = func(d time.Duration) time.Duration { w.draws.Add(1); return jitter(d) }
-	cfg.Placed = func(ids []string, placed bool) {
+	cfg.randomDelay = func(d time.Duration) time.Duration { w.randomDelays.Add(1); return uniformDelay(d) }
+	cfg.OnSlotsChanged = func(ids []string, placed bool) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, id := range ids {
-			w.placed[id] = placed
+			w.hasSlot[id] = placed
 		}
 	}
 	cfg.Dial = func(_ context.Context, address string) (net.Conn, error) {
@@ -73,18 +73,18 @@
 			return nil, err
 		}
 		w.open++
-		w.most = max(w.most, w.open)
-		return &shutting{Conn: conn, end: func() {
+		w.maxOpen = max(w.maxOpen, w.open)
+		return &closeNotifyConn{Conn: conn, onClose: func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.open--
 		}}, nil
 	}
-	w.Pool, w.core = start(t, cfg)
+	w.Pool, w.core = startPool(t, cfg)
 	return w
 }
 
-func (w *town) dialled() (servers, dials int) {
+func (w *cluster) dialled() (servers, dials int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, n := range w.dials {
@@ -93,50 +93,50 @@
 	return servers, dials
 }
 
-// came waits until so many servers were dialled, and lists them apart from the others.
-func (w *town) came(t *testing.T, n int) (near, far []string) {
+// awaitDialled waits until so many servers were dialled, and lists them apart from the others.
+func (w *cluster) awaitDialled(t *testing.T, n int) (connected, others []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		servers, _ := w.dialled()
-		return servers >= n && int(w.conns.Load()) >= n
+		return servers >= n && int(w.connCount.Load()) >= n
 	}, standin.Patience, ms)
 	for _, s := range w.list {
 		w.mu.Lock()
 		dialled := w.dials[s.ID] > 0
 		w.mu.Unlock()
 		if dialled {
-			near = append(near, s.ID)
+			connected = append(connected, s.ID)
 		} else {
-			far = append(far, s.ID)
+			others = append(others, s.ID)
 		}
 	}
-	require.Len(t, near, n)
-	return near, far
+	require.Len(t, connected, n)
+	return connected, others
 }
 
 // call hands a set-up to a server.
-func (w *town) call(server string, n int) string {
-	a := attemptFor(isup.CallID(n).String(), 3*time.Second)
+func (w *cluster) call(server string, n int) string {
+	a := newAttempt(isup.CallID(n).String(), 3*time.Second)
 	a.Server = server
 	w.SetUp(a)
 	return a.ID
 }
 
-// stands has a call stand at a server.
-func (w *town) stands(t *testing.T, server string, n int) standin.Got {
+// standCall has a call stand at a server.
+func (w *cluster) standCall(t *testing.T, server string, n int) standin.Got {
 	t.Helper()
 	id := w.call(server, n)
 	g := w.servers[server].Await(t, isup.SetUp)
 	g.Answer("")
-	told := w.core.await(t)
+	told := w.core.awaitEvent(t)
 	require.True(t, told.stands && told.id == id, "%+v", told)
 	return g
 }
 
-// event has a server's actor do something and waits for it.
-func (w *town) event(server string, do func(a *trunk)) {
+// runOnActor has a server's actor do something and waits for it.
+func (w *cluster) runOnActor(server string, do func(a *serverActor)) {
 	done := make(chan struct{})
-	a := w.trunks[server]
+	a := w.actors[server]
 	a.post(func() { do(a); close(done) })
 	<-done
 	a.post(func() {})
@@ -145,30 +145,30 @@
 	<-synced
 }
 
-// TestFits: where the list fits in the agent's part there are the same dials and the same draws as
+// TestAllServersFit: where the list fits in the agent's part there are the same dials and the same draws as
 // without any bound: one of each for each server, none for the calls, one dial for a connection
 // that was lost, none for news that tell nothing new, and one beside a connection in doubt.
-func TestFits(t *testing.T) {
+func TestAllServersFit(t *testing.T) {
 	const servers = 60
 	for name, part := range map[string]int{"no bound": 0, "256 descriptors": 96, "all but full": 69} {
 		t.Run(name, func(t *testing.T) {
-			w := newTown(t, servers, Config{Part: part, MaxConns: 64, Jitter: 50 * ms, Silence: time.Hour, Stall: time.Second, Speak: standin.Patience})
+			w := newCluster(t, servers, Config{MaxConns: part, ExtraConnLimit: 64, Jitter: 50 * ms, SilenceTimeout: time.Hour, StallTimeout: time.Second, FirstMessageTimeout: standin.Patience})
 			w.Servers(w.list, true)
-			near, _ := w.came(t, servers)
+			near, _ := w.awaitDialled(t, servers)
 			counts := func(dials, draws int) {
 				t.Helper()
 				_, n := w.dialled()
-				assert.Equal(t, []int{dials, draws}, []int{n, int(w.draws.Load())}, "dials, draws")
+				assert.Equal(t, []int{dials, draws}, []int{n, int(w.randomDelays.Load())}, "dials, draws")
 			}
 			counts(servers, servers)
 			var first standin.Got
 			for i, id := range near {
-				if g := w.stands(t, id, i+1); i == 0 {
+				if g := w.standCall(t, id, i+1); i == 0 {
 					first = g
 				}
 			}
 			w.Servers(w.list, true)
-			w.event(near[0], func(*trunk) {})
+			w.runOnActor(near[0], func(*serverActor) {})
 			counts(servers, servers)
 			first.Conn.Close()
 			require.Eventually(t, func() bool { return len(w.servers[near[0]].Conns()) == 2 }, standin.Patience, ms)
@@ -176,7 +176,7 @@
 			w.call(near[1], 100) // unanswered: the connection is doubted
 			require.Eventually(t, func() bool { return len(w.servers[near[1]].Conns()) == 2 }, standin.Patience, ms)
 			counts(servers+2, servers)
-			assert.Empty(t, w.placed)
+			assert.Empty(t, w.hasSlot)
 			assert.True(t, w.Serves())
 		})
 	}
@@ -186,16 +186,16 @@
 // another has it dialled; where all places are in use it is told so at once, as not sent, and once
 // a call has ended its place is taken. There are never more connections than places.
 func TestSubset(t *testing.T) {
-	w := newTown(t, 20, Config{Part: 8, Jitter: ms, Linger: 50 * ms, Silence: time.Hour}) // seven places
+	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour}) // seven places
 	w.Servers(w.list, true)
-	near, far := w.came(t, 3)
+	near, far := w.awaitDialled(t, 3)
 	require.Eventually(t, w.Serves, standin.Patience, ms)
 	var last standin.Got
 	for i, id := range far[:4] {
-		last = w.stands(t, id, i+1)
+		last = w.standCall(t, id, i+1)
 	}
 	w.call(far[4], 10)
-	w.core.ended(t, agent.Unwritten, policy.NotSent)
+	w.core.awaitEnd(t, agent.Unwritten, policy.NotSent)
 	w.Probe(far[4])
 	for asked := false; !asked; {
 		p := standin.Next(t, w.core.reports)
@@ -204,34 +204,34 @@
 		}
 	}
 	for i, id := range near {
-		w.stands(t, id, 20+i) // who has a place serves
+		w.standCall(t, id, 20+i) // who has a place serves
 	}
 	last.Release(isup.Normal, "")
-	require.Nil(t, w.core.await(t).err, "the end of a call comes by its connection")
+	require.Nil(t, w.core.awaitEvent(t).err, "the end of a call comes by its connection")
 	time.Sleep(100 * ms) // a place is free to take once it was idle for a while
-	w.stands(t, far[4], 11)
+	w.standCall(t, far[4], 11)
 	servers, dials := w.dialled()
 	assert.Equal(t, []int{8, 8}, []int{servers, dials})
-	assert.Equal(t, 7, w.most, "connections")
+	assert.Equal(t, 7, w.maxOpen, "connections")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	assert.True(t, w.placed[far[4]])
-	assert.False(t, w.placed[far[3]])
-	assert.False(t, w.placed[far[5]])
+	assert.True(t, w.hasSlot[far[4]])
+	assert.False(t, w.hasSlot[far[3]])
+	assert.False(t, w.hasSlot[far[5]])
 }
 
-// crowd fills the places of a list that does not fit, all but one in use, and returns the idle
+// fillSlots fills the places of a list that does not fit, all but one in use, and returns the idle
 // server, whose actor can be held until free is called, and one without a place.
-func crowd(t *testing.T, cfg Config) (w *town, idle, other string, hold <-chan struct{}, free func()) {
-	cfg.Part, cfg.Jitter, cfg.Silence, cfg.Linger, cfg.ConnectTimeout = 8, ms, time.Hour, 50*ms, standin.Patience
-	w = newTown(t, 20, cfg)
+func fillSlots(t *testing.T, cfg Config) (w *cluster, idle, other string, hold <-chan struct{}, free func()) {
+	cfg.MaxConns, cfg.Jitter, cfg.SilenceTimeout, cfg.Linger, cfg.ConnectTimeout = 8, ms, time.Hour, 50*ms, standin.Patience
+	w = newCluster(t, 20, cfg)
 	w.Servers(w.list, true)
-	_, far := w.came(t, 3)
+	_, far := w.awaitDialled(t, 3)
 	for i, id := range far[:4] {
-		g := w.stands(t, id, i+1)
+		g := w.standCall(t, id, i+1)
 		if i == 3 {
 			g.Release(isup.Normal, "")
-			require.Nil(t, w.core.await(t).err)
+			require.Nil(t, w.core.awaitEvent(t).err)
 		}
 	}
 	time.Sleep(100 * ms)
@@ -241,72 +241,72 @@
 	return w, far[3], far[4], held, free
 }
 
-// TestTakenMeanwhile: a place is taken while a set-up for the one that had it waits in its mailbox.
+// TestSlotTakenWhileQueued: a place is taken while a set-up for the one that had it waits in its mailbox.
 // Nothing goes out on the connection that is about to end: the call is told to go elsewhere, and the
 // other's is served.
-func TestTakenMeanwhile(t *testing.T) {
-	w, idle, other, held, free := crowd(t, Config{yield: standin.Patience})
-	w.trunks[idle].post(func() { <-held })
+func TestSlotTakenWhileQueued(t *testing.T) {
+	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.Patience})
+	w.actors[idle].post(func() { <-held })
 	late := w.call(idle, 50)
 	w.call(other, 51)
-	require.Eventually(t, func() bool { return w.places.has(w.trunks[other]) }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.Patience, ms)
 	free()
-	end := w.core.ended(t, agent.Unwritten, policy.NotSent)
+	end := w.core.awaitEnd(t, agent.Unwritten, policy.NotSent)
 	assert.Equal(t, late, end.id)
 	w.servers[other].Await(t, isup.SetUp).Answer("")
-	require.True(t, w.core.await(t).stands)
+	require.True(t, w.core.awaitEvent(t).stands)
 	assert.Equal(t, 1, w.servers[idle].Seen(isup.SetUp, 0), "the one that it had before")
-	assert.LessOrEqual(t, w.most, 7)
+	assert.LessOrEqual(t, w.maxOpen, 7)
 }
 
-// TestPlaceNotYielded: where the one whose place is taken stands still, the call does not wait for it.
+// TestSlotNotYielded: where the one whose place is taken stands still, the call does not wait for it.
 // That no connection came tells nothing of the server that it was for.
-func TestPlaceNotYielded(t *testing.T) {
-	w, idle, other, held, free := crowd(t, Config{yield: 50 * ms})
-	w.trunks[idle].post(func() { <-held })
+func TestSlotNotYielded(t *testing.T) {
+	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: 50 * ms})
+	w.actors[idle].post(func() { <-held })
 	w.call(other, 51)
-	w.core.ended(t, agent.Unwritten, policy.NotSent)
+	w.core.awaitEnd(t, agent.Unwritten, policy.NotSent)
 	_, dials := w.dialled()
 	assert.Equal(t, 7, dials)
 	free()
 }
 
-// TestReleaseOfTaken: an answer that comes too late is released at its server even where its place was
+// TestReleaseAfterSlotTaken: an answer that comes too late is released at its server even where its place was
 // taken meanwhile: on a connection of its own, once there is a place, as what is written on one
 // that ends at once may be lost.
-func TestReleaseOfTaken(t *testing.T) {
-	w, idle, other, held, free := crowd(t, Config{yield: standin.Patience, Redial: 100 * ms})
+func TestReleaseAfterSlotTaken(t *testing.T) {
+	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.Patience, RedialInterval: 100 * ms})
 	id := w.call(idle, 50)
 	g := w.servers[idle].Await(t, isup.SetUp)
 	w.GiveUp(idle, id, 0, policy.TimedOut)
-	w.core.ended(t, agent.Written, policy.TimedOut)
+	w.core.awaitEnd(t, agent.Written, policy.TimedOut)
 	w.servers[idle].Await(t, isup.Release)
 	time.Sleep(100 * ms)
-	w.trunks[idle].post(func() { <-held })
+	w.actors[idle].post(func() { <-held })
 	g.Answer("late")
 	time.Sleep(300 * ms) // it waits in the mailbox
 	w.call(other, 51)
-	require.Eventually(t, func() bool { return w.places.has(w.trunks[other]) }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.Patience, ms)
 	free()
 	s := w.servers[other].Await(t, isup.SetUp)
 	s.Answer("")
-	require.True(t, w.core.await(t).stands)
+	require.True(t, w.core.awaitEvent(t).stands)
 	s.Release(isup.Normal, "")
-	require.Nil(t, w.core.await(t).err)
+	require.Nil(t, w.core.awaitEvent(t).err)
 	again := w.servers[idle].Await(t, isup.Release)
 	assert.Equal(t, id, again.Call.String())
 	assert.NotSame(t, g.Conn, again.Conn)
-	assert.LessOrEqual(t, w.most, 7)
+	assert.LessOrEqual(t, w.maxOpen, 7)
 }
 
-// TestStandIn: for a server of the standing set that dies the next in order is connected to, and the
+// TestDeadServerReplaced: for a server of the standing set that dies the next in order is connected to, and the
 // pool serves; it does not once no server is left.
-func TestStandIn(t *testing.T) {
-	w := newTown(t, 20, Config{Part: 8, Jitter: ms, Linger: 50 * ms, Silence: time.Hour, Redial: 20 * ms})
+func TestDeadServerReplaced(t *testing.T) {
+	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour, RedialInterval: 20 * ms})
 	w.Servers(w.list, true)
-	near, _ := w.came(t, 3)
+	near, _ := w.awaitDialled(t, 3)
 	w.servers[near[0]].Die()
-	require.Eventually(t, func() bool { n, _ := w.dialled(); return n == 4 && w.conns.Load() >= 3 }, standin.Patience, ms)
+	require.Eventually(t, func() bool { n, _ := w.dialled(); return n == 4 && w.connCount.Load() >= 3 }, standin.Patience, ms)
 	assert.True(t, w.Serves())
 	for _, s := range w.servers {
 		s.Die()
@@ -318,18 +318,18 @@
 	require.Eventually(t, w.Serves, standin.Patience, ms)
 }
 
-// TestGrowsAndFits: a list that grows past the places ends no connection and loses no call; one that
+// TestListGrowsAndShrinks: a list that grows past the places ends no connection and loses no call; one that
 // fits again has all connected to.
-func TestGrowsAndFits(t *testing.T) {
-	w := newTown(t, 20, Config{Part: 8, Jitter: ms, Linger: 50 * ms, Silence: time.Hour})
+func TestListGrowsAndShrinks(t *testing.T) {
+	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour})
 	w.Servers(w.list[:7], true)
-	near, _ := w.came(t, 7)
-	g := w.stands(t, near[0], 1)
+	near, _ := w.awaitDialled(t, 7)
+	g := w.standCall(t, near[0], 1)
 	w.Servers(w.list, true)
-	w.event(near[0], func(*trunk) {})
-	assert.EqualValues(t, 7, w.conns.Load())
+	w.runOnActor(near[0], func(*serverActor) {})
+	assert.EqualValues(t, 7, w.connCount.Load())
 	g.Release(isup.Normal, "")
-	require.Nil(t, w.core.await(t).err)
+	require.Nil(t, w.core.awaitEvent(t).err)
 	w.Servers(w.list[10:15], true) // others altogether
 	require.Eventually(t, func() bool {
 		w.Servers(nil, false) // those that have gone are forgotten with the next news
@@ -338,25 +338,25 @@
 				return false
 			}
 		}
-		return w.conns.Load() == 5
+		return w.connCount.Load() == 5
 	}, standin.Patience, 5*ms)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.list[10:15] {
-		if told, ok := w.placed[s.ID]; ok {
+		if told, ok := w.hasSlot[s.ID]; ok {
 			assert.True(t, told, s.ID)
 		}
 	}
 }
 
-// TestUnknownToAll: a release of a call from before the start reaches a server without a place as soon as
+// TestUnknownReleaseReachesAll: a release of a call from before the start reaches a server without a place as soon as
 // it has a connection.
-func TestUnknownToAll(t *testing.T) {
-	w := newTown(t, 20, Config{Part: 8, Jitter: ms, Silence: time.Hour})
+func TestUnknownReleaseReachesAll(t *testing.T) {
+	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, SilenceTimeout: time.Hour})
 	w.Servers(w.list, true)
-	near, far := w.came(t, 3)
-	w.ReleaseUnknown(two)
-	assert.Equal(t, two, w.servers[near[0]].Await(t, isup.Release).Call.String())
+	near, far := w.awaitDialled(t, 3)
+	w.ReleaseUnknown(secondCall)
+	assert.Equal(t, secondCall, w.servers[near[0]].Await(t, isup.Release).Call.String())
 	w.call(far[0], 1)
-	assert.Equal(t, two, w.servers[far[0]].Await(t, isup.Release).Call.String())
+	assert.Equal(t, secondCall, w.servers[far[0]].Await(t, isup.Release).Call.String())
 }
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -26,204 +26,204 @@
 
 // Ends of attempts that the agent itself brings about or infers.
 var (
-	errBusy    = errors.New("too much waits for this server")
-	errState   = errors.New("the server drains or is gone")
-	errLate    = errors.New("its time ran out before it was written")
-	errGivenUp = errors.New("given up")
-	errDied    = errors.New("the server has died")
-	errMute    = errors.New("connected, but the server says nothing")
-	errHalf    = errors.New("a message stopped half-way")
-	errStalled = errors.New("the server answers on another connection, and not on this one")
-	errStopped = errors.New("the agent stops")
+	errBusy           = errors.New("too much waits for this server")
+	errNotAccepting   = errors.New("the server drains or is gone")
+	errExpired        = errors.New("its time ran out before it was written")
+	errGivenUp        = errors.New("given up")
+	errDied           = errors.New("the server has died")
+	errNoFirstMessage = errors.New("connected, but the server says nothing")
+	errTruncated      = errors.New("a message stopped half-way")
+	errStalled        = errors.New("the server answers on another connection, and not on this one")
+	errStopped        = errors.New("the agent stops")
 )
 
-func failure(server string, stage agent.Stage, r policy.Result, err error) *agent.Failure {
+func newFailure(server string, stage agent.Stage, r policy.Result, err error) *agent.Failure {
 	return &agent.Failure{Stage: stage, Result: r, Server: server, Err: err}
 }
 
 // attempt is a set-up that is out, or a call that stands.
 type attempt struct {
-	n      int
-	sent   time.Time
-	link   *link
-	stands bool
-	since  time.Time // when it came to stand
+	number  int
+	sent    time.Time
+	link    *link
+	stands  bool
+	stoodAt time.Time // when it came to stand
 }
 
-// trunk is the actor of one setup server. Its fields belong to its goroutine.
-type trunk struct {
-	cfg      Config
-	core     Core
-	log      *slog.Logger
-	box      *mailbox.Box[func()]
-	name     string // of the server
-	server   agent.Server
-	link     *link // takes new set-ups; nil: no connection is up
-	dialing  bool
-	retired  int                // connections that wait for their last set-ups
-	tried    time.Time          // when a connection beside the one in use was tried last
-	cancel   context.CancelFunc // of the dial
-	waiting  []agent.Attempt    // for a connection
-	open     map[isup.CallID]*attempt
-	over     recent.Set[isup.CallID] // attempts that ended without a word of the server
-	unsaid   []isup.CallID           // releases for the next connection
-	unknown  []isup.CallID           // releases that may be this server's, for whenever there is one
-	heard    time.Time               // latest message on any connection
-	delay    time.Duration           // of answers lately
-	queued   time.Duration           // the processor's wait that the server stated last
-	queuedAt time.Time               // when it stated it
-	probes   map[isup.CallID]time.Time
-	probeNo  isup.CallID
-	failures int           // dials in a row that brought no connection
-	sent     *atomic.Int64 // the pool's count of set-ups written whole
-	conns    *atomic.Int64 // and of connections, those on their way included
-	places   *places
-	told     usage           // what the places know of this one
-	touched  bool            // they are to hear, whatever has changed
-	freed    <-chan struct{} // closed once the connection has ended whose place was taken
-	resting  bool            // a connection that found no place is tried again later
-	stopped  bool
-	finished atomic.Bool // gone, with nothing open: the pool may forget it
-	barred   atomic.Bool // the pool's latest news: it drains or is gone, whatever waits in the mailbox
-	buf      []byte
+// serverActor is the actor of one setup server. Its fields belong to its goroutine.
+type serverActor struct {
+	cfg             Config
+	core            Core
+	log             *slog.Logger
+	mailbox         *mailbox.Queue[func()]
+	serverID        string // of the server
+	server          agent.Server
+	link            *link // takes new set-ups; nil: no connection is up
+	dialing         bool
+	retiredLinks    int                // connections that wait for their last set-ups
+	lastExtraDial   time.Time          // when a connection beside the one in use was tried last
+	cancelDial      context.CancelFunc // of the dial
+	waiting         []agent.Attempt    // for a connection
+	open            map[isup.CallID]*attempt
+	unconfirmed     recent.Set[isup.CallID] // attempts that ended without a word of the server
+	unsentReleases  []isup.CallID           // releases for the next connection
+	unknownReleases []isup.CallID           // releases that may be this server's, for whenever there is one
+	lastReceived    time.Time               // latest message on any connection
+	answerDelay     time.Duration           // of answers lately
+	statedWait      time.Duration           // the processor's wait that the server stated last
+	statedWaitAt    time.Time               // when it stated it
+	probes          map[isup.CallID]time.Time
+	lastProbe       isup.CallID
+	dialFailures    int           // dials in a row that brought no connection
+	sentCount       *atomic.Int64 // the pool's count of set-ups written whole
+	connCount       *atomic.Int64 // and of connections, those on their way included
+	slots           *slots
+	reportedUsage   usage           // what the places know of this one
+	slotUsed        bool            // they are to hear, whatever has changed
+	slotFreed       <-chan struct{} // closed once the connection has ended whose place was taken
+	retryScheduled  bool            // a connection that found no place is tried again later
+	stopped         bool
+	finished        atomic.Bool // gone, with nothing open: the pool may forget it
+	notAccepting    atomic.Bool // the pool's latest news: it drains or is gone, whatever waits in the mailbox
+	buf             []byte
 
 	withdrawn bool // the pool's: it is gone by the latest news
 
-	reading         <-chan struct{} // the places': closed once the latest connection has ended
-	counted, failed bool            // the places': it has a connection; its latest did not come up
+	readDone                     <-chan struct{} // the places': closed once the latest connection has ended
+	countedLinked, countedFailed bool            // the places': it has a connection; its latest did not come up
 }
 
-func newTrunk(cfg Config, core Core, s agent.Server, sent, conns *atomic.Int64, places *places) *trunk {
-	return &trunk{conns: conns, places: places, cfg: cfg, core: core, log: cfg.Log.With("server", s.ID), name: s.ID, server: s, sent: sent,
-		box: mailbox.New[func()](cfg.Mailbox), open: map[isup.CallID]*attempt{},
-		probes: map[isup.CallID]time.Time{}, heard: time.Now()}
+func newServerActor(cfg Config, core Core, s agent.Server, sent, conns *atomic.Int64, connSlots *slots) *serverActor {
+	return &serverActor{connCount: conns, slots: connSlots, cfg: cfg, core: core, log: cfg.Log.With("server", s.ID), serverID: s.ID, server: s, sentCount: sent,
+		mailbox: mailbox.New[func()](cfg.Mailbox), open: map[isup.CallID]*attempt{},
+		probes: map[isup.CallID]time.Time{}, lastReceived: time.Now()}
 }
 
-func (t *trunk) post(f func()) { t.box.Post(f) }
+func (sa *serverActor) post(f func()) { sa.mailbox.Post(f) }
 
-func (t *trunk) run() {
+func (sa *serverActor) run() {
 	for {
-		f, ok := t.box.Take()
+		f, ok := sa.mailbox.Take()
 		if !ok {
 			return
 		}
-		t.guard(f)
-		t.account()
+		sa.runRecovered(f)
+		sa.reportUsage()
 	}
 }
 
-// guard keeps a panic to this server's connection: it ends, and what was out on it.
-func (t *trunk) guard(f func()) {
+// runRecovered keeps a panic to this server's connection: it ends, and what was out on it.
+func (sa *serverActor) runRecovered(f func()) {
 	defer func() {
 		if r := recover(); r != nil {
-			t.log.Error("panic at a setup server's connection", "reason", r, "stack", string(debug.Stack()))
-			if t.link != nil {
-				t.lost(t.link, fmt.Errorf("panic: %v", r))
+			sa.log.Error("panic at a setup server's connection", "reason", r, "stack", string(debug.Stack()))
+			if sa.link != nil {
+				sa.linkLost(sa.link, fmt.Errorf("panic: %v", r))
 			}
 		}
 	}()
 	f()
 }
 
-// listed takes news of the server. A new address means another connection; a later
+// update takes news of the server. A new address means another connection; a later
 // start, that all calls from before it were cut.
-func (t *trunk) listed(s agent.Server) {
-	old := t.server
-	t.server = s
-	t.finished.Store(false)
-	if s.Address != old.Address && t.link != nil {
-		t.log.Info("setup server has moved", "from", old.Address, "to", s.Address)
-		t.lost(t.link, errDied)
+func (sa *serverActor) update(s agent.Server) {
+	old := sa.server
+	sa.server = s
+	sa.finished.Store(false)
+	if s.Address != old.Address && sa.link != nil {
+		sa.log.Info("setup server has moved", "from", old.Address, "to", s.Address)
+		sa.linkLost(sa.link, errDied)
 	}
 	if s.ReadyAt > old.ReadyAt {
-		t.cutBefore(time.Unix(0, int64(s.ReadyAt)))
+		sa.cutCallsBefore(time.Unix(0, int64(s.ReadyAt)))
 	}
 	switch s.State {
 	case policy.Up:
-		t.connectSoon()
+		sa.connectSoon()
 	case policy.Draining:
-		t.refuseWaiting(agent.Unwritten, policy.NotSent, errState)
+		sa.failWaiting(agent.Unwritten, policy.NotSent, errNotAccepting)
 	case policy.Gone:
-		t.gone()
+		sa.withdraw()
 	}
 }
 
-// gone ends all that is left: a server is withdrawn once its process has stopped, and
+// withdraw ends all that is left: a server is withdrawn once its process has stopped, and
 // then nobody else will tell of the calls it held.
-func (t *trunk) gone() {
-	t.server.State = policy.Gone
-	t.refuseWaiting(agent.Unwritten, policy.NotSent, errState)
-	if t.link != nil {
-		t.lost(t.link, errDied)
-	}
-	t.cutBefore(time.Now())
-	t.unsaid = nil
-	t.finished.Store(true)
+func (sa *serverActor) withdraw() {
+	sa.server.State = policy.Gone
+	sa.failWaiting(agent.Unwritten, policy.NotSent, errNotAccepting)
+	if sa.link != nil {
+		sa.linkLost(sa.link, errDied)
+	}
+	sa.cutCallsBefore(time.Now())
+	sa.unsentReleases = nil
+	sa.finished.Store(true)
 }
 
-// cutBefore ends the calls that came to stand before a moment at which the server had
+// cutCallsBefore ends the calls that came to stand before a moment at which the server had
 // lost them all.
-func (t *trunk) cutBefore(when time.Time) {
-	for id, a := range t.open {
-		if a.stands && a.since.Before(when) {
-			t.end(id, a, failure(t.server.ID, agent.Stood, policy.Cut, errDied), policy.EmptyReport())
+func (sa *serverActor) cutCallsBefore(when time.Time) {
+	for id, a := range sa.open {
+		if a.stands && a.stoodAt.Before(when) {
+			sa.endAttempt(id, a, newFailure(sa.server.ID, agent.Stood, policy.Cut, errDied), policy.EmptyReport())
 		}
 	}
 }
 
-func (t *trunk) end(id isup.CallID, a *attempt, err *agent.Failure, r policy.Report) {
-	delete(t.open, id)
+func (sa *serverActor) endAttempt(id isup.CallID, a *attempt, err *agent.Failure, r policy.Report) {
+	delete(sa.open, id)
 	if err != nil && err.Stage == agent.Written {
-		t.over.Add(id)
+		sa.unconfirmed.Add(id)
 	}
 	if !a.stands {
-		t.settled(a.link)
+		sa.setUpDone(a.link)
 	}
-	t.core.Ended(id.String(), a.n, err, r)
+	sa.core.Ended(id.String(), a.number, err, r)
 }
 
-func (t *trunk) setUp(a agent.Attempt) {
-	open := t.server.State == policy.Up && !t.stopped
-	if open && !t.placed(subset.ForCall) { // told at once: another server may have one
-		t.core.Ended(a.ID, a.Index, failure(t.server.ID, agent.Unwritten, policy.NotSent, errPlace), policy.EmptyReport())
+func (sa *serverActor) setUp(a agent.Attempt) {
+	open := sa.server.State == policy.Up && !sa.stopped
+	if open && !sa.acquireSlot(subset.ForCall) { // told at once: another server may have one
+		sa.core.Ended(a.ID, a.Index, newFailure(sa.server.ID, agent.Unwritten, policy.NotSent, errNoSlot), policy.EmptyReport())
 		return
 	}
-	if t.link == nil && open {
-		t.waiting = append(t.waiting, a)
+	if sa.link == nil && open {
+		sa.waiting = append(sa.waiting, a)
 		// Each wait has its own limit: the dial under way may be older than this set-up.
-		time.AfterFunc(t.cfg.ConnectTimeout, func() { t.post(func() { t.tired(a.ID, a.Index) }) })
-		t.connect()
+		time.AfterFunc(sa.cfg.ConnectTimeout, func() { sa.post(func() { sa.connectTimedOut(a.ID, a.Index) }) })
+		sa.connect()
 		return
 	}
-	t.write(a)
+	sa.writeSetUp(a)
 }
 
-// write sends a set-up. It looks once more, as a dial, a full mailbox or a write that was stuck
+// writeSetUp sends a set-up. It looks once more, as a dial, a full mailbox or a write that was stuck
 // may have outlasted the news of a drain, the deadline or the caller. What it looks at is set by
 // whoever knows first, past this actor's mailbox: a message there may wait behind the set-up.
-func (t *trunk) write(a agent.Attempt) {
+func (sa *serverActor) writeSetUp(a agent.Attempt) {
 	left := time.Until(a.Deadline)
 	unwritten := func(r policy.Result, err error) {
-		t.core.Ended(a.ID, a.Index, failure(t.server.ID, agent.Unwritten, r, err), policy.EmptyReport())
+		sa.core.Ended(a.ID, a.Index, newFailure(sa.server.ID, agent.Unwritten, r, err), policy.EmptyReport())
 	}
 	id, err := isup.ParseCallID(a.ID)
 	switch {
 	case err != nil:
 		unwritten(policy.NotSent, err)
 		return
-	case t.stopped:
+	case sa.stopped:
 		unwritten(policy.NotSent, errStopped)
 		return
-	case t.server.State != policy.Up || t.barred.Load():
-		unwritten(policy.NotSent, errState)
+	case sa.server.State != policy.Up || sa.notAccepting.Load():
+		unwritten(policy.NotSent, errNotAccepting)
 		return
 	case a.CancelCause() != nil:
 		unwritten(policy.NotSent, errGivenUp)
 		return
 	case left < time.Millisecond:
-		unwritten(policy.NotSent, errLate)
+		unwritten(policy.NotSent, errExpired)
 		return
-	case t.open[id] != nil:
+	case sa.open[id] != nil:
 		unwritten(policy.NotSent, agent.ErrDuplicate)
 		return
 	}
@@ -235,329 +235,329 @@
 	if a.Description != nil {
 		m = m.With(isup.Description, a.Description)
 	}
-	link := t.link
-	n, err := t.say(link, m)
+	link := sa.link
+	n, err := sa.send(link, m)
 	if err != nil && n <= 0 {
 		unwritten(policy.NotSent, err)
 	} else { // a part of it may have been enough: its end comes with the connection's
-		t.open[id] = &attempt{n: a.Index, sent: time.Now(), link: link}
-		if link.out++; link.out == 1 {
-			link.since = time.Now()
+		sa.open[id] = &attempt{number: a.Index, sent: time.Now(), link: link}
+		if link.unanswered++; link.unanswered == 1 {
+			link.unansweredSince = time.Now()
 		}
-		t.watch(link)
+		sa.scheduleCheck(link)
 	}
 	if err == nil {
-		t.sent.Add(1)
-		if t.cfg.Wrote != nil {
-			t.cfg.Wrote(a.Class, t.server.Zone)
+		sa.sentCount.Add(1)
+		if sa.cfg.OnSetUpSent != nil {
+			sa.cfg.OnSetUpSent(a.Class, sa.server.Zone)
 		}
 	}
 	if err != nil && n >= 0 {
-		t.lost(link, err)
+		sa.linkLost(link, err)
 	}
 }
 
-// say writes a message and tells how many bytes left; -1: it can't be written at all.
-func (t *trunk) say(l *link, m isup.Message) (int, error) {
-	b, err := m.Append(t.buf[:0])
+// send writes a message and tells how many bytes left; -1: it can't be written at all.
+func (sa *serverActor) send(l *link, m isup.Message) (int, error) {
+	b, err := m.Append(sa.buf[:0])
 	if err != nil {
 		return -1, err
 	}
-	t.buf, t.touched = b, true
-	l.conn.SetWriteDeadline(time.Now().Add(t.cfg.WriteTimeout))
+	sa.buf, sa.slotUsed = b, true
+	l.conn.SetWriteDeadline(time.Now().Add(sa.cfg.WriteTimeout))
 	return l.conn.Write(b)
 }
 
 // giveUp ends an attempt that is out, waits, or stands. The end is told only once the
 // give-up is written: from then on the call may count the time until it goes out again.
-func (t *trunk) giveUp(callID string, n int, why policy.Result) {
-	if t.dequeue(callID, n) {
-		t.core.Ended(callID, n, failure(t.server.ID, agent.Unwritten, why, errGivenUp), policy.EmptyReport())
+func (sa *serverActor) giveUp(callID string, number int, why policy.Result) {
+	if sa.dequeue(callID, number) {
+		sa.core.Ended(callID, number, newFailure(sa.server.ID, agent.Unwritten, why, errGivenUp), policy.EmptyReport())
 		return
 	}
 	id, err := isup.ParseCallID(callID)
-	a := t.open[id]
-	if err != nil || a == nil || a.n != n { // it has ended meanwhile, and that was told
+	a := sa.open[id]
+	if err != nil || a == nil || a.number != number { // it has ended meanwhile, and that was told
 		return
 	}
 	stage, on := agent.Written, a.link // a set-up is given up where it was sent
 	if a.stands {
-		stage, on = agent.Stood, t.link
+		stage, on = agent.Stood, sa.link
 	}
-	t.release(on, id)
-	if t.open[id] == a {
-		t.end(id, a, failure(t.server.ID, stage, why, errGivenUp), policy.EmptyReport())
+	sa.sendRelease(on, id)
+	if sa.open[id] == a {
+		sa.endAttempt(id, a, newFailure(sa.server.ID, stage, why, errGivenUp), policy.EmptyReport())
 	}
 }
 
-// release writes a release, or keeps it for the next connection: no connection owns a
+// sendRelease writes a release, or keeps it for the next connection: no connection owns a
 // call that stands.
-func (t *trunk) release(on *link, id isup.CallID) {
-	if on == nil || !t.keeps() {
-		t.unsaid = append(t.unsaid, id)
-		t.connect()
+func (sa *serverActor) sendRelease(on *link, id isup.CallID) {
+	if on == nil || !sa.pinSlot() {
+		sa.unsentReleases = append(sa.unsentReleases, id)
+		sa.connect()
 		return
 	}
-	if _, err := t.say(on, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.Normal)); err != nil {
-		t.unsaid = append(t.unsaid, id)
-		t.lost(on, err)
+	if _, err := sa.send(on, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.Normal)); err != nil {
+		sa.unsentReleases = append(sa.unsentReleases, id)
+		sa.linkLost(on, err)
 	}
 }
 
 // connectSoon has a connection ready before long. A fleet hears of a new server, and comes back from
 // a restart, at one moment: each process draws when it dials. A set-up does not wait for that.
-func (t *trunk) connectSoon() {
-	if t.link == nil && !t.dialing && t.failures == 0 {
-		time.AfterFunc(t.cfg.draw(t.cfg.Jitter), func() { t.post(t.connectAgain) })
+func (sa *serverActor) connectSoon() {
+	if sa.link == nil && !sa.dialing && sa.dialFailures == 0 {
+		time.AfterFunc(sa.cfg.randomDelay(sa.cfg.Jitter), func() { sa.post(sa.reconnect) })
 	}
 }
 
-// jitter is a time of up to d.
-func jitter(d time.Duration) time.Duration { return rand.N(max(d, 1)) }
+// uniformDelay is a time of up to d.
+func uniformDelay(d time.Duration) time.Duration { return rand.N(max(d, 1)) }
 
 // connect dials unless a connection is up or on its way.
-func (t *trunk) connect() {
-	if t.link == nil {
-		t.dial()
+func (sa *serverActor) connect() {
+	if sa.link == nil {
+		sa.dial()
 	}
 }
 
-func (t *trunk) dial() {
-	if t.dialing || t.stopped || t.server.State == policy.Gone {
+func (sa *serverActor) dial() {
+	if sa.dialing || sa.stopped || sa.server.State == policy.Gone {
 		return
 	}
-	if !t.room() {
+	if !sa.reserveConn() {
 		return
 	}
-	t.dialing = true
-	freed := t.freed
-	t.freed = nil
-	ctx, cancel := context.WithTimeout(context.Background(), t.cfg.ConnectTimeout)
-	t.cancel = cancel
-	address := t.server.Address
+	sa.dialing = true
+	freed := sa.slotFreed
+	sa.slotFreed = nil
+	ctx, cancel := context.WithTimeout(context.Background(), sa.cfg.ConnectTimeout)
+	sa.cancelDial = cancel
+	address := sa.server.Address
 	go func() {
 		defer cancel()
 		var conn net.Conn
-		err := vacated(ctx.Done(), freed, t.cfg.yield)
+		err := awaitSlot(ctx.Done(), freed, sa.cfg.yieldTimeout)
 		if err == nil {
-			conn, err = t.cfg.Dial(ctx, address)
+			conn, err = sa.cfg.Dial(ctx, address)
 		}
 		if conn != nil {
-			conn = &counted{Conn: conn, of: t.conns}
+			conn = &countedConn{Conn: conn, count: sa.connCount}
 		} else {
-			t.conns.Add(-1)
+			sa.connCount.Add(-1)
 		}
-		if !t.box.Post(func() { t.dialled(address, conn, err) }) && conn != nil {
+		if !sa.mailbox.Post(func() { sa.dialDone(address, conn, err) }) && conn != nil {
 			conn.Close()
 		}
 	}()
 }
 
-func (t *trunk) dialled(address string, conn net.Conn, err error) {
-	t.dialing = false
-	if errors.Is(err, errPlace) {
-		t.crowded()
+func (sa *serverActor) dialDone(address string, conn net.Conn, err error) {
+	sa.dialing = false
+	if errors.Is(err, errNoSlot) {
+		sa.slotTimedOut()
 		return
 	}
-	if err == nil && (t.stopped || t.server.State == policy.Gone || address != t.server.Address) {
+	if err == nil && (sa.stopped || sa.server.State == policy.Gone || address != sa.server.Address) {
 		conn.Close()
-		err = errState
+		err = errNotAccepting
 	}
 	if err != nil {
-		t.unreached(err)
+		sa.dialFailed(err)
 		return
 	}
-	if t.failures > 0 {
-		t.log.Info("setup server reached again", "after", t.failures)
+	if sa.dialFailures > 0 {
+		sa.log.Info("setup server reached again", "after", sa.dialFailures)
 	}
-	t.failures = 0
-	l := &link{conn: conn, heard: time.Now(), read: make(chan struct{})}
-	if old := t.link; old != nil {
-		old.retired, old.left = true, time.Now()
-		if t.retired++; old.out == 0 {
-			t.linger(old)
+	sa.dialFailures = 0
+	l := &link{conn: conn, lastReceived: time.Now(), readDone: make(chan struct{})}
+	if old := sa.link; old != nil {
+		old.retired, old.retiredAt = true, time.Now()
+		if sa.retiredLinks++; old.unanswered == 0 {
+			sa.linger(old)
 		}
 	}
-	t.link = l
-	t.places.opened(t, l)
-	go t.read(l)
-	if t.retired > 0 && t.cfg.Probes {
-		t.probe()
+	sa.link = l
+	sa.slots.setLink(sa, l)
+	go sa.readLoop(l)
+	if sa.retiredLinks > 0 && sa.cfg.Probes {
+		sa.probe()
 	}
-	t.listen(l)
-	unsaid, waiting := t.unsaid, t.waiting
-	t.unsaid, t.waiting = nil, nil
-	unsaid, t.unknown = append(unsaid, t.unknown...), nil
-	for _, id := range unsaid {
-		t.release(t.link, id)
+	sa.checkLink(l)
+	unsent, waiting := sa.unsentReleases, sa.waiting
+	sa.unsentReleases, sa.waiting = nil, nil
+	unsent, sa.unknownReleases = append(unsent, sa.unknownReleases...), nil
+	for _, id := range unsent {
+		sa.sendRelease(sa.link, id)
 	}
 	for _, a := range waiting {
-		t.setUp(a)
+		sa.setUp(a)
 	}
 }
 
-// unreached handles a dial that brought nothing. A refused connection proves that nobody
+// dialFailed handles a dial that brought nothing. A refused connection proves that nobody
 // listens; silence proves that the machine is gone only when it has lasted.
-func (t *trunk) unreached(err error) {
+func (sa *serverActor) dialFailed(err error) {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
-	if refused && t.link != nil {
+	if refused && sa.link != nil {
 		// The machine answers and has not reset the connection there is: the process lives and
 		// listens no more, as one that drains does. Its calls stand.
-		t.link.heard, t.heard = time.Now(), time.Now()
+		sa.link.lastReceived, sa.lastReceived = time.Now(), time.Now()
 		return
 	}
-	if t.failures++; t.failures == 1 {
-		t.log.Warn("setup server not reached", "address", t.server.Address, "error", err)
+	if sa.dialFailures++; sa.dialFailures == 1 {
+		sa.log.Warn("setup server not reached", "address", sa.server.Address, "error", err)
 	}
-	t.refuseWaiting(agent.Unconnected, policy.Unreachable, err)
-	if t.link != nil { // it was silent, and this dial was to tell why
-		t.cfg.doubts.right()
-		t.lost(t.link, err)
+	sa.failWaiting(agent.Unconnected, policy.Unreachable, err)
+	if sa.link != nil { // it was silent, and this dial was to tell why
+		sa.cfg.adaptive.recordStall()
+		sa.linkLost(sa.link, err)
 	}
 	switch {
 	case refused:
-		time.AfterFunc(t.cfg.CutGrace, func() { t.post(t.died) })
-	case time.Since(t.heard) > t.cfg.Silence:
-		t.died()
+		time.AfterFunc(sa.cfg.CutGrace, func() { sa.post(sa.serverDied) })
+	case time.Since(sa.lastReceived) > sa.cfg.SilenceTimeout:
+		sa.serverDied()
 	}
-	time.AfterFunc(t.cfg.Redial/2+t.cfg.draw(t.cfg.Redial), func() { t.post(t.connectAgain) })
+	time.AfterFunc(sa.cfg.RedialInterval/2+sa.cfg.randomDelay(sa.cfg.RedialInterval), func() { sa.post(sa.reconnect) })
 }
 
-// died ends the calls of a process that is taken for dead, unless it was reached meanwhile.
-func (t *trunk) died() {
-	if t.link == nil {
-		t.cutBefore(time.Now())
-		t.unsaid = nil
+// serverDied ends the calls of a process that is taken for dead, unless it was reached meanwhile.
+func (sa *serverActor) serverDied() {
+	if sa.link == nil {
+		sa.cutCallsBefore(time.Now())
+		sa.unsentReleases = nil
 	}
 }
 
-// connectAgain keeps a connection ready, and looks for calls whose server fell silent.
-func (t *trunk) connectAgain() {
-	if t.server.State == policy.Up || len(t.open) > 0 || len(t.unsaid) > 0 {
-		t.connect()
+// reconnect keeps a connection ready, and looks for calls whose server fell silent.
+func (sa *serverActor) reconnect() {
+	if sa.server.State == policy.Up || len(sa.open) > 0 || len(sa.unsentReleases) > 0 {
+		sa.connect()
 	}
 }
 
-func (t *trunk) refuseWaiting(stage agent.Stage, r policy.Result, err error) {
-	waiting := t.waiting
-	t.waiting = nil
+func (sa *serverActor) failWaiting(stage agent.Stage, r policy.Result, err error) {
+	waiting := sa.waiting
+	sa.waiting = nil
 	for _, a := range waiting {
-		t.core.Ended(a.ID, a.Index, failure(t.server.ID, stage, r, err), policy.EmptyReport())
+		sa.core.Ended(a.ID, a.Index, newFailure(sa.server.ID, stage, r, err), policy.EmptyReport())
 	}
 }
 
-// tired ends a set-up whose connection did not come up in time.
-func (t *trunk) tired(id string, n int) {
-	if t.dequeue(id, n) {
-		t.core.Ended(id, n, failure(t.server.ID, agent.Unconnected, policy.Unreachable,
+// connectTimedOut ends a set-up whose connection did not come up in time.
+func (sa *serverActor) connectTimedOut(id string, number int) {
+	if sa.dequeue(id, number) {
+		sa.core.Ended(id, number, newFailure(sa.server.ID, agent.Unconnected, policy.Unreachable,
 			context.DeadlineExceeded), policy.EmptyReport())
 	}
 }
 
 // dequeue takes a set-up out of those that wait for a connection, if it is there.
-func (t *trunk) dequeue(id string, n int) bool {
-	i := slices.IndexFunc(t.waiting, func(w agent.Attempt) bool { return w.ID == id && w.Index == n })
+func (sa *serverActor) dequeue(id string, number int) bool {
+	i := slices.IndexFunc(sa.waiting, func(w agent.Attempt) bool { return w.ID == id && w.Index == number })
 	if i >= 0 {
-		t.waiting = slices.Delete(t.waiting, i, i+1)
+		sa.waiting = slices.Delete(sa.waiting, i, i+1)
 	}
 	return i >= 0
 }
 
-// read is the connection's goroutine.
-func (t *trunk) read(l *link) {
-	defer close(l.read)
-	var latest opening
-	err := t.readAll(l, &latest)
+// readLoop is the connection's goroutine.
+func (sa *serverActor) readLoop(l *link) {
+	defer close(l.readDone)
+	var latest messageHead
+	err := sa.readMessages(l, &latest)
 	if err == errStopped {
 		io.Copy(io.Discard, l.conn)
 		return
 	}
-	t.post(func() {
-		t.lost(l, err)
-		t.cutOff(latest)
+	sa.post(func() {
+		sa.linkLost(l, err)
+		sa.endTruncatedRelease(latest)
 	})
 }
 
-// readAll reads messages until the connection ends; latest is how the last one began.
-func (t *trunk) readAll(l *link, latest *opening) (err error) {
+// readMessages reads messages until the connection ends; latest is how the last one began.
+func (sa *serverActor) readMessages(l *link, latest *messageHead) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("panic: %v", r)
 		}
 	}()
-	from := &source{conn: l.conn, step: t.cfg.MessageTime}
-	in := bufio.NewReaderSize(from, 4<<10)
+	messages := &messageReader{conn: l.conn, interval: sa.cfg.MessageInterval}
+	in := bufio.NewReaderSize(messages, 4<<10)
 	for {
-		from.await()
+		messages.endMessage()
 		if _, err := in.Peek(1); err != nil {
 			return err
 		}
-		from.begin()
+		messages.beginMessage()
 		*latest = (*latest)[:0]
 		m, err := isup.Read(io.TeeReader(in, latest))
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return errHalf
+			return errTruncated
 		}
 		if err != nil {
 			return err
 		}
 		*latest = (*latest)[:0]
-		if !t.box.Admit(func() { t.hear(l, m) }) {
+		if !sa.mailbox.Put(func() { sa.receive(l, m) }) {
 			return errStopped
 		}
 	}
 }
 
-// lost ends a connection. The set-ups out on it are given up with it; calls that stand
+// linkLost ends a connection. The set-ups out on it are given up with it; calls that stand
 // outlive it, and the next dial tells whether their server does.
-func (t *trunk) lost(l *link, err error) {
-	t.discard(l)
-	if t.link == l {
-		t.link = nil
+func (sa *serverActor) linkLost(l *link, err error) {
+	sa.discard(l)
+	if sa.link == l {
+		sa.link = nil
 		level := slog.LevelInfo
-		if errors.Is(err, errPlace) { // as often as calls are dialled for
+		if errors.Is(err, errNoSlot) { // as often as calls are dialled for
 			level = slog.LevelDebug
 		}
-		t.log.Log(context.Background(), level, "connection to setup server ended", "error", err)
+		sa.log.Log(context.Background(), level, "connection to setup server ended", "error", err)
 	}
-	for id, a := range t.open {
+	for id, a := range sa.open {
 		if a.link == l && !a.stands {
-			t.end(id, a, failure(t.server.ID, agent.Written, policy.Cut, err), policy.EmptyReport())
-			t.release(t.link, id) // its answer may have been lost: then a call stands there
+			sa.endAttempt(id, a, newFailure(sa.server.ID, agent.Written, policy.Cut, err), policy.EmptyReport())
+			sa.sendRelease(sa.link, id) // its answer may have been lost: then a call stands there
 		}
 	}
-	t.connectAgain()
+	sa.reconnect()
 }
 
 // stop ends the connections; what is out on them is not waited for. What was written last, such as
 // the release of a call, must reach the server: a close with bytes unread would reset it.
-func (t *trunk) stop() {
-	t.stopped = true
-	t.refuseWaiting(agent.Unwritten, policy.NotSent, errStopped)
-	if t.cancel != nil {
-		t.cancel()
+func (sa *serverActor) stop() {
+	sa.stopped = true
+	sa.failWaiting(agent.Unwritten, policy.NotSent, errStopped)
+	if sa.cancelDial != nil {
+		sa.cancelDial()
 	}
 	links := map[*link]bool{}
-	if t.link != nil {
-		links[t.link] = true
+	if sa.link != nil {
+		links[sa.link] = true
 	}
-	for _, a := range t.open {
+	for _, a := range sa.open {
 		if a.link.retired {
 			links[a.link] = true
 		}
 	}
-	lingers, over := context.WithTimeout(context.Background(), t.cfg.StopLinger)
-	defer over()
+	lingerCtx, cancel := context.WithTimeout(context.Background(), sa.cfg.StopLinger)
+	defer cancel()
 	for l := range links {
-		half, ok := l.conn.(*counted)
-		if !ok || half.CloseWrite() != nil {
+		conn, ok := l.conn.(*countedConn)
+		if !ok || conn.CloseWrite() != nil {
 			l.conn.Close()
 		}
 	}
 	for l := range links {
 		select {
-		case <-l.read:
-		case <-lingers.Done():
+		case <-l.readDone:
+		case <-lingerCtx.Done():
 		}
 		l.conn.Close()
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -25,7 +25,7 @@
 	}
 	var refused []error
 	for _, path := range required {
-		if !has(all, strings.Split(path, ".")) {
+		if !hasField(all, strings.Split(path, ".")) {
 			refused = append(refused, fmt.Errorf("field %s: missing", path))
 		}
 	}
@@ -39,7 +39,7 @@
 	return errors.Join(refused...)
 }
 
-func has(in map[string]any, path []string) bool {
+func hasField(in map[string]any, path []string) bool {
 	v, ok := in[path[0]]
 	if !ok || v == nil {
 		return false
@@ -48,7 +48,7 @@
 		return true
 	}
 	next, ok := v.(map[string]any)
-	return ok && has(next, path[1:])
+	return ok && hasField(next, path[1:])
 }
 
 // contradictions are the fields that can't hold beside others.
--- a/internal/settings/check_test.go
+++ b/internal/settings/check_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const lawful = `{"nInstances":6,"rank":0,"resolution":5000,
+const validSettings = `{"nInstances":6,"rank":0,"resolution":5000,
 	"profiles":[{"name":"voice","goalTime":1500000,"deadline":9000000,"worth":1}],"stats":{"how":"piggyback"},
 	"limits":{"maxAttempts":4,"connectTimeout":500000},
 	"guarantees":{"answerSlack":20000,"drainGrace":1000000,"cold":15000000,"coldFrom":0.31,"fallMultiple":2,"tipAfter":1000000},
@@ -16,7 +16,7 @@
 
 // TestCheck: what is missing or contradicts another field is named, whichever it is.
 func TestCheck(t *testing.T) {
-	require.NoError(t, Check([]byte(lawful)))
+	require.NoError(t, Check([]byte(validSettings)))
 	for _, tc := range []struct {
 		part, field string
 		value       any // nil: the field is left out
@@ -35,7 +35,7 @@
 		{"", "rank", 6, "field rank: 6 is outside 0 to 5"},
 	} {
 		var all map[string]any
-		require.NoError(t, json.Unmarshal([]byte(lawful), &all))
+		require.NoError(t, json.Unmarshal([]byte(validSettings), &all))
 		in := all
 		if tc.part != "" {
 			in = all[tc.part].(map[string]any)
