--- a/policy/policy.go
+++ b/policy/policy.go
@@ -672,8 +672,8 @@
 
 // linesOf words what a server tells of its lines for package spread.
 func (c *Controller) linesOf(s *server) spread.Lines {
-	return spread.Lines{Total: s.total, Busy: s.lines, Flow: max(s.flow, s.inst), Hold: c.hold, ReportedAt: s.linesAt,
-		Exhausted: s.noLines}
+	return spread.Lines{Total: s.total, Busy: s.lines, Flow: max(s.flow, s.inst), Hold: c.hold,
+		ReportedAt: s.linesAt, Exhausted: s.noLines}
 }
 
 // lineGap is the time in which one line of a full server comes free for this sender.
