--- a/spread/alone.go
+++ b/spread/alone.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// What a sender alone can tell of all of them. Servers tell every sender how many of their lines
-// are busy, at a steady pace; from that each knows what comes to stand everywhere, though not what
-// was turned away. It knows its own calls. The share of the first that its own make is its part
-// of what all may do together: the parts of all senders add up to one, whoever is busy and whoever
-// is idle, as equal parts for all would not.
+// Estimates that a sender makes without communication. Servers regularly report to every sender how many of
+// their lines are busy. From that each sender knows the rate of calls that come to stand over all senders,
+// though not the calls that were refused. It also knows its own calls. Its own calls divided by all calls is
+// its part of what all senders together may do. These parts add up to one, whichever senders are busy or
+// idle; equal parts would waste those of idle senders.
 
-// Lines is what a server told of its lines, and the flow it shows.
+// Lines is a server's latest report of its lines, with estimates derived from such reports.
 type Lines struct {
 	Total, Busy float64
-	Flow        float64 // calls a second that come to stand there, of all senders
-	Hold        float64 // seconds that a call holds a line
-	ReportedAt  Time    // when it told
-	Exhausted   bool    // it turned a set-up away for want of a line since
+	Flow        float64 // calls a second of all senders that come to stand on this server
+	Hold        float64 // mean time in seconds that a call holds a line
+	ReportedAt  Time    // time of the report
+	Exhausted   bool    // the server has since refused a set-up because no line was free
 }
 
-// reserveDeviations is how many standard deviations of what all senders may send unseen, from one
-// telling to the next, are kept free: one set-up in forty then finds no line.
+// reserveDeviations is how many standard deviations of the set-ups sent by all senders between two reports
+// are kept free. With 2, about one set-up in forty finds no free line.
 const reserveDeviations = 2
 
-// freeLines is how many of so many lines are free so long after a telling: those told, less what the flow
-// has grown by since.
+// freeLines estimates the free lines a time after a report: the lines free at the report, less the growth
+// since, which follows from the flow.
 func freeLines(total, busy, flow, hold float64, since time.Duration) float64 {
 	grown := 0.0
 	if hold > 0 {
@@ -34,19 +34,19 @@
 	return total - busy - grown
 }
 
-// reservedLines is what all senders may take of the free lines before the next telling.
+// reservedLines is how many free lines all senders may take before the next report.
 func reservedLines(flow float64, interval ReportInterval) float64 {
 	return 1 + reserveDeviations*math.Sqrt(max(flow, 0)*interval.Duration().Seconds())
 }
 
-// NearlyFull tells whether so few lines are free that a set-up may well find none.
+// NearlyFull reports whether so few lines are free that a set-up is likely to find none.
 func (l Lines) NearlyFull(now Time, interval ReportInterval) bool {
 	return l.Exhausted || l.Total > 0 && freeLines(l.Total, l.Busy, l.Flow, l.Hold, now-l.ReportedAt) < reservedLines(l.Flow, interval)
 }
 
-// SpareRate is the calls a second that lines can take beyond the flow, so long after they were told.
-// It takes the figures of Lines one by one: it is asked for every server in each choice, and the
-// copies of a struct cost more than the sum.
+// SpareRate returns the calls a second that a server's lines can take beyond the current flow, a time after
+// the report. It takes the fields of Lines one by one because it is called for every server in each choice,
+// where copying the struct costs more than the calculation.
 func SpareRate(total, busy, flow, hold float64, since time.Duration, interval ReportInterval) float64 {
 	if total <= 0 || hold <= 0 {
 		return math.Inf(1)
@@ -54,7 +54,8 @@
 	return max((freeLines(total, busy, flow, hold, since)-reservedLines(flow, interval))/hold, 0)
 }
 
-// FreeInterval is the time in which a line comes free for each of so many senders; 0: not known.
+// FreeInterval returns the average time in which one line becomes free for each of the senders; 0 if not
+// known.
 func (l Lines) FreeInterval(senders int) time.Duration {
 	if l.Total <= 0 || l.Hold <= 0 {
 		return 0
@@ -62,14 +63,15 @@
 	return time.Duration(float64(senders)*l.Hold/l.Total*float64(time.Second)) + 1
 }
 
-// ServerTotals sums what is known of all servers, so that a guess at one of them costs no walk over the others.
+// ServerTotals sums figures over all servers, so that an estimate for one server needs no loop over the
+// others.
 type ServerTotals struct {
-	Flow                       float64 // calls a second that come to stand, of all senders
-	rateSum, lineSum, measured float64 // of the servers whose capacity was measured
+	Flow                       float64 // calls a second of all senders that come to stand
+	rateSum, lineSum, measured float64 // of the measured servers: set-ups a second, lines, number
 }
 
-// Add counts a server: the set-ups a second that it can take (0: not measured), its lines (0: not
-// known) and its flow.
+// Add adds a server: the set-ups a second that it can take (0: not measured), its lines (0: not known) and
+// its flow in calls a second.
 func (f *ServerTotals) Add(rate, lines, flow float64) {
 	f.Flow += flow
 	if rate > 0 {
@@ -77,8 +79,9 @@
 	}
 }
 
-// EstimateRate is the set-ups a second that a server of so many lines (0: not known) can take: by its
-// lines as the others by theirs, or as the mean of the others; 0 where nothing was measured.
+// EstimateRate estimates the set-ups a second that a server with this many lines (0: not known) can take, in
+// proportion to its lines or, if they are not known, as the mean of the measured servers. It returns 0 if
+// nothing was measured.
 func (f ServerTotals) EstimateRate(lines float64) float64 {
 	if f.lineSum > 0 && lines > 0 {
 		return f.rateSum * lines / f.lineSum
@@ -86,8 +89,8 @@
 	return f.rateSum / max(f.measured, 1)
 }
 
-// SenderInterval is the time between one sender's actions when all of so many take perSecond together; 0 where
-// they take none.
+// SenderInterval returns the time between two actions of one sender if all senders together perform perSecond
+// actions a second; 0 if they perform none.
 func SenderInterval(senders int, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return 0
@@ -95,13 +98,15 @@
 	return time.Duration(float64(senders) / perSecond * float64(time.Second))
 }
 
-// ReportInterval is the time from one telling to the next, as learned; 0: not known yet.
+// ReportInterval is the learned time between two reports of a server; 0 means not known yet.
 type ReportInterval time.Duration
 
-// maxReportInterval is the longest gap that is a pace; a longer one is of a server that was away.
+// maxReportInterval is the longest gap that counts as an interval; a longer one means that the server was
+// away.
 const maxReportInterval = 5 * time.Second
 
-// Duration is the time from one telling to the next; a second, as deployments tell it, until known.
+// Duration returns the time between two reports; until it is known, one second, which is usual in
+// deployments.
 func (p ReportInterval) Duration() time.Duration {
 	if p == 0 {
 		return time.Second
@@ -109,7 +114,7 @@
 	return time.Duration(p)
 }
 
-// Observe notes a gap between two tellings.
+// Observe updates the average with the gap between two reports.
 func (p *ReportInterval) Observe(gap time.Duration) {
 	switch {
 	case gap <= 0 || gap > maxReportInterval:
@@ -120,36 +125,36 @@
 	}
 }
 
-// FlowShare learns which part of the joint flow is this sender's own.
+// FlowShare estimates this sender's part of the joint flow.
 type FlowShare struct{ own rate }
 
-// flowShareWindow is the memory of a sender's own flow, which may be a call a second.
+// flowShareWindow is the averaging time of a sender's own flow, which may be one call a second.
 const flowShareWindow = 15 * time.Second
 
-// minFlowShare is the least part of an even one that a sender takes for its own: one that has no
-// call for a while must not be shut out.
+// minFlowShare is the smallest part, relative to an even one, that a sender takes, so that a sender without
+// calls for a while is not shut out.
 const minFlowShare = 0.25
 
-// RecordStood counts one call of this sender's that came to stand.
+// RecordStood counts one call of this sender that came to stand.
 func (p *FlowShare) RecordStood(now Time) {
 	p.own.timeConstant = flowShareWindow
 	p.own.add(now, 1)
 }
 
-// PerSecond is the calls of this sender's that come to stand in a second.
+// PerSecond returns this sender's rate of calls that come to stand.
 func (p *FlowShare) PerSecond(now Time) float64 { return p.own.perSecond(now) }
 
-// Of is this sender's part of a joint flow, in calls a second, of so many senders.
+// Of returns this sender's part of a joint flow, given in calls a second.
 func (p *FlowShare) Of(now Time, joint float64, senders int) float64 {
 	return min(max(p.PerSecond(now)/max(joint, 1), minFlowShare/float64(max(senders, 1))), 1)
 }
 
-// minCallsToSeeQueue is how many calls in an aim a sender must have at each server to see a queue there by
-// its own answers, and to follow it.
+// minCallsToSeeQueue is how many calls within an aim a sender must have for each server to detect a queue
+// there from its own answers and react to it.
 const minCallsToSeeQueue = 3
 
-// Allowed is the part of each server's rate that a sender may choose: all of it where it has so
-// many calls that it sees the queues itself, its part of the joint flow where it does not.
+// Allowed returns the part of each server's rate that a sender may choose to send. It is the whole rate if
+// the sender has enough calls to see the queues itself, otherwise its part of the joint flow.
 func (p *FlowShare) Allowed(now Time, joint float64, senders int, aim time.Duration, servers int) float64 {
 	if p.PerSecond(now)*aim.Seconds() >= minCallsToSeeQueue*float64(servers) {
 		return 1
@@ -157,28 +162,29 @@
 	return p.Of(now, joint, senders)
 }
 
-// Allowance is the set-ups that one sender may send to one server of its own choice: its part of
-// what the server was seen to take, and a little more, so that the flow can grow. What all
-// senders send together is then bounded by what the server takes, although none of them sees the
-// others: without it, each learns by a late answer of its own that a server is swamped.
+// Allowance limits the set-ups that one sender sends to one server by its own choice: its part of what the
+// server was observed to take, plus some growth. What all senders send together is then bounded by what the
+// server takes, although no sender sees the others. Without this limit, each sender would learn only from a
+// late answer of its own that a server is overloaded.
 type Allowance struct {
 	available float64
 	updatedAt Time
 	started   bool
 }
 
-// The bounds of an allowance, in set-ups: what may be saved up, and how far calls that the server
-// gets anyway, as their first choice, may run it down.
+// Bounds of an allowance, in set-ups: the most that can be saved up, and how far below zero calls can take it
+// that the server gets anyway as their first choice.
 const (
 	maxAllowance = 2
 	minAllowance = -2
 )
 
-// GrowthFactor is how much more than a server was seen to take its flow may become, so that it can grow.
+// GrowthFactor is the ratio of the allowed rate to the observed rate, so that the flow to a server can grow.
 const GrowthFactor = 1.2
 
-// Available is what is left now, filled at this sender's part of the server's rate. It begins with the
-// fraction of first, so that senders that count theirs by rank begin apart.
+// Available refills the allowance at this sender's part of the server's rate and returns what is available.
+// The initial level is the fractional part of phase: senders that pass a value derived from their rank start
+// at different levels.
 func (a *Allowance) Available(now Time, part, perSecond, phase float64) float64 {
 	if !a.started {
 		a.started, a.available, a.updatedAt = true, maxAllowance*(phase-math.Floor(phase)), now
@@ -188,14 +194,15 @@
 	return a.available
 }
 
-// Refund gives a set-up back that was answered in time: a server that is quick takes more, whatever
-// it was seen to take before, as at the first calls of a morning. room is each sender's part of
-// what the server takes in an aim: what all senders get back at once can't swamp it.
+// Refund returns one set-up if it was answered in time: a server that answers quickly takes more than was
+// observed before, for example at the first calls of a morning. room is each sender's part of what the server
+// takes within an aim; it limits the refund, so that the refunds of all senders can't overload the server at
+// once.
 func (a *Allowance) Refund(inTime bool, room float64) {
 	if inTime {
 		a.available = min(a.available+min(room, 1), maxAllowance)
 	}
 }
 
-// Spend takes one set-up off.
+// Spend takes one set-up from the allowance.
 func (a *Allowance) Spend() { a.available = max(a.available-1, minAllowance) }
--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sizes are the numbers of servers, or of senders, that the benchmarks go through.
+// sizes are the numbers of servers or senders that the benchmarks use.
 var sizes = []int{10, 27, 100, 300, 730, 1460}
 
 func serverNames(prefix string, n int) (out []string) {
@@ -17,13 +17,13 @@
 	return out
 }
 
-// populatedState is a sender's state that has sent to and seen n servers.
+// populatedState returns the state of a sender that has sent set-ups to n servers and has their figures.
 func populatedState(name string, n int) *State {
 	s := New(Config{Name: name, Life: 1, Senders: 240})
 	s.SetAlive(serverNames("agent", 240))
 	for i, id := range serverNames("server", n) {
 		s.UpdateServer(id, true)
-		v := s.getOrCreate(id) // figures as long as a working day's
+		v := s.getOrCreate(id) // numbers with as many digits as after a day of operation
 		v.sent, v.done, v.stood = uint64(20_000+i), uint64(19_998+i), uint64(19_000+i)
 		s.RecordReport(time.Hour-437_123_456, id, Seen{Lines: 400, Util: 1 / (1.7 + float64(i%7)), Wait: 1 / (31 + float64(i%11))})
 	}
@@ -38,7 +38,8 @@
 	return float64(len(data))
 }
 
-// populatedSteward is a steward that knows n servers and has heard so many senders.
+// populatedSteward returns a steward that knows n servers and has handled one summary of each sender, and
+// these summaries.
 func populatedSteward(n, senders int) (*Steward, []Summary) {
 	w := NewSteward(Config{Name: "agent0.example:5060", Life: 1, Senders: senders})
 	for _, id := range serverNames("server", n) {
@@ -54,7 +55,7 @@
 	return w, all
 }
 
-// BenchmarkSummary words what a sender knows of n servers.
+// BenchmarkSummary builds a summary about n servers.
 func BenchmarkSummary(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -68,8 +69,8 @@
 	}
 }
 
-// BenchmarkHearSized takes one summary at the steward and answers it with a view: as the servers grow in
-// number, with 24 senders, and as the senders do, with 27 servers.
+// BenchmarkHearSized handles one summary at the steward, including the view that answers it: with 24 senders
+// and a growing number of servers, and with 27 servers and a growing number of senders.
 func BenchmarkHearSized(b *testing.B) {
 	run := func(name string, n, senders int) {
 		b.Run(name, func(b *testing.B) {
@@ -80,7 +81,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				s := all[i%senders]
-				if i%senders == 0 { // a period goes round
+				if i%senders == 0 { // all senders have reported once in this period
 					now, seq = now+500*time.Millisecond, seq+1
 				}
 				s.From.Seq, s.Demand = seq, 1.0/3
@@ -101,8 +102,8 @@
 	}
 }
 
-// BenchmarkHearService takes one summary of a service of as many senders as servers, at a steward with a sight
-// of its own (near) and at one without (remote).
+// BenchmarkHearService handles one summary of a service with as many senders as servers, at a steward in a
+// sender's process (near) and at a remote one (remote).
 func BenchmarkHearService(b *testing.B) {
 	for _, kind := range []string{"near", "remote"} {
 		for _, n := range []int{10, 27, 100, 243} {
@@ -111,7 +112,7 @@
 				if kind == "remote" {
 					w = NewRemoteSteward(Config{Name: "c1", Life: 1})
 				}
-				hear := func(i int) (v View) { // a period goes round in as many summaries as there are senders
+				hear := func(i int) (v View) { // each sender sends one summary a period
 					now, s := time.Hour+time.Duration(i+n)*period/time.Duration(n), &all[i%n]
 					s.From.Seq, s.Demand = uint64(i/n+2), 64
 					if kind == "remote" {
@@ -125,7 +126,7 @@
 					v, _ = w.HandleSummary(now, *s)
 					return v
 				}
-				for i := range 30 * n { // all rates are learned
+				for i := range 30 * n { // until all capacities are learned
 					hear(i)
 				}
 				var v View
@@ -144,16 +145,16 @@
 	}
 }
 
-// BenchmarkFollow takes a view of n servers at a sender.
+// BenchmarkFollow handles a view of n servers at a sender.
 func BenchmarkFollow(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			s := populatedState("agent1.example:5060", n)
 			w, _ := populatedSteward(n, 2)
-			s.BuildSummary(time.Hour, "agent0.example:5060") // its first was heard already
+			s.BuildSummary(time.Hour, "agent0.example:5060") // its first summary was already handled
 			v, ok := w.HandleSummary(time.Hour, s.BuildSummary(time.Hour, "agent0.example:5060"))
 			if !ok {
-				b.Fatal("the summary was not news")
+				b.Fatal("the summary was ignored")
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -165,7 +166,7 @@
 	}
 }
 
-// BenchmarkStewardAt names the steward among n senders, as each does for each summary.
+// BenchmarkStewardAt selects the steward among n senders, as each sender does for each summary.
 func BenchmarkStewardAt(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("senders=%d", n), func(b *testing.B) {
--- a/spread/cold_test.go
+++ b/spread/cold_test.go
@@ -9,10 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestColdBudgetOfAll: over any window of the stated length, what all senders together send a cold
-// server stays within what it bears and what the operators put down to chance. Demand is uneven over
-// senders and comes in floods after idle stretches; news of the start comes to each in its own time;
-// some restart in the warming and have forgotten what they sent.
+// TestColdBudgetOfAll guards against hundreds of senders overloading a cold server together, each within its
+// own small part. Over any window of the configured length, their set-ups must stay within the server's
+// budget plus the random excess that operators accept. Demand differs between senders and comes in bursts
+// after idle periods, senders learn of the warm-up at different times, and some restart during it without a
+// record of what they sent.
 func TestColdBudgetOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const use, step = 0.4, 20 * ms
@@ -37,11 +38,11 @@
 			senders[i] = New(Config{Rank: i, Senders: n, Seed: life})
 			senders[i].StartWarmUp("s")
 		}
-		const start = Time(1000 * time.Second) // the clock that all share
+		const start = Time(1000 * time.Second) // on the clock that all senders share
 		for i := range senders {
 			startSender(i, 1)
 			knownAt[i] = start + time.Duration(draw()*float64(late*ms))
-			demand[i] = math.Exp(4*draw()) / uneven // calls in a step, some of many times the mean
+			demand[i] = math.Exp(4*draw()) / uneven // calls in a step; a few senders have many times the mean
 		}
 		var sent []Time
 		for now := start; now < start+30*time.Second; now += step {
@@ -73,7 +74,7 @@
 		}
 		expected := perSecond * (30 * time.Second).Seconds()
 		if idle == 0 && late == 0 && restarts == 0 && slices.Min(demand) >= 1 && float64(len(sent)) < expected-1-perSecond*step.Seconds() {
-			t.Fatalf("%d set-ups in 30 s of a flood, %.0f meant", len(sent), expected)
+			t.Fatalf("%d set-ups in 30 s of continuous calls, %.0f expected", len(sent), expected)
 		}
 	})
 }
--- a/spread/placed_test.go
+++ b/spread/placed_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestServersWithoutConnectionComeLast: a server without a connection comes after all that have one, whatever its turn, and in
-// its turn among those without; once it has one it is as before. Nothing is drawn for it.
+// TestServersWithoutConnectionComeLast checks that servers without a connection come after all that have one,
+// in the order of their turns, and return to their former priority with a connection. No random number may be
+// drawn for this.
 func TestServersWithoutConnectionComeLast(t *testing.T) {
 	s, same := New(Config{Seed: 1, Senders: 1}), New(Config{Seed: 1, Senders: 1})
 	var seats, others [3]ServerRef
@@ -19,7 +20,7 @@
 		before[i] = order(i)
 		assert.Equal(t, same.Priority(0, ids[i], &others[i], 1), before[i])
 	}
-	last := slices.Index(before[:], min(before[0], before[1], before[2])) // it alone keeps its connection
+	last := slices.Index(before[:], min(before[0], before[1], before[2])) // the lowest of the three keeps its connection
 	i, j := (last+1)%3, (last+2)%3
 	s.SetConnected([]string{ids[i], ids[j], "unknown"}, false)
 	assert.Less(t, order(i), order(last))
--- a/spread/remote.go
+++ b/spread/remote.go
@@ -6,76 +6,77 @@
 	"time"
 )
 
-// A steward that is no sender, as on a control machine, has no list of servers, no sight of which are
-// cold and no settings that say how many senders there are. It takes all three from the summaries of
-// those it heard lately, none of which may be believed alone:
+// A remote steward is not a sender itself; it runs, for example, on a control machine. It has no list of
+// servers, does not know which are cold, and has no setting for the number of senders. It takes all three
+// from the summaries it received lately, and trusts none of them alone:
 //
-//   - A server is in the views where more than half of them list it. One frozen list neither keeps a dead
-//     server in them nor drops a live one; and a sender makes no entry of its own of a server that a view
-//     names and its list does not, or the steward's word would come back to it as the senders'.
-//   - A server's cold budget is the smallest that any of them tells: news of a restart that has reached
-//     one of them holds at once. One that is wrong costs a warm server its share for as long as it goes
-//     on saying so; a sender's word ends by its own clock, at the end of the warming that it knows of.
-//   - The parts that rights have are those of the largest number of senders told. While settings change,
-//     some own one part in the former number and some in the new; what is lent counts as the smaller of
-//     the two, so that grants never sum up to more than was lent. Whether enough senders are heard goes by
-//     the middle one of the numbers: a single wrong one must not silence the steward.
+//   - A server is included in views if more than half of the senders list it. A single stale list thus
+//     neither keeps a dead server in the views nor drops a live one. A sender adds no server because a view
+//     names it; otherwise the steward would take its own information for that of the senders.
+//   - A server's cold budget is the smallest that any sender reports, so news of a restart takes effect as
+//     soon as it has reached one sender. A wrong report costs a warm server its share for as long as it is
+//     repeated; a report ends by the sender's own clock, at the end of the warm-up that it knows of.
+//   - Rights are divided by the largest number of senders that is reported. While settings change, some
+//     senders own one part in the old number and some in the new. What is lent counts as the smaller of the
+//     two, so that grants never add up to more than was lent. The median of the numbers decides whether
+//     enough senders are heard, because a single wrong number must not silence the steward.
 //
-// It says nothing of shares, of what to hold back and of idle servers while it is unsure: while fewer than
-// half of the senders are heard (it would level a part of the demand over a part of the queues), and, for as
-// long as rates take to be learned, while it has not learned what a server in its views can take. Senders
-// then go on by what the steward before it told, for as long as that holds, and after it by what each of
-// them knows, which is more than lines alone would tell. So a restart without memory turns nobody. Rights
-// are lent and granted meanwhile: they are counted, not guessed.
-
-// remoteState is what a remote steward keeps beside.
+// A remote steward sends no shares, no hold share and no duty for idle servers while it lacks data. That is
+// so while it hears fewer than half of the senders, because it would then level part of the demand over part
+// of the queues. It is also so while it does not know the capacity of a server in its views, for as long as
+// learning one takes. Senders then continue with the shares of the previous steward while those are valid,
+// and afterwards with what each of them knows, which is more than shares by lines alone would give. So a
+// restart without memory redirects no sender. Rights are still lent and granted meanwhile, because they are
+// counted, not estimated.
+
+// remoteState is the additional state of a remote steward.
 type remoteState struct {
-	lastHeardAt      Time // the latest summary
-	sendersChanged   bool // somebody joined those heard, or left them, since the latest look
-	senderGeneration int  // counts such looks
-	enoughHeard      bool // half of the senders or more are heard
-	tooFewAt         Time // when fewer were last
-	withholdsShares  bool // it tells no shares
-	withheldAt       Time // when it last told none: no server counts as idle from before
-	heardCount       int  // senders, as of the latest look
-	largestSenders   int  // the largest number of senders told
-	medianSenders    int  // and the middle one
+	lastHeardAt      Time // when the latest summary arrived
+	sendersChanged   bool // a sender joined or left since the latest evaluation
+	senderGeneration int  // number of evaluations that found such a change
+	enoughHeard      bool // at least half of the senders are heard
+	tooFewAt         Time // when fewer than half were last heard
+	withholdsShares  bool // it sends no shares
+	withheldAt       Time // when it last sent none; idle times are counted from then at the earliest
+	heardCount       int  // senders heard, as of the latest evaluation
+	largestSenders   int  // largest number of senders in any summary
+	medianSenders    int  // median of these numbers
 	reportedSenders  []int
-	coldReports      int // positive words of cold servers, over all senders
+	coldReports      int // reports of cold servers, over all senders
 }
 
-// serverReports is what senders tell of a server, as a remote steward counts it.
+// serverReports counts what senders report about a server, for a remote steward.
 type serverReports struct {
-	upReports        int // senders that list it
-	reports          int // that name it at all
+	upReports        int // senders that list it as up
+	reports          int // senders that name it at all
 	minColdRate      float64
-	scores           []uint64 // of those heard, falling, as of
-	scoresGeneration int      // this crowd
+	scores           []uint64 // hash scores of the senders heard, descending
+	scoresGeneration int      // senderGeneration for which the scores were calculated
 }
 
-// NewRemoteSteward returns a steward without a sight of its own: which servers are up, which of them are
-// cold and how many senders there are come from the summaries that it hears. Of cfg it takes Name, Life and
-// Period. One value serves one service. Each value needs a Life above those of all before it under its
-// name, in the same process too: loans are counted by the numbers of its views.
+// NewRemoteSteward returns a steward that learns from summaries which servers are up, which of them are cold,
+// and how many senders there are. It uses Name, Life and Period of cfg. One value serves one service. Each
+// value needs a larger Life than all before it under the same name, also within one process, because loans
+// are dated by view numbers.
 func NewRemoteSteward(cfg Config) *Steward {
 	w := NewSteward(Config{Name: cfg.Name, Life: cfg.Life, Period: cfg.Period})
 	w.remote = true
 	return w
 }
 
-// Status is what a steward's console tells of a service.
+// Status is what a steward's console shows about a service.
 type Status struct {
-	Senders    int     // heard lately
-	Configured int     // there are so many by the settings of most
-	Servers    int     // in its views
-	Cold       int     // of these
-	Lent       int     // senders whose rights can be granted now
-	Demand     float64 // first tries a second, of those heard lately
+	Senders    int     // senders heard lately
+	Configured int     // median of the numbers of senders in their settings
+	Servers    int     // servers included in its views
+	Cold       int     // those of the servers that are cold
+	Lent       int     // senders whose lent rights can be granted now
+	Demand     float64 // first attempts of calls a second, of the senders heard lately
 	Hold       float64 // share of the calls that all servers together can't take
-	Unsure     bool    // it tells no shares: it hears too few, or has not learned the servers' rates yet
+	Unsure     bool    // it sends no shares: it hears too few senders or has not learned the servers' capacities yet
 }
 
-// Status words the steward's state.
+// Status returns the steward's status.
 func (w *Steward) Status(now Time) Status {
 	status := Status{Configured: w.configuredSenders(), Lent: w.lenders(now), Hold: w.hold, Unsure: w.withholdsShares}
 	for _, sender := range w.senders {
@@ -95,19 +96,20 @@
 	return status
 }
 
-// Senders is how many senders were heard lately, as of the latest summary.
+// Senders returns how many senders were heard lately, as of the latest summary.
 func (w *Steward) Senders() int { return len(w.senders) }
 
-// forgetAfter is how long a steward that hears nobody is worth keeping: what it has learned of servers
-// has faded by then, and a short cut costs it nothing.
+// forgetAfter is how long a steward without summaries is kept. By then its averages have decayed, while a
+// shorter interruption loses nothing.
 const forgetAfter = slowRateWindow
 
-// Idle tells whether nobody was heard for half a minute and no right is lent: it may be forgotten.
+// Idle reports whether no summary arrived within forgetAfter and no right is lent, so that the steward can be
+// dropped.
 func (w *Steward) Idle(now Time) bool {
 	return now-w.lastHeardAt >= forgetAfter && (len(w.loanEnds) == 0 || w.loanEnds[len(w.loanEnds)-1] < now)
 }
 
-// updateReports counts what a sender says of a server now, in the place of what it said before.
+// updateReports replaces a sender's previous report about a server with its current one.
 func (w *Steward) updateReports(previous, current countRecord) {
 	if !w.remote {
 		return
@@ -115,7 +117,7 @@
 	w.addReport(previous, -1)
 	w.addReport(current, 1)
 	if server := current.server; server != nil && current.coldRate > 0 && (server.coldRate <= 0 || current.coldRate < server.coldRate) {
-		server.coldRate = current.coldRate // the smaller word holds at once, a larger one from the next look on
+		server.coldRate = current.coldRate // a smaller rate takes effect at once, a larger one at the next evaluation
 	}
 }
 
@@ -132,11 +134,11 @@
 	}
 }
 
-// aggregateReports takes what senders say together of lists, of cold servers and of their own number.
+// aggregateReports evaluates what the senders report about servers, cold servers and the number of senders.
 func (w *Steward) aggregateReports(now Time) {
 	w.heardCount, w.largestSenders, w.reportedSenders = 0, 0, w.reportedSenders[:0]
 	for _, sender := range w.senders {
-		w.largestSenders = max(w.largestSenders, sender.latest.Senders) // the rights of one not heard may be out, too
+		w.largestSenders = max(w.largestSenders, sender.latest.Senders) // the rights of a silent sender may still be lent
 		if sender.silent {
 			continue
 		}
@@ -167,7 +169,7 @@
 		}
 		i++
 		up := 2*server.upReports > w.heardCount
-		if up && !server.up { // nobody was to send it anything before
+		if up && !server.up { // no sender had to send it anything before
 			server.upSince = now
 		}
 		if server.up = up; !up {
@@ -182,7 +184,7 @@
 	}
 }
 
-// rightParts is how many parts the rights to a cold server have.
+// rightParts returns the number of parts that the right to a cold server's budget is divided into.
 func (w *Steward) rightParts() int {
 	if w.remote {
 		return w.largestSenders
@@ -190,7 +192,7 @@
 	return w.cfg.Senders
 }
 
-// configuredSenders is how many senders there are by the settings of most.
+// configuredSenders returns the number of senders by the settings; for a remote steward, the median of them.
 func (w *Steward) configuredSenders() int {
 	if w.remote {
 		return w.medianSenders
@@ -198,24 +200,24 @@
 	return w.cfg.Senders
 }
 
-// lacksData tells whether what it would say of shares is worth less than what senders know.
+// lacksData reports whether shares from this steward would be worse than the senders' own estimates.
 func (w *Steward) lacksData(now Time) bool {
 	if !w.enoughHeard {
 		return true
 	}
-	if now-w.tooFewAt >= 2*fastRateWindow+2*w.cfg.period() { // rates that can be learned are learned by now
+	if now-w.tooFewAt >= 2*fastRateWindow+2*w.cfg.period() { // capacities that can be learned have been learned by now
 		return false
 	}
 	return slices.ContainsFunc(w.sorted, func(server *jointServer) bool { return server.up && server.capacity == 0 })
 }
 
-// isOnDuty tells whether a sender is the one whose next call an idle server gets, by rendezvous hashing over
-// those heard as of the latest look, and one more with each period.
+// isOnDuty reports whether a sender must send its next call to an idle server. Rendezvous hashing over the
+// senders heard at the latest evaluation selects one sender, and one more with each period.
 func (w *Steward) isOnDuty(server *jointServer, name string, idle time.Duration) bool {
 	if idle < maxIdle || server.coldRate > 0 || w.withholdsShares {
 		return false
 	}
-	earlier := int((idle - maxIdle) / w.cfg.period()) // those before it may have no call just now
+	earlier := int((idle - maxIdle) / w.cfg.period()) // the senders selected first may have no call at present
 	if earlier >= w.heardCount {
 		return true
 	}
--- a/spread/remote_test.go
+++ b/spread/remote_test.go
@@ -13,17 +13,18 @@
 
 const period = DefaultPeriod
 
-// sendSummary has a sender tell a steward its counts; named is how many senders its settings say.
+// sendSummary sends a steward a sender's counts; named is the number of senders in that sender's settings.
 func sendSummary(w *Steward, now Time, name string, named int, counts ...Count) View {
 	v, ok := w.HandleSummary(now, Summary{From: Stamp{name, 1, uint64(now/ms) + 1}, Senders: named, Demand: 1, Counts: counts})
 	if !ok {
-		panic("no news")
+		panic("the summary was ignored")
 	}
 	return v
 }
 
-// TestRemoteStewardAggregatesReports: what a steward without a sight takes from five senders for a server's state, after each
-// has told the same for five periods, and then another thing.
+// TestRemoteStewardAggregatesReports guards against a remote steward trusting a single sender. Five senders
+// report the same counts for five periods, then other ones; the cases name what the steward must conclude
+// about the server.
 func TestRemoteStewardAggregatesReports(t *testing.T) {
 	up, no, cold := []Count{{Server: "s"}}, []Count{}, func(x float64) []Count { return []Count{{Server: "s", Cold: x}} }
 	down := []Count{{Server: "s", Sent: 2, Done: 1, Down: true}}
@@ -35,17 +36,17 @@
 		cold   float64
 		out    float64
 	}{
-		{"a frozen list keeps no dead server", [][5][]Count{{up, up, up, up, up}, {up, no, no, no, no}}, false, 0, 0},
-		{"and drops no live one", [][5][]Count{{no, up, up, up, up}}, true, 0, 0},
+		{"a stale list keeps no dead server", [][5][]Count{{up, up, up, up, up}, {up, no, no, no, no}}, false, 0, 0},
+		{"a stale list drops no live server", [][5][]Count{{no, up, up, up, up}}, true, 0, 0},
 		{"half of those heard is not enough", [][5][]Count{{up, up, no, no, silent}}, false, 0, 0},
-		{"the silent have no word", [][5][]Count{{up, up, up, up, up}, {up, no, no, silent, silent}}, false, 0, 0},
-		{"what is out at a server on no list keeps it not", [][5][]Count{{up, up, up, up, up}, {up, up, down, down, down}}, false, 0, 3},
-		{"on most lists it counts", [][5][]Count{{up, up, up, down, down}}, true, 0, 2},
-		{"cold news that reached one", [][5][]Count{{up, up, cold(4), up, up}}, true, 4, 0},
-		{"the smallest word", [][5][]Count{{cold(8), up, cold(4), cold(9), up}}, true, 4, 0},
-		{"a word that grows", [][5][]Count{{cold(4), cold(8), up, up, up}, {cold(6), cold(8), up, up, up}}, true, 6, 0},
-		{"words that end", [][5][]Count{{cold(8), up, cold(4), up, up}, {up, up, up, up, up}}, true, 0, 0},
-		{"the cold word of one that is silent", [][5][]Count{{cold(4), cold(8), up, up, up}, {silent, cold(8), up, up, up}}, true, 8, 0},
+		{"silent senders do not count", [][5][]Count{{up, up, up, up, up}, {up, no, no, silent, silent}}, false, 0, 0},
+		{"unanswered set-ups do not keep a server listed", [][5][]Count{{up, up, up, up, up}, {up, up, down, down, down}}, false, 0, 3},
+		{"a server on most lists is up", [][5][]Count{{up, up, up, down, down}}, true, 0, 2},
+		{"one sender reports it cold", [][5][]Count{{up, up, cold(4), up, up}}, true, 4, 0},
+		{"the smallest cold rate counts", [][5][]Count{{cold(8), up, cold(4), cold(9), up}}, true, 4, 0},
+		{"a cold rate that grows", [][5][]Count{{cold(4), cold(8), up, up, up}, {cold(6), cold(8), up, up, up}}, true, 6, 0},
+		{"cold reports that end", [][5][]Count{{cold(8), up, cold(4), up, up}, {up, up, up, up, up}}, true, 0, 0},
+		{"the cold report of a silent sender", [][5][]Count{{cold(4), cold(8), up, up, up}, {silent, cold(8), up, up, up}}, true, 8, 0},
 		{"nobody names it", [][5][]Count{{up, up, up, up, up}, {no, no, no, no, no}}, false, 0, 0},
 	} {
 		w, now, last := NewRemoteSteward(Config{Name: "w", Life: 1}), Time(0), View{}
@@ -59,7 +60,7 @@
 				}
 			}
 		}
-		last = sendSummary(w, now+period/2, "a1", 5, tc.rounds[len(tc.rounds)-1][1]...) // after a look at the last words
+		last = sendSummary(w, now+period/2, "a1", 5, tc.rounds[len(tc.rounds)-1][1]...) // after the next evaluation
 		st := w.Status(now)
 		assert.Equal(t, tc.up, len(last.Dues) == 1, tc.name)
 		assert.Equal(t, tc.up, st.Servers == 1, tc.name)
@@ -73,11 +74,12 @@
 	w := NewRemoteSteward(Config{Name: "w", Life: 1})
 	sendSummary(w, 0, "a", 1, Count{Server: "s", Cold: 8})
 	sendSummary(w, ms, "b", 2, Count{Server: "s", Cold: 4})
-	assert.EqualValues(t, 4, w.servers["s"].coldRate, "the smaller word holds at once")
+	assert.EqualValues(t, 4, w.servers["s"].coldRate, "a smaller rate takes effect at once")
 }
 
-// TestViewAddsNoServers: a view makes no entry of a server that is not on the hearer's list, and what a sender
-// was told is draining it does not list: else the steward would hear its own word as the senders'.
+// TestViewAddsNoServers guards against a steward counting its own information as reports of the senders: a
+// view must not add servers to a sender's list, and a sender must not list a server that it knows only as
+// draining.
 func TestViewAddsNoServers(t *testing.T) {
 	s := New(Config{Name: "a", Life: 1, Senders: 2, Stewards: []string{"w"}})
 	s.UpdateServer("up", true)
@@ -94,9 +96,10 @@
 	assert.True(t, s.BuildSummary(2*period, "w").Counts[0].Down)
 }
 
-// TestRemoteStewardWithholdsShares: a steward tells no shares while it hears fewer than half of the senders, nor after a restart
-// until the servers' rates are learned or can't be; a sender follows what was told before for as long as that
-// holds. A single wrong number of senders silences nobody, but makes lent rights smaller.
+// TestRemoteStewardWithholdsShares checks that a steward sends no shares while it hears fewer than half of
+// the senders, nor after a restart until the servers' capacities are learned or enough time to learn them has
+// passed. A sender follows the previous shares for as long as they are valid. A single wrong number of
+// senders does not silence the steward, but makes lent rights smaller.
 func TestRemoteStewardWithholdsShares(t *testing.T) {
 	counts := func(i int) []Count {
 		return []Count{{Server: "s", Sent: uint64(10 * i), Done: uint64(10 * i), Seen: Seen{Util: 0.5}}, {Server: "t", Seen: Seen{Util: -1, Wait: -1}}}
@@ -105,17 +108,17 @@
 		name        string
 		heard       int
 		named       [8]int
-		allReport   bool // servers are seen at work
+		allReport   bool // both servers complete set-ups
 		after       time.Duration
 		owners      int
 		tellsShares bool
 	}{
-		{"too few", 3, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 20 * time.Second, 8, false},
+		{"too few senders heard", 3, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 20 * time.Second, 8, false},
 		{"nothing learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, false, 4 * time.Second, 8, false},
 		{"nothing to be learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, false, 6 * time.Second, 8, true},
 		{"learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 2 * time.Second, 8, true},
 		{"one wrong number", 8, [8]int{8, 8, 8, 60000, 8, 8, 8, 8}, true, 2 * time.Second, 60000, true},
-		{"a reload", 8, [8]int{8, 16, 8, 16, 8, 8, 16, 8}, true, 2 * time.Second, 16, true},
+		{"settings that change", 8, [8]int{8, 16, 8, 16, 8, 8, 16, 8}, true, 2 * time.Second, 16, true},
 	} {
 		w, v := NewRemoteSteward(Config{Name: "w", Life: 1}), View{}
 		for i := 0; Time(i)*period <= tc.after; i++ {
@@ -142,19 +145,20 @@
 	hear(0, 1, 5)
 	hear(period, 2, 0)
 	assert.True(t, s.FollowsView(period))
-	assert.EqualValues(t, 5, s.servers["s"].share, "what the life before told holds")
-	assert.True(t, s.BuildSummary(period, "w").Lends, "rights go to the new one meanwhile")
+	assert.EqualValues(t, 5, s.servers["s"].share, "the shares of the previous life stay valid")
+	assert.True(t, s.BuildSummary(period, "w").Lends, "rights are lent to the new life meanwhile")
 	next := s.BuildSummary(2*period, "w2")
 	s.HandleView(2*period, View{From: Stamp{"w2", 1, 1}, Echo: next.From})
-	assert.False(t, s.BuildSummary(2*period, "w2").Lends, "and to another steward when they are back from it")
+	assert.False(t, s.BuildSummary(2*period, "w2").Lends, "rights are lent to another steward only after they come back")
 	hear(4*period, 3, 0)
 	assert.False(t, s.FollowsView(4*period))
 	assert.Zero(t, s.servers["s"].share)
 	assert.NotNil(t, s.view)
 }
 
-// TestIdleServerDuty: an idle server gets the next call of one sender, of one more with each period, and of nobody for
-// a time in which the steward did not hear; who has sent it one since the summary is not asked again.
+// TestIdleServerDuty checks that an idle server gets the next call of one sender, and of one more with each
+// period. Time in which the steward received no summaries does not count, and a sender that has sent the
+// server a set-up since its summary is not asked again.
 func TestIdleServerDuty(t *testing.T) {
 	w := NewRemoteSteward(Config{Name: "w", Life: 1})
 	now, count := Time(0), Count{Server: "s", Seen: Seen{Util: -1, Wait: -1}}
@@ -174,16 +178,16 @@
 		got = append(got, round())
 	}
 	assert.Equal(t, []int{0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4}, got)
-	now += time.Minute // nobody can reach it
+	now += time.Minute // the steward is unreachable meanwhile
 	assert.Zero(t, round())
 	w.servers["s"].capacity = 9
 	assert.Zero(t, round())
 	count.Cold = 3
 	now += 2 * period
-	assert.Zero(t, round(), "a cold one is called to by rights alone")
+	assert.Zero(t, round(), "a cold server gets calls by rights only")
 	count.Cold = 0
 	round()
-	assert.NotZero(t, round(), "once all of them have called it warm")
+	assert.NotZero(t, round(), "after all senders report it warm")
 	for range 4 {
 		now += period
 		for a := range 20 {
@@ -192,7 +196,7 @@
 		}
 	}
 	w.servers["new"].capacity = 9
-	for a := range 40 { // now on the lists of all, after two seconds on one
+	for a := range 40 { // now listed by all senders, after two seconds on one list
 		now += period / 20
 		for _, d := range sendSummary(w, now, fmt.Sprint("a", a%20), 20, Count{Server: "s"}, Count{Server: "new"}).Dues {
 			assert.True(t, d.Server == "s" || d.Idle < 2*period && !d.Duty, "%+v", d)
@@ -210,11 +214,12 @@
 	assert.False(t, math.IsInf(s.Priority(2*ms, "s", new(ServerRef), 1), 1), "once")
 	v.From.Seq++
 	s.HandleView(3*ms, v)
-	assert.False(t, math.IsInf(s.Priority(3*ms, "s", new(ServerRef), 1), 1), "it answers a summary from before the call")
+	assert.False(t, math.IsInf(s.Priority(3*ms, "s", new(ServerRef), 1), 1), "the view answers a summary sent before the call")
 }
 
-// TestRemoteStewardChoice: services spread over the machines, all senders of one agree, and where the first machine
-// is silent they stay with the next while trying the first now and then.
+// TestRemoteStewardChoice checks that services are distributed over the machines and that all senders of a
+// service agree on the steward. If the first machine does not answer, they stay with the next and try the
+// first periodically.
 func TestRemoteStewardChoice(t *testing.T) {
 	machines, held := []string{"c1", "c2", "c3", "c4"}, map[string]int{}
 	for i := range 27 {
@@ -227,11 +232,11 @@
 	assert.Len(t, held, 4, "%v", held)
 	alone := New(Config{Name: "a", Service: "svc00"})
 	alone.SetAlive(machines)
-	assert.Equal(t, StewardAt(machines, 0), alone.CurrentSteward(0), "the service counts beside stewards alone")
+	assert.Equal(t, StewardAt(machines, 0), alone.CurrentSteward(0), "Service is used only with Stewards")
 
 	s := New(Config{Name: "a", Life: 1, Stewards: machines, Service: "svc00"})
 	first, second := s.remoteStewardAt(0), s.remoteStewardAt(1)
-	var told []int // 0: the first, 1: the next
+	var told []int // 0 is the first machine, 1 the next
 	seq := uint64(0)
 	for i := range 40 {
 		now := time.Hour + Time(i)*period
@@ -241,7 +246,7 @@
 		require.Equal(t, to, s.CurrentSteward(now))
 		told = append(told, map[string]int{first: 0, second: 1}[to])
 		sum := s.BuildSummary(now, to)
-		if to == first && i >= 5 && i < 25 { // it is down
+		if to == first && i >= 5 && i < 25 { // the first machine is down
 			continue
 		}
 		seq++
@@ -251,7 +256,8 @@
 	assert.Equal(t, []int{0, 0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0}, told)
 }
 
-// TestStewardIdle: a steward may be forgotten once nobody was heard for long and no right is lent.
+// TestStewardIdle checks that a steward can be dropped only after no summary arrived for long and no right is
+// lent.
 func TestStewardIdle(t *testing.T) {
 	s := New(Config{Name: "a", Life: 1, Senders: 1, Period: maxPeriod, Stewards: []string{"w"}})
 	w := NewRemoteSteward(Config{Name: "w", Life: 1})
@@ -269,8 +275,8 @@
 	require.True(t, ok)
 	assert.Zero(t, w.Status(2*ms).Lent, "a new life of the sender uses its right itself")
 
-	// A sender whose period was long is silent soon once it is short, with its right lent for long: it has no
-	// word of lists any more.
+	// A sender changes from a long period to a short one, so it soon counts as silent while its right is
+	// still lent for long. Its reports about lists no longer count.
 	w = NewRemoteSteward(Config{Name: "w", Life: 1})
 	v := sendSummary(w, 0, "a", 2)
 	for seq, long := range []time.Duration{maxPeriod, 0} {
@@ -285,11 +291,12 @@
 	sendSummary(w, 3*ms, "c", 2)
 	_, ok = w.HandleSummary(4*ms, s.BuildSummary(4*ms, "w"))
 	require.True(t, ok)
-	assert.Zero(t, w.Status(4*ms).Lent, "what was lent by a view of the life before, whatever its number")
+	assert.Zero(t, w.Status(4*ms).Lent, "a loan dated by a view of the previous life does not count")
 }
 
-// TestFirstCountAddsNoRate: what a sender sent before its first word to a steward's server came over a time not known:
-// at a list that comes late, and where a server leaves the list and comes back.
+// TestFirstCountAddsNoRate guards against a rate that is estimated too high. The set-ups that a sender sent
+// before its first count for a server were sent over an unknown time, both if the list arrives late and if
+// the server leaves the list and comes back.
 func TestFirstCountAddsNoRate(t *testing.T) {
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: 30})
 	for i := range 8 {
@@ -308,7 +315,7 @@
 	assert.EqualValues(t, 30, w.servers["s"].outstanding)
 }
 
-// TestSummaryBounds: words that can't be are refused by name.
+// TestSummaryBounds checks that summaries with impossible values are refused with the name of the field.
 func TestSummaryBounds(t *testing.T) {
 	for want, s := range map[string]Summary{
 		"field n": {Senders: -1}, "field n: 65537": {Senders: 65537},
@@ -321,7 +328,8 @@
 	assert.NoError(t, Summary{From: Stamp{"a", 1, 1}, Senders: 65536, Counts: []Count{{Server: "s", Cold: 5, Down: true}}}.Valid())
 }
 
-// TestWorkPerSummaryIsBounded: how many senders a steward goes through for each summary does not grow with their number.
+// TestWorkPerSummaryIsBounded checks that the number of senders a steward visits for each summary does not
+// grow with their number.
 func TestWorkPerSummaryIsBounded(t *testing.T) {
 	for _, n := range []int{27, 243} {
 		w := NewRemoteSteward(Config{Name: "w", Life: 1})
@@ -333,8 +341,9 @@
 	}
 }
 
-// TestStewardMatchesReference: the sums that a steward keeps are those of the senders that it has, and its views of seeded
-// days those that it gave when it added up all senders for each view (their sums, taken at 162554c).
+// TestStewardMatchesReference checks that the steward's running sums match its senders, and that its views in
+// simulated runs with fixed seeds match the reference values taken at commit 162554c, where each view added
+// up all senders.
 func TestStewardMatchesReference(t *testing.T) {
 	for seed, want := range []map[string]float64{
 		{"demand": 189263.625, "grant": 96, "hold": 0, "idle": 77.1999999999981, "out": 1.381454e+06, "rate": 1.2076190580001658e+07, "senders": 79757, "share": 889492.1298728046},
@@ -360,8 +369,8 @@
 	}
 }
 
-// simulateDay is the views of a day of 40 s, summed up: senders that come, go and begin anew, summaries and views lost,
-// loans, a server that is cold for a while.
+// simulateDay runs 40 s of traffic and returns sums over the steward's views. Senders join, leave and
+// restart, summaries and views are lost, rights are lent, and one server is cold for a while.
 func simulateDay(seed uint64, each func(w *Steward, now Time)) map[string]float64 {
 	rng, sum := rand.New(rand.NewPCG(seed, 7)), map[string]float64{}
 	senders, servers := 5+rng.IntN(40), 2+rng.IntN(8)
@@ -412,12 +421,12 @@
 			p.from.Seq++
 			s := Summary{From: p.from, Echo: p.echo, Lends: rng.IntN(4) > 0, Demand: float64(rng.IntN(40)) / 8, Period: p.period}
 			s.Counts = append(s.Counts, p.counts...)
-			if rng.IntN(10) == 0 { // lost
+			if rng.IntN(10) == 0 { // the summary is lost
 				continue
 			}
 			v, ok := w.HandleSummary(now, s)
 			if !ok {
-				panic("no news")
+				panic("the summary was ignored")
 			}
 			if each != nil {
 				each(w, now)
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,15 +1,15 @@
-// Package spread decides how the load of many senders is spread over few servers although each
-// sender sees little of it. It has no clock and no I/O: times are data, measured by each process
-// on its own monotonic clock, and messages are values. It gives package policy an order among
-// servers and room at them; which server a call goes to stays policy's decision.
+// Package spread distributes the load of many senders over a few servers, where each sender sees only a small
+// part of that load. It has no clock and performs no I/O: times are passed in, measured by each process on
+// its own monotonic clock, and messages are plain values. It gives package policy a priority among servers
+// and a limit on what may be sent to them; policy decides which server a call goes to.
 //
-// It has two modes on one state. Alone, a sender knows its rank, how many senders there are, what
-// it sent, and what servers tell. In common, senders tell a steward what each sent and saw, and
-// the steward tells them how much of the joint load each server is to get; rights to a cold
-// server's budget are lent for a time, and never used twice (lease.go). A sender that hears
-// nothing for a while goes on alone.
+// There are two modes on the same state. Alone, a sender knows its rank, the number of senders, what it sent
+// itself and what servers report. In common, senders send summaries of what they sent and observed to a
+// steward, and the steward answers with the share of the joint load that each server should get. Rights to a
+// cold server's budget are lent for a limited time and are never used twice (lease.go). A sender that
+// receives no view for some time goes on alone.
 //
-// The sources weighed stand in docs/spread.md.
+// The sources and alternatives considered are in docs/spread.md.
 package spread
 
 import (
@@ -18,27 +18,28 @@
 	"time"
 )
 
-// Time is a moment on the clock of the sender's host. It never runs backwards.
+// Time is a moment on the monotonic clock of the sender's host.
 type Time = time.Duration
 
-// Config is what a sender knows at its start.
+// Config is the configuration of a sender or a steward.
 type Config struct {
-	Name    string // its name among the senders; "" where they don't talk
-	Life    int64  // of this process: later lives have larger ones
-	Rank    int    // its place among the senders, from 0
+	Name    string // name of this sender, unique among the senders; empty if senders do not communicate
+	Life    int64  // identifies one run of the process; later runs have larger values
+	Rank    int    // rank of this sender among all senders, from 0
 	Senders int
-	Period  time.Duration // between two summaries; 0: DefaultPeriod. Senders may have different ones
-	Seed    uint64        // with the rank, draws where its order begins, so that senders begin apart
+	Period  time.Duration // time between two summaries; 0 means DefaultPeriod. Senders may have different periods
+	Seed    uint64        // seeds, together with the rank, the initial order of servers, so that senders start apart
 
-	// Stewards are the names of those who may be steward where these are not the senders themselves, as
-	// control machines are; empty: the senders alive. All senders of a service name the same.
+	// Stewards names the processes that may be steward if these are not the senders themselves, such as
+	// control machines. If empty, the live senders are the candidates. All senders of a service must have the
+	// same list.
 	Stewards []string
-	// Service is the key by which the stewards of different services lie apart on the same machines. It
-	// counts only beside Stewards; empty: the key of senders that are steward themselves.
+	// Service is the hash key that distributes the stewards of different services over the same machines. It
+	// is used only if Stewards is set. If empty, the key of senders that are stewards themselves is used.
 	Service string
 }
 
-// DefaultPeriod is the time between two summaries where the configuration names none.
+// DefaultPeriod is the time between two summaries if the configuration sets none.
 const DefaultPeriod = 500 * time.Millisecond
 
 func (c Config) period() time.Duration {
@@ -48,64 +49,63 @@
 	return c.Period
 }
 
-// SetPeriod changes the period from now on. Rights that are lent stay lent for as long as they
-// were lent for.
+// SetPeriod changes the period. Rights that are already lent stay lent for the time they were lent for.
 func (s *State) SetPeriod(d time.Duration) { s.cfg.Period = d }
 
-// SetPeriod changes the steward's period from now on.
+// SetPeriod changes the steward's period.
 func (w *Steward) SetPeriod(d time.Duration) { w.cfg.Period = d }
 
-// How long things hold, in periods.
+// Validity times, in periods.
 const (
-	viewTTLPeriods   = 4 // a view is followed for so long without a newer one
-	loanPeriods      = 4 // a right is lent for so long
-	grantPeriods     = 2 // and used by whoever it was granted to within so long
-	senderTTLPeriods = 4 // a sender that was not heard for so long is not counted
+	viewTTLPeriods   = 4 // a view is followed for this long if no newer one arrives
+	loanPeriods      = 4 // a right is lent for this long
+	grantPeriods     = 2 // a grant can be used for this long
+	senderTTLPeriods = 4 // a sender is not counted if its last summary is older than this
 )
 
-// serverState is what one sender keeps of a server.
+// serverState is what one sender keeps about a server.
 type serverState struct {
-	sent, done, stood uint64  // set-ups of this sender, since its start
-	ownEstimate       float64 // what the sender alone thinks that it can take
-	queried           bool    // for its order, since the last set-up
-	rankKnown         bool    // place is known among those alive now
+	sent, done, stood uint64  // set-ups of this sender since its start: sent, ended, and ended with a call that stood
+	ownEstimate       float64 // set-ups a second that this sender estimates the server can take beyond its load
+	queried           bool    // Priority was called for it since the last set-up
+	rankKnown         bool    // rank is valid for the current list of live senders
 	rank              int
-	pass              float64 // set-ups of this sender until its turn, by its part of them
-	share             float64 // of the joint load, by the view; 0: none given
-	report            Seen    // figures of the server's own, as this sender has them
+	pass              float64 // stride-scheduling position: divided by the weight, the time until the server's next turn
+	share             float64 // set-ups a second it should get from all senders, from the view; 0 if none given
+	report            Seen    // the server's own figures, as last received by this sender
 	reportAt          Time
-	jointColdRate     float64   // what all senders may send it while it is cold, a second
-	coldRight         coldRight // of a cold budget, alone
+	jointColdRate     float64   // set-ups a second that all senders together may send it while it is cold
+	coldRight         coldRight // this sender's own part of the cold budget
 	grants            []grant
-	coldQueriedAt     Time // its budget was last asked for; it is while a server is cold
+	coldQueriedAt     Time // latest MaySendCold call for it; these calls are made only while a server is cold
 	wasCold           bool
 	up                bool
-	noConnection      bool // it has no connection, nor the right to one
+	noConnection      bool // this sender has neither a connection to it nor a slot for one
 	due               Due
-	lastSentAt        Time // the latest set-up of this sender; below 0: none yet
+	lastSentAt        Time // latest set-up of this sender; negative if there was none
 }
 
-// ServerRef keeps where a server's part of a State is, once found.
+// ServerRef caches a State's entry for one server.
 type ServerRef struct{ server *serverState }
 
-// State is one sender's part. It is not safe for concurrent use.
+// State is the state of one sender. It is not safe for concurrent use.
 type State struct {
 	cfg           Config
 	servers       map[string]*serverState
-	demand        rate // set-ups of first tries
+	demand        rate // rate of first attempts of calls
 	view          *View
-	hasShares     bool // a view told shares, and is followed
-	sharesAt      Time // when the latest that did came
-	lastViewAt    Time // when the latest view of any kind came
-	lentUntil     Time // its rights are lent until then; below 0: they never were
+	hasShares     bool // the latest view with shares is still in use
+	sharesAt      Time // when the latest view with shares arrived
+	lastViewAt    Time // when the latest view of any kind arrived
+	lentUntil     Time // this sender's rights are lent until then; negative if they never were
 	lentTo        string
 	seq           uint64
 	rng           *rand.Rand
 	alive         []string
-	queried       []*serverState // those asked for their order since the last set-up
+	queried       []*serverState // servers for which Priority was called since the last set-up
 	stewardChoice stewardChoice
 
-	recentSummaries [8]sentSummary // the latest, by number
+	recentSummaries [8]sentSummary // ring buffer of the latest summaries, indexed by sequence number
 }
 
 // New returns the state of a sender.
@@ -114,7 +114,7 @@
 		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Rank))), lentUntil: -1}
 }
 
-// demandWindow is the memory of a sender's own demand; it sees a call a second or so.
+// demandWindow is the averaging time of a sender's demand. A sender may see only about one call a second.
 const demandWindow = 4 * time.Second
 
 func (s *State) getOrCreate(id string) *serverState {
@@ -126,15 +126,17 @@
 	return server
 }
 
-// initialPass is where a server's turn begins: an even draw (the stationary one) gives each the first call of
-// as many senders as its part of the load, so that senders begin apart, and none turn to a new
-// server all at once.
+// initialPass draws a server's initial position. The draw is uniform, which is the stationary distribution:
+// each server then gets the first call of as many senders as matches its share of the load, and senders don't
+// all move to a new server at the same time.
 func (s *State) initialPass() float64 { return s.rng.Float64() }
 
-// UpdateServer tells which servers are up; others are forgotten.
+// UpdateServer adds a server or updates whether it is up.
 func (s *State) UpdateServer(id string, up bool) {
+	// With a remote steward, a server that is down gets an entry as well: otherwise RecordReport would create
+	// one that is up, and the steward would count the server as listed by this sender.
 	if !up && s.servers[id] == nil && !s.usesRemoteSteward() {
-		return // a distant steward must not hear of it as listed once this sender has a word of it
+		return
 	}
 	server := s.getOrCreate(id)
 	if up && !server.up {
@@ -143,32 +145,32 @@
 	server.up = up
 }
 
-// coldTTL is how long after its budget was last asked for a server still counts as cold.
+// coldTTL is how long after the latest MaySendCold call a server still counts as cold.
 const coldTTL = time.Second
 
 func (s *serverState) isCold(now Time) bool { return s.wasCold && now-s.coldQueriedAt < coldTTL }
 
-// StartWarmUp begins a server's cold budget.
+// StartWarmUp resets a server's cold budget at the start of its warm-up.
 func (s *State) StartWarmUp(id string) {
 	server := s.getOrCreate(id)
 	server.coldRight, server.grants, server.pass = coldRight{}, nil, s.initialPass()
 }
 
-// RemoveServer drops a server that is gone.
+// RemoveServer drops a server.
 func (s *State) RemoveServer(id string) { delete(s.servers, id) }
 
-// RecordDemand counts a first try that came to this sender.
+// RecordDemand counts the first attempt of a call that arrived at this sender.
 func (s *State) RecordDemand(now Time) { s.demand.add(now, 1) }
 
-// RecordSent counts a set-up that went out. inOrder: it was chosen by Order among the servers that were
-// asked for since the last one; time, as turns count it, goes on to the turn of the one chosen. One
-// that was not (a call's first choice) puts the server's next turn off.
+// RecordSent counts a set-up that was sent. inOrder says that it was chosen by Priority among the servers
+// queried since the last set-up; the positions of all queried servers then advance to the turn of the chosen
+// one. A set-up that was not chosen this way (a call's first choice) only delays the server's next turn.
 func (s *State) RecordSent(now Time, id string, inOrder bool) {
 	server := s.getOrCreate(id)
 	passed := max(server.pass, 0) / max(server.weight(), 1e-9)
 	for _, other := range s.queried {
 		if inOrder {
-			other.pass = max(other.pass-passed*other.weight(), 0) // whose turn was passed over is next, and owed no more
+			other.pass = max(other.pass-passed*other.weight(), 0) // a skipped server is next, without further credit
 		}
 		other.queried = false
 	}
@@ -193,17 +195,17 @@
 	}
 }
 
-// RecordReport takes what this sender has of a server's own figures.
+// RecordReport stores the server's own figures as received by this sender.
 func (s *State) RecordReport(now Time, id string, report Seen) {
 	server := s.getOrCreate(id)
-	if report.Util < 0 && report.Wait < 0 { // no word of its processor
+	if report.Util < 0 && report.Wait < 0 { // no figures of its processor
 		server.report.Lines = report.Lines
 		return
 	}
 	server.report, server.reportAt = report, now
 }
 
-// weight is a server's part of the joint load; where no view tells, the sender's own figure.
+// weight is the server's share from the view or, if there is none, this sender's own estimate.
 func (s *serverState) weight() float64 {
 	if s.share > 0 {
 		return s.share
@@ -211,16 +213,16 @@
 	return max(s.ownEstimate, 1e-3)
 }
 
-// FollowsView tells whether this sender follows a view that is fresh.
+// FollowsView reports whether this sender has a view with shares that has not expired.
 func (s *State) FollowsView(now Time) bool {
 	return s.hasShares && now-s.sharesAt < viewTTLPeriods*s.cfg.period()
 }
 
-// Priority is a server's place among others that are equal to the module: the largest goes first.
-// The next is whose turn comes soonest at its weight (stride scheduling, Waldspurger and Weihl
-// 1995), so that this sender's set-ups lie evenly, however few they are.
-// own is what this sender alone thinks that the server can take beyond its load. The seat is the
-// caller's, one for each server until that is forgotten, and saves a look-up.
+// Priority returns a server's priority among servers that package policy considers equal; the largest goes
+// first. The server whose turn comes soonest at its weight is next (stride scheduling, Waldspurger and Weihl
+// 1995), so that this sender's set-ups are evenly spaced, however few they are. ownEstimate is the set-ups a
+// second that this sender estimates the server can take beyond its load. The caller keeps one ref for each
+// server until it removes the server; it saves a map look-up.
 func (s *State) Priority(now Time, id string, ref *ServerRef, ownEstimate float64) float64 {
 	if ref.server == nil {
 		ref.server = s.getOrCreate(id)
@@ -236,17 +238,17 @@
 	if s.FollowsView(now) && s.isOnDuty(now, id, server) {
 		return math.Inf(1)
 	}
-	if len(server.grants) > 0 && server.isCold(now) { // a granted right is used or lost
+	if len(server.grants) > 0 && server.isCold(now) { // a granted set-up expires if it is not used soon
 		return 1
 	}
 	return -server.pass / server.weight()
 }
 
-// noConnectionPriority is below the place of every server that has a connection.
+// noConnectionPriority is below the priority of every server that has a connection.
 const noConnectionPriority = -1e9
 
-// SetConnected tells of servers that have lost the right to a connection, or come by it: among equals those
-// that have it go first.
+// SetConnected records whether servers have a connection or a slot for one. Servers with one come before
+// those without.
 func (s *State) SetConnected(ids []string, connected bool) {
 	for _, id := range ids {
 		if server := s.servers[id]; server != nil {
@@ -268,10 +270,10 @@
 	}
 }
 
-// rate is a flow, with a memory that fades.
+// rate is an exponentially decaying average of an event rate.
 type rate struct {
 	timeConstant time.Duration
-	average      float64 // events a second
+	average      float64 // events a second at updatedAt
 	updatedAt    Time
 	started      bool
 	startedAt    Time
@@ -285,7 +287,8 @@
 	r.average, r.updatedAt = r.average*decay+count/r.timeConstant.Seconds(), now
 }
 
-// perSecond is the events a second; a young one is scaled by the part of its memory that is filled.
+// perSecond returns the rate in events a second. Until several time constants have passed, it is divided by
+// the filled part of the averaging window.
 func (r *rate) perSecond(now Time) float64 {
 	if !r.started {
 		return 0
@@ -295,8 +298,8 @@
 	return average / filled
 }
 
-// UpServers is what a steward needs of its own process's view: which servers are up, and what all
-// senders together may send to those that are cold, a second.
+// UpServers returns the servers that are up, with the set-ups a second that all senders together may send to
+// each cold one; 0 for a warm one. A steward in the same process takes it as input.
 func (s *State) UpServers(now Time) (coldRates map[string]float64) {
 	coldRates = map[string]float64{}
 	for id, server := range s.servers {
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -14,36 +14,37 @@
 
 const ms = time.Millisecond
 
-// TestRightsNeverDoubled: whatever is lost, late or doubled, however the senders are split over
-// two stewards, whoever stands still for a while and whosever period changes, and where stewards die and come back
-// without memory under a new life, all together never send a cold server more than the budget and what may
-// have been saved up at the start. Stewards have a sight of their own or none, and then some senders own a
-// smaller part, by other settings, and the news of the cold server comes to each in its own time.
+// TestRightsNeverDoubled guards against two processes using the same right to a cold server's budget.
+// Messages are lost, late and duplicated, senders are split over two stewards and stall, periods change, and
+// stewards restart without memory under a new life. Stewards are local or remote; with remote ones, some
+// senders own a smaller part because their settings differ, and each sender learns of the cold server at its
+// own time. All senders together may send no more than the budget and what may have been saved up at the
+// start.
 func TestRightsNeverDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const perSecond, span, step = 8.0, 40 * time.Second, 50 * ms
 		count := rapid.IntRange(2, 12).Draw(t, "senders")
 		loss := rapid.IntRange(0, 60).Draw(t, "loss")
 		maxDelay := time.Duration(rapid.IntRange(1, 2500).Draw(t, "slowest")) * ms
-		switches := rapid.IntRange(0, 40).Draw(t, "flips")    // how often a sender turns to the other steward
-		churn := rapid.IntRange(0, 20).Draw(t, "churn")       // how often somebody's period changes
-		restarts := rapid.IntRange(0, 10).Draw(t, "restarts") // of a steward, in a thousand steps
+		switches := rapid.IntRange(0, 40).Draw(t, "flips")    // changes of steward by a sender, in a thousand steps
+		churn := rapid.IntRange(0, 20).Draw(t, "churn")       // changes of a period, in a thousand steps
+		restarts := rapid.IntRange(0, 10).Draw(t, "restarts") // restarts of a steward, in a thousand steps
 		remote := rapid.Bool().Draw(t, "remote")
 		reload := remote && rapid.Bool().Draw(t, "senders differ")
-		maxNewsDelay := rapid.IntRange(1, 5000).Draw(t, "news") // of the cold server, ms
+		maxNewsDelay := rapid.IntRange(1, 5000).Draw(t, "news") // until a sender learns of the cold server, in ms
 		periods := []time.Duration{100 * ms, 500 * ms, 2 * time.Second}
 		rnd := rapid.Custom(func(t *rapid.T) int { return rapid.IntRange(0, 1<<30).Draw(t, "x") })
 		seed := uint64(rnd.Draw(t, "seed"))
 		draw := func(k int) int { seed = seed*6364136223846793005 + 1442695040888963407; return int(seed>>33) % k }
 		type message struct {
 			at   Time
-			to   int // sender; -1, -2: a steward
+			to   int // index of a sender; -1 and -2 are the stewards
 			sum  Summary
 			view View
 		}
 		var inFlight []message
 		send := func(now Time, m message) {
-			for range 1 + draw(2) { // some twice
+			for range 1 + draw(2) { // duplicates some messages
 				if draw(100) >= loss {
 					m.at = now + time.Duration(draw(int(maxDelay)))
 					inFlight = append(inFlight, m)
@@ -136,7 +137,8 @@
 	})
 }
 
-// TestLevelSharesEvensOutQueues: shares even queues out, by rate; what has no queue is never left out.
+// TestLevelSharesEvensOutQueues checks that shares even out the queues in proportion to the servers' rates,
+// and that a server without a queue is never left out.
 func TestLevelSharesEvensOutQueues(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -146,8 +148,8 @@
 		least, most float64
 	}{
 		{"by rate", []float64{10, 20, 30}, []float64{0, 0, 0}, 30, []float64{5, 10, 15}, 0, 0},
-		{"a queue is spared", []float64{10, 10}, []float64{22.5, 2.5}, 12, []float64{0, 12}, 0, 0},
-		{"overload goes by rate", []float64{10, 20}, []float64{0, 0}, 60, []float64{20, 40}, 0, 0},
+		{"a server with a queue gets less", []float64{10, 10}, []float64{22.5, 2.5}, 12, []float64{0, 12}, 0, 0},
+		{"overload is divided by rate", []float64{10, 20}, []float64{0, 0}, 60, []float64{20, 40}, 0, 0},
 	} {
 		w := NewSteward(Config{Senders: 3})
 		var got []float64
@@ -163,8 +165,9 @@
 	}
 }
 
-// TestSetupsFollowWeights: one sender's set-ups lie by the weights, many senders' first ones lie apart, and the
-// few that each sends lie more evenly together than independent draws would.
+// TestSetupsFollowWeights guards against many senders choosing the same server at the same time. One sender's
+// set-ups must follow the weights, and the first few set-ups of each of many senders must be distributed more
+// evenly than independent random draws.
 func TestSetupsFollowWeights(t *testing.T) {
 	weights := map[string]float64{}
 	totalWeight := 0.0
@@ -210,8 +213,8 @@
 	return best
 }
 
-// TestStaleViewsAndSilentSteward: a view follows its summary, an old one is passed over, and without news for some
-// periods the sender goes on alone and turns to the next steward.
+// TestStaleViewsAndSilentSteward checks that a sender follows fresh views and ignores an older one. If no
+// view arrives for some periods, it goes on alone and sends its summaries to the next steward.
 func TestStaleViewsAndSilentSteward(t *testing.T) {
 	s := New(Config{Name: "a", Life: 7, Senders: 2})
 	s.SetAlive([]string{"a", "b", "c"})
@@ -230,12 +233,12 @@
 	s.HandleView(1600*ms, stale)
 	assert.NotEqual(t, 99, s.view.Senders)
 	first := s.CurrentSteward(1600 * ms)
-	assert.NotEqual(t, first, s.CurrentSteward(4*time.Second), "the next, where the first is silent")
+	assert.NotEqual(t, first, s.CurrentSteward(4*time.Second), "the next steward if the first does not answer")
 	s.ExpireView(5 * time.Second)
 	assert.False(t, s.FollowsView(5*time.Second))
 }
 
-// BenchmarkOrder is the cost of one choice among 24 servers.
+// BenchmarkOrder measures one choice among 24 servers.
 func BenchmarkOrder(b *testing.B) {
 	s := New(Config{Rank: 3, Senders: 300})
 	var ids []string
@@ -252,8 +255,8 @@
 	}
 }
 
-// TestExcessShare: nothing is held back until servers together can't take the demand, nor for queues that
-// do no harm; a server of which nothing is known holds nothing back.
+// TestExcessShare checks that calls are held back only if the servers together can't take the demand or have
+// harmful queues, and not at all if the capacity of a server is unknown.
 func TestExcessShare(t *testing.T) {
 	for _, tc := range []struct {
 		rate, out, demand, want float64
@@ -265,8 +268,8 @@
 	}
 }
 
-// TestOutstandingOverAllSenders: what is unanswered adds up over senders, whatever is lost or doubled, and a sender that
-// dies or begins a new life takes its own off.
+// TestOutstandingOverAllSenders checks that unanswered set-ups add up over senders when summaries are lost,
+// late or duplicated. The set-ups of a sender that dies or restarts are subtracted.
 func TestOutstandingOverAllSenders(t *testing.T) {
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: 2})
 	w.UpdateServer(0, "s", true)
@@ -278,19 +281,19 @@
 	require.True(t, send(0, "a", 1, 1, 5, 2))
 	require.True(t, send(0, "b", 1, 1, 4, 4))
 	assert.EqualValues(t, 3, outstanding())
-	require.True(t, send(100*ms, "a", 1, 3, 9, 7)) // the second was lost
-	assert.False(t, send(200*ms, "a", 1, 2, 6, 3), "and comes late")
-	assert.False(t, send(200*ms, "a", 1, 3, 9, 7), "and the third twice")
+	require.True(t, send(100*ms, "a", 1, 3, 9, 7)) // the second summary is missing
+	assert.False(t, send(200*ms, "a", 1, 2, 6, 3), "the second summary arrives late")
+	assert.False(t, send(200*ms, "a", 1, 3, 9, 7), "the third summary arrives twice")
 	assert.EqualValues(t, 2, outstanding())
-	require.True(t, send(300*ms, "a", 1, 4, 1, 0)) // counts never go back
+	require.True(t, send(300*ms, "a", 1, 4, 1, 0)) // a counter that decreases is ignored
 	assert.EqualValues(t, 2, outstanding())
 	require.True(t, send(400*ms, "a", 2, 1, 1, 0))
-	assert.EqualValues(t, 1, outstanding(), "a new life has its own set-ups alone")
+	assert.EqualValues(t, 1, outstanding(), "only the set-ups of the new life count")
 	require.True(t, send(5*time.Second, "b", 1, 2, 5, 4))
-	assert.EqualValues(t, 1, outstanding(), "a was not heard for long")
+	assert.EqualValues(t, 1, outstanding(), "sender a has expired")
 }
 
-// BenchmarkHear is a steward's work on one summary, of 300 senders to 24 servers.
+// BenchmarkHear measures a steward's work on one summary, with 300 senders and 24 servers.
 func BenchmarkHear(b *testing.B) {
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: 300})
 	var counts []Count
@@ -308,12 +311,12 @@
 	}
 }
 
-// TestAllowanceAndFlowShare: a sender's choices follow its part of what a server takes; answers in time give
-// them back, so that an idle server is never closed to it, and late ones do not.
+// TestAllowanceAndFlowShare checks that a sender's choices follow its part of what a server takes. Answers in
+// time refund the allowance, so that an idle server is never closed to a sender; late answers don't.
 func TestAllowanceAndFlowShare(t *testing.T) {
 	var slow, quick Allowance
 	sent := map[*Allowance]int{}
-	for i := range 200 { // 10 s, a call each 50 ms, a part of 1/10 of 20 a second
+	for i := range 200 { // 10 s with a call every 50 ms and a part of 1/10 of 20 set-ups a second
 		now := Time(i) * 50 * ms
 		for _, a := range []*Allowance{&slow, &quick} {
 			if a.Available(now, 0.1, 20, 0) >= 1 {
@@ -326,30 +329,32 @@
 	assert.InDelta(t, 10*0.1*20*GrowthFactor, sent[&slow], 2)
 	assert.Greater(t, sent[&quick], 180)
 	var p FlowShare
-	assert.InDelta(t, 0.25/300, p.Of(0, 100, 300), 1e-9, "one without calls is not shut out")
+	assert.InDelta(t, 0.25/300, p.Of(0, 100, 300), 1e-9, "a sender without calls is not shut out")
 	for i := range 300 {
 		p.RecordStood(Time(i) * 100 * ms)
 	}
 	assert.InDelta(t, 0.1, p.Of(30*time.Second, 100, 300), 0.01)
 }
 
-// TestFreeLines: lines that are short for all senders together, and the gap for one sender's part.
+// TestFreeLines checks when a server counts as nearly full for all senders together, and the interval between
+// free lines.
 func TestFreeLines(t *testing.T) {
 	l := Lines{Total: 100, Busy: 60, Flow: 6, Hold: 10, ReportedAt: 0}
 	assert.False(t, l.NearlyFull(time.Second, ReportInterval(time.Second)))
 	l.Busy = 97
-	assert.True(t, l.NearlyFull(time.Second, ReportInterval(time.Second)), "all may send 1 + 2 roots of 6 unseen")
+	assert.True(t, l.NearlyFull(time.Second, ReportInterval(time.Second)), "all senders may send 1 + 2*sqrt(6) between two reports")
 	l.Busy, l.Exhausted = 10, true
-	assert.True(t, l.NearlyFull(0, 0), "it had none")
+	assert.True(t, l.NearlyFull(0, 0), "the server has refused a set-up")
 	assert.InDelta(t, float64(30*time.Second), float64(l.FreeInterval(300)), 1e6)
 	assert.True(t, math.IsInf(SpareRate(0, 0, 0, 0, 0, 0), 1))
 }
 
-// TestLoansAndGrantsWithDifferentPeriods: where periods differ or change, a right is lent for what its sender said, and
-// a grant holds no longer than its steward counts on.
+// TestLoansAndGrantsWithDifferentPeriods guards against a right that is used twice because sender and steward
+// have different or changing periods: a loan lasts by the sender's period, and a grant no longer than its
+// steward counts on.
 func TestLoansAndGrantsWithDifferentPeriods(t *testing.T) {
 	const short, long = 100 * ms, 2 * time.Second
-	lendOnce := func(sender, steward time.Duration) (*State, *Steward) { // lends at 10 ms by a view of 0
+	lendOnce := func(sender, steward time.Duration) (*State, *Steward) { // lends at 10 ms, dated by the view sent at 0
 		s := New(Config{Name: "a", Life: 1, Senders: 1, Period: sender})
 		w := NewSteward(Config{Name: "w", Life: 1, Senders: 1, Period: steward})
 		s.UpdateServer("s", true)
@@ -362,13 +367,13 @@
 		return s, w
 	}
 	s, w := lendOnce(short, long)
-	assert.Zero(t, w.lentShare(10*ms), "the sender has its right back before a grant of it would end")
+	assert.Zero(t, w.lentShare(10*ms), "the loan ends before a grant of it would")
 	assert.False(t, s.rightsLent(500*ms))
 	s, w = lendOnce(long, short)
 	assert.EqualValues(t, 1, w.lentShare(10*ms))
 	s.recordSummary(20*ms, 9)
 	s.addGrant(20*ms, s.getOrCreate("s"), 1, 9, short)
-	assert.Equal(t, 220*ms, s.getOrCreate("s").grants[0].until, "the steward's period, not its own")
+	assert.Equal(t, 220*ms, s.getOrCreate("s").grants[0].until, "a grant lasts by the steward's period")
 	s.SetPeriod(short)
-	assert.True(t, s.rightsLent(7*time.Second), "lent for what it was lent for")
+	assert.True(t, s.rightsLent(7*time.Second), "a loan keeps its duration when the period changes")
 }
--- a/spread/steward.go
+++ b/spread/steward.go
@@ -7,54 +7,56 @@
 	"time"
 )
 
-// The steward's figures.
+// Constants of the steward's estimates.
 const (
-	slowRateWindow          = 30 * time.Second       // memory of a server's capacity: its error is load that lies unevenly
-	fastRateWindow          = 2 * time.Second        // and what shows that it has changed,
-	capacityChangeThreshold = 0.4                    // by so much of it,
-	minFastSetups           = 20                     // seen over so many set-ups
-	minSlowdownQueue        = 5                      // or that it has slowed down, by a queue of so many
-	minHeardShare           = 0.85                   // of the senders: of fewer, what a server does for them tells nothing of what it can do
-	horizonPeriods          = 3                      // periods in which queues are to be level
-	normalAnswerTime        = 250 * time.Millisecond // of a set-up that meets no queue: so many unanswered are none
-	harmlessWait            = 600 * time.Millisecond // a wait that does no harm: calls are held back beyond it
-	busyWaitSeconds         = 0.3                    // seconds: a server with such a wait works as fast as it can
+	slowRateWindow          = 30 * time.Second       // averaging time of a server's capacity; its errors unbalance the load
+	fastRateWindow          = 2 * time.Second        // averaging time of the rate that detects a changed capacity
+	capacityChangeThreshold = 0.4                    // relative change of the capacity that is detected
+	minFastSetups           = 20                     // set-ups within fastRateWindow needed to detect a change
+	minSlowdownQueue        = 5                      // queued set-ups that show that a busy server has slowed down
+	minHeardShare           = 0.85                   // share of the senders; with fewer, completed set-ups don't show a server's capacity
+	horizonPeriods          = 3                      // periods within which all queues should become equally long
+	normalAnswerTime        = 250 * time.Millisecond // answer time without a queue; set-ups sent within it don't count as queued
+	harmlessWait            = 600 * time.Millisecond // wait that does no harm; calls are held back only beyond it
+	busyWaitSeconds         = 0.3                    // a server with a longer wait works at full capacity
 	busyUtilization         = 0.97
-	maxReportAge            = 2 * time.Second // figures older than this tell nothing
-	minUtilization          = 0.15            // below, a server's use tells little of what it can take
+	maxReportAge            = 2 * time.Second // older reports of a server's load are ignored
+	minUtilization          = 0.15            // below it, utilization is too imprecise to estimate capacity
 )
 
-// Steward puts the summaries of senders together. It is not safe for concurrent use, and keeps
-// nothing that a new one does not learn within some periods. What it does for one summary grows with
-// the servers; it goes through the senders at a look alone, four times a period at most.
+// Steward combines the summaries of all senders. It is not safe for concurrent use and keeps no state that a
+// new one doesn't learn within a few periods. Its work for one summary grows with the number of servers; it
+// visits all senders only in evaluate, at most four times a period, and in isOnDuty, once for each idle
+// server after the set of senders has changed.
 type Steward struct {
 	cfg            Config
-	remote         bool // it has no sight of its own (remote.go)
+	remote         bool // it learns servers and senders from summaries alone (remote.go)
 	seq            uint64
 	senders        map[string]*senderRecord
 	servers        map[string]*jointServer
-	sorted         []*jointServer // the same, by id
+	sorted         []*jointServer // the same servers, sorted by id
 	hold           float64
-	demand         float64 // of all senders, kept as they tell
-	loanEnds       []Time  // until when the rights of each who lends are lent, in order
+	demand         float64 // first attempts a second of all senders, updated with each summary
+	loanEnds       []Time  // ends of the loans of all lending senders, sorted
 	evaluatedAt    Time
 	evaluated      bool
-	viewTimes      []Time // when the latest views went out, for loans; the last is of number seq
-	sendersVisited int    // senders gone through, since the start
+	viewTimes      []Time // when the latest views were sent, to date loans; the last entry is for view number seq
+	sendersVisited int    // senders visited since the start; the tests bound it
 	coldDues       []coldDue
-	remoteState    // what only a remote one has
+	remoteState    // state of a remote steward
 }
 
-// senderRecord is what the steward holds of one.
+// senderRecord is what the steward keeps about one sender.
 type senderRecord struct {
-	latest    Summary // without its counts
+	latest    Summary // the latest summary, without its counts
 	heardAt   Time
-	lentUntil Time          // its rights are lent until then
-	counts    []countRecord // of its counts, by server
-	silent    bool          // it was not heard for long; only its loan is left
+	lentUntil Time          // its rights are lent to this steward until then
+	counts    []countRecord // its latest counts, sorted by server
+	silent    bool          // no summary for long; the record is kept only for the loan
 }
 
-// countRecord is a sender's latest word of a server, and the joint whose sums it is in; nil: in none.
+// countRecord is a sender's latest count for a server, and the server whose sums include it; nil if none
+// does.
 type countRecord struct {
 	id         string
 	server     *jointServer
@@ -63,41 +65,41 @@
 	up         bool
 }
 
-// jointServer is a server as all senders together see it.
+// jointServer is a server as seen by all senders together.
 type jointServer struct {
 	id            string
-	outstanding   float64 // unanswered now
+	outstanding   float64 // unanswered set-ups of all senders
 	doneSlow      rate
 	doneFast      rate
-	capacity      float64 // set-ups a second that it can take; 0: not known
+	capacity      float64 // set-ups a second that it can take; 0 if not known
 	lines         float64
 	util          float64
-	reportsUtil   bool // it tells of its use
+	reportsUtil   bool // it reports its utilization
 	wait          float64
 	reportAt      Time
 	lastSentAt    Time
-	upSince       Time // since when it is in views
+	upSince       Time // when it was added to the views
 	share         float64
-	lentTokens    bucket // of lent rights, in set-ups
+	lentTokens    bucket // lent rights to its cold budget, in set-ups
 	coldRate      float64
-	up            bool // it is in views
-	removed       bool // the steward has dropped it
-	serverReports      // what only a remote steward has
+	up            bool // it is included in views
+	removed       bool // the steward has removed it
+	serverReports      // reports about it, counted by a remote steward
 }
 
-// coldDue is a cold server and its place among a view's dues.
+// coldDue is a cold server and the index of its entry in a view's Dues.
 type coldDue struct {
 	server *jointServer
 	index  int
 }
 
-// NewSteward returns one that has heard nobody.
+// NewSteward returns a steward that has not received any summary.
 func NewSteward(cfg Config) *Steward {
 	return &Steward{cfg: cfg, senders: map[string]*senderRecord{}, servers: map[string]*jointServer{}}
 }
 
-// SetColdRate tells what all senders together may send to a cold server, a second, by the steward's own
-// reckoning; 0 ends it.
+// SetColdRate sets the set-ups a second that all senders together may send to a cold server, as known to the
+// steward's own process; 0 marks the server as warm.
 func (w *Steward) SetColdRate(now Time, id string, perSecond float64) {
 	w.getOrCreate(now, id).setColdRate(perSecond)
 }
@@ -109,7 +111,7 @@
 	}
 }
 
-// UpdateServer tells which servers are up.
+// UpdateServer adds a server that is up and removes one that is not.
 func (w *Steward) UpdateServer(now Time, id string, up bool) {
 	if !up {
 		w.remove(w.servers[id])
@@ -118,7 +120,7 @@
 	w.getOrCreate(now, id).up = true
 }
 
-// position is where a server is, or would be, in the order.
+// position returns the index of a server in the sorted list, or where it would be inserted.
 func (w *Steward) position(id string) int {
 	index, _ := slices.BinarySearchFunc(w.sorted, id, func(j *jointServer, id string) int { return cmp.Compare(j.id, id) })
 	return index
@@ -144,7 +146,8 @@
 	return server
 }
 
-// HandleSummary takes a summary and answers it. ok is false for one that is older than one heard before.
+// HandleSummary processes a summary and returns the view that answers it. ok is false if the summary is older
+// than one received before.
 func (w *Steward) HandleSummary(now Time, summary Summary) (View, bool) {
 	sender := w.senders[summary.From.Name]
 	switch {
@@ -153,9 +156,9 @@
 		w.senders[summary.From.Name] = sender
 	case summary.From.Life < sender.latest.From.Life || summary.From.Life == sender.latest.From.Life && summary.From.Seq <= sender.latest.From.Seq:
 		return View{}, false
-	case summary.From.Life != sender.latest.From.Life: // the set-ups of its former life are over
+	case summary.From.Life != sender.latest.From.Life: // the set-ups of its previous run are over
 		w.removeCounts(sender)
-		if w.remote { // and its new one uses its right itself
+		if w.remote { // the new run uses its right itself
 			w.setLoanEnd(sender, 0)
 		}
 	}
@@ -171,20 +174,20 @@
 	return w.buildView(now, summary), true
 }
 
-// applyCounts takes a sender's counts, which its summary has in the order of the servers' ids.
+// applyCounts processes a sender's counts, which a summary normally has sorted by server id.
 func (w *Steward) applyCounts(now Time, sender *senderRecord, counts []Count) {
 	byID := func(a, b Count) int { return cmp.Compare(a.Server, b.Server) }
 	if !slices.IsSortedFunc(counts, byID) {
 		counts = slices.Clone(counts)
 		slices.SortStableFunc(counts, byID)
 	}
-	next := sender.counts[:0] // each is read before it is written
+	next := sender.counts[:0] // reuses the array: each element is read before it is overwritten
 	if !slices.EqualFunc(sender.counts, counts, func(k countRecord, c Count) bool { return k.id == c.Server }) {
 		next = make([]countRecord, 0, len(counts))
 	}
 	i, previous := 0, ""
 	for _, c := range counts {
-		if c.Server == previous { // twice in one summary
+		if c.Server == previous { // a duplicate within one summary
 			continue
 		}
 		previous = c.Server
@@ -198,25 +201,25 @@
 		}
 		next = append(next, w.applyCount(now, record, c))
 	}
-	for ; i < len(sender.counts); i++ { // servers that it no longer names
+	for ; i < len(sender.counts); i++ { // servers that the sender no longer names
 		w.removeCount(sender.counts[i])
 	}
 	sender.counts = next
 }
 
-// applyCount adds what a sender sent to a server since its summary before, and returns its word.
+// applyCount adds a sender's set-ups to a server since its previous summary and returns the new record.
 func (w *Steward) applyCount(now Time, previous countRecord, count Count) countRecord {
 	server := previous.server
 	if server == nil || server.removed {
-		// Its first word to this joint: what it sent before came over a time not known. So did what it
-		// sent to a server that left the steward's list and came back.
+		// This is the sender's first count for this entry, so the time in which its earlier set-ups were sent
+		// is unknown. The same holds for a server that left the steward's list and came back.
 		previous = countRecord{}
 		if server = w.serverFor(now, count); server == nil || count.Done > count.Sent {
 			return countRecord{id: count.Server}
 		}
 	}
 	first := previous.server == nil
-	if count.Sent < previous.sent || count.Done < previous.done || count.Done > count.Sent { // no count of a sender's goes back
+	if count.Sent < previous.sent || count.Done < previous.done || count.Done > count.Sent { // a sender's counts never decrease
 		return previous
 	}
 	sent, done := float64(count.Sent-previous.sent), float64(count.Done-previous.done)
@@ -247,7 +250,7 @@
 	return current
 }
 
-// serverFor is the joint of a server that a sender names for the first time; nil: on no list.
+// serverFor returns the entry of a server that a sender names for the first time; nil if it is not listed.
 func (w *Steward) serverFor(now Time, count Count) *jointServer {
 	if w.remote {
 		return w.getOrCreate(now, count.Server)
@@ -255,7 +258,7 @@
 	return w.servers[count.Server]
 }
 
-// removeCount takes a sender's word of a server off the sums.
+// removeCount subtracts a sender's count from the sums of its server.
 func (w *Steward) removeCount(record countRecord) {
 	if record.server != nil {
 		record.server.outstanding -= float64(record.sent - record.done)
@@ -263,7 +266,7 @@
 	}
 }
 
-// removeCounts takes what a sender had out off the sums: it has died, or was not heard for long.
+// removeCounts subtracts all counts of a sender that restarted or was not heard for long.
 func (w *Steward) removeCounts(sender *senderRecord) {
 	for _, record := range sender.counts {
 		w.removeCount(record)
@@ -271,7 +274,7 @@
 	sender.counts = nil
 }
 
-// evaluate works the shares out anew, a few times in a period at most.
+// evaluate recalculates the shares, at most four times a period.
 func (w *Steward) evaluate(now Time) {
 	if w.evaluated && now-w.evaluatedAt < w.cfg.period()/4 {
 		return
@@ -282,7 +285,7 @@
 	for _, sender := range w.senders {
 		longest = max(longest, sender.latest.Period)
 	}
-	for len(w.viewTimes) > 0 && now > w.viewTimes[0]+loanDuration(longest) { // no loan by an older view holds any more
+	for len(w.viewTimes) > 0 && now > w.viewTimes[0]+loanDuration(longest) { // any loan dated by an older view has ended
 		w.viewTimes = w.viewTimes[1:]
 	}
 	demand, all := 0.0, 0.0
@@ -291,7 +294,7 @@
 			w.sendersChanged = w.sendersChanged || !sender.silent
 			sender.silent = true
 			w.removeCounts(sender)
-			if now > sender.lentUntil { // its loan has come to its end, too
+			if now > sender.lentUntil { // its loan has ended as well
 				w.setLoanEnd(sender, 0)
 				delete(w.senders, name)
 				continue
@@ -301,7 +304,7 @@
 		}
 		all += sender.latest.Demand
 	}
-	w.demand = all // what was kept is off by what sums of floats lose
+	w.demand = all // corrects the rounding errors of the running sum
 	if w.remote {
 		w.aggregateReports(now)
 	}
@@ -318,15 +321,15 @@
 	}
 }
 
-// excessShare is the share of the demand that servers together can't take, with what waits worked off in
-// the horizon but for a wait that does no harm.
+// excessShare returns the share of the demand that all servers together can't take while they also work off,
+// within the horizon, their queues beyond a harmless wait.
 func (w *Steward) excessShare(demand float64) float64 {
 	horizon, capacity := (horizonPeriods * w.cfg.period()).Seconds(), 0.0
 	for _, server := range w.sorted {
 		if !server.up {
 			continue
 		}
-		if server.capacity == 0 { // not known: nothing is held back for its sake
+		if server.capacity == 0 { // with unknown capacity nothing is held back
 			return 0
 		}
 		capacity += max(server.capacity-max(server.outstanding-server.capacity*harmlessWait.Seconds(), 0)/horizon, 0)
@@ -337,11 +340,12 @@
 	return 1 - capacity/demand
 }
 
-// estimateCapacity learns what a server can take: what it does while it is busy all the time, and otherwise
-// what it does for each part of its time. The slow figure is kept until the fast one lies apart.
+// estimateCapacity estimates the set-ups a second that a server can take. For a server at full capacity that
+// is its completed set-ups a second; otherwise these are divided by its utilization. The slow average is used
+// until the fast one differs too much.
 func (w *Steward) estimateCapacity(now Time, server *jointServer) {
 	if float64(len(w.senders)) < minHeardShare*float64(w.configuredSenders()) {
-		return // what servers do for those that are not heard would look like less that they can do
+		return // set-ups of senders that are not heard are missing, so the capacity would be underestimated
 	}
 	slow, fast := server.doneSlow.perSecond(now), server.doneFast.perSecond(now)
 	busy := server.util >= busyUtilization || server.wait > busyWaitSeconds || fast > 0 && server.outstanding/fast > 2*busyWaitSeconds
@@ -364,13 +368,13 @@
 	}
 }
 
-// levelShares shares the demand out so that every server's queue, in time, is the same at the horizon:
-// water is poured into vessels that stand as high as their queues (the sizes are their rates).
+// levelShares divides the demand so that the queues of all servers take the same time to work off at the
+// horizon. This is water-filling: each server starts at the height of its queue, and its width is its rate.
 func (w *Steward) levelShares(now Time, demand float64) {
 	horizon := (horizonPeriods * w.cfg.period()).Seconds()
 	type candidate struct {
 		server     *jointServer
-		rate, base float64 // the wait that its queue makes beyond what it works off in t
+		rate, base float64 // time to work off its queue, less the horizon, in seconds
 	}
 	var known ServerTotals
 	for _, server := range w.sorted {
@@ -383,7 +387,7 @@
 		if !server.up {
 			continue
 		}
-		// A server that has not shown what it can take stands for as much as the others of its size.
+		// A server of unknown capacity is assumed to take as much as the others of its size.
 		rate := cmp.Or(server.capacity, known.EstimateRate(server.lines), max(server.lines, 1))
 		if server.coldRate > 0 {
 			rate = min(rate, server.coldRate)
@@ -392,7 +396,8 @@
 		candidates = append(candidates, candidate{server, rate, queue/rate - horizon})
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.base, b.base) })
-	// The level L at which sum of rate*(L-top) over the vessels below it is the demand in t.
+	// Find the level at which the sum of rate*(level-base) over the servers with a base below it equals the
+	// demand within the horizon.
 	sumRate, sumBase, level := 0.0, 0.0, 0.0
 	for i, c := range candidates {
 		sumRate, sumBase = sumRate+c.rate, sumBase+c.rate*c.base
@@ -406,19 +411,19 @@
 	}
 }
 
-// acceptLoan takes the rights that a summary lends, by the clock of the view that it echoes.
+// acceptLoan records the rights that a summary lends, dated by the view that the summary echoes.
 func (w *Steward) acceptLoan(now Time, sender *senderRecord, summary Summary) {
-	if w.remote && summary.Senders == 0 { // its part is not known
+	if w.remote && summary.Senders == 0 { // without the number of senders, the size of its right is unknown
 		return
 	}
-	viewsAgo := w.seq - summary.Echo.Seq // views ago
+	viewsAgo := w.seq - summary.Echo.Seq // number of views sent since the echoed one
 	if summary.Lends && summary.Echo.Seq <= w.seq && viewsAgo < uint64(len(w.viewTimes)) && summary.Echo.Name == w.cfg.Name && summary.Echo.Life == w.cfg.Life {
 		viewTime := w.viewTimes[uint64(len(w.viewTimes))-1-viewsAgo]
 		w.setLoanEnd(sender, max(sender.lentUntil, viewTime+loanDuration(cmp.Or(summary.Period, w.cfg.period()))))
 	}
 }
 
-// setLoanEnd notes until when a sender's rights are lent; 0: not at all.
+// setLoanEnd records until when a sender's rights are lent; 0 means that they are not lent.
 func (w *Steward) setLoanEnd(sender *senderRecord, until Time) {
 	if sender.lentUntil == until {
 		return
@@ -433,25 +438,26 @@
 	}
 }
 
-// lenders is how many senders' rights are lent here for as long as a grant made now may be used.
+// lenders returns how many senders' rights are lent for at least as long as a grant made now can be used.
 func (w *Steward) lenders(now Time) int {
 	at, _ := slices.BinarySearch(w.loanEnds, now+grantPeriods*w.cfg.period())
 	return len(w.loanEnds) - at
 }
 
-// lentShare is the share of all rights that is lent here for as long as a grant made now may be used.
+// lentShare returns the share of all rights that is lent for at least as long as a grant made now can be
+// used.
 func (w *Steward) lentShare(now Time) float64 {
 	return min(float64(w.lenders(now))/float64(max(w.rightParts(), 1)), 1)
 }
 
-// buildView words the answer to a summary, with what its sender may send to cold servers.
+// buildView builds the answer to a summary, with the set-ups that its sender may send to cold servers.
 func (w *Steward) buildView(now Time, summary Summary) View {
 	w.seq++
 	w.viewTimes = append(w.viewTimes, now)
 	view := View{From: Stamp{w.cfg.Name, w.cfg.Life, w.seq}, Echo: summary.From, Senders: len(w.senders), Hold: w.hold, Period: w.cfg.period(),
 		Demand: max(w.demand, 0), Dues: make([]Due, 0, len(w.sorted))}
 	lentShare := w.lentShare(now)
-	expectedCalls := summary.Demand * cmp.Or(summary.Period, w.cfg.period()).Seconds() // calls that it will have before the next view
+	expectedCalls := summary.Demand * cmp.Or(summary.Period, w.cfg.period()).Seconds() // calls that it expects until its next view
 	w.coldDues = w.coldDues[:0]
 	for _, server := range w.sorted {
 		if !server.up || len(view.Dues) == maxServers {
@@ -468,9 +474,10 @@
 		view.Dues = append(view.Dues, due)
 	}
 	for i := range w.coldDues {
-		// Where it wants less than all could be granted, another server comes first each time.
+		// Rotate the order, so that each server gets its turn if the sender expects fewer calls than could be
+		// granted.
 		cold := w.coldDues[(uint64(i)+w.seq)%uint64(len(w.coldDues))]
-		// No more than a period's rights are saved up: a burst of old ones would push it over.
+		// Save up at most the rights of one period; a burst of older ones would overload the server.
 		coldRate := cold.server.coldRate * lentShare
 		cold.server.lentTokens.refill(now, coldRate, 0, max(1, coldRate*w.cfg.period().Seconds()))
 		if cold.server.lentTokens.tokens >= 1 && expectedCalls >= 0.25 {
@@ -482,8 +489,8 @@
 	return view
 }
 
-// SetServers brings what the steward's own process has of the servers: those that are up, with what all
-// senders together may send to a cold one, a second (0: it is warm). Others are forgotten.
+// SetServers replaces the list of servers with the ones known to the steward's own process: those that are
+// up, with the set-ups a second that all senders together may send to a cold one (0: it is warm).
 func (w *Steward) SetServers(now Time, coldRates map[string]float64) {
 	for id, server := range w.servers {
 		if _, ok := coldRates[id]; !ok {
--- a/spread/view.go
+++ b/spread/view.go
@@ -9,77 +9,80 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seen is a server's own figures as one sender has them; Util and Wait are negative where it tells none.
+// Seen holds a server's own figures as received by one sender. Util and Wait are negative if the server does
+// not report them.
 type Seen struct {
-	Lines float64 `json:"t,omitempty"` // all of them; 0: not known
+	Lines float64 `json:"t,omitempty"` // number of all its lines; 0 if not known
 	Util  float64 `json:"u"`
-	Wait  float64 `json:"q"` // seconds
+	Wait  float64 `json:"q"` // wait at its processor, in seconds
 }
 
-// Count is what a sender sent to one server since the sender's start, and what became of it. The
-// counts only grow, so a summary that is lost, doubled or late costs nothing.
+// Count is what a sender sent to one server since the sender's start, and the outcome. The counters only
+// grow, so a lost, duplicated or late summary does no harm.
 type Count struct {
 	Server string `json:"s"`
 	Sent   uint64 `json:"n"`
 	Done   uint64 `json:"d"`
 	Stood  uint64 `json:"k"`
 	Seen
-	Age time.Duration `json:"a,omitempty"` // of the figures
+	Age time.Duration `json:"a,omitempty"` // age of the figures in Seen
 
-	// For a steward that has no sight of its own (NewRemoteSteward); told where Config.Stewards is set.
-	Cold float64 `json:"w,omitempty"` // set-ups a second that all senders together may send it, by this sender's sight; 0: it is warm
-	Down bool    `json:"x,omitempty"` // it is on this sender's list no more, and has set-ups unanswered
+	// These are for a steward that learns servers from summaries alone (NewRemoteSteward). They are set if
+	// Config.Stewards is set.
+	Cold float64 `json:"w,omitempty"` // set-ups a second that all senders may send it, as known here; 0 if warm
+	Down bool    `json:"x,omitempty"` // it is no longer on this sender's list but has unanswered set-ups
 }
 
-// Stamp names one message of a process.
+// Stamp identifies one message of a process.
 type Stamp struct {
 	Name string `json:"n"`
 	Life int64  `json:"l"`
 	Seq  uint64 `json:"q"`
 }
 
-// Summary is what a sender tells the steward, every period.
+// Summary is a sender's message to the steward, sent every period.
 type Summary struct {
 	From   Stamp         `json:"f"`
-	Echo   Stamp         `json:"e"` // the latest view it has; its rights are lent by this view's clock
-	Lends  bool          `json:"l"` // its rights to cold servers, until lendPeriods after the view it echoes
-	Demand float64       `json:"d"` // first tries a second
+	Echo   Stamp         `json:"e"` // the sender's latest view; loans are dated by when the steward sent it
+	Lends  bool          `json:"l"` // its rights to cold servers are lent until loanPeriods after the echoed view
+	Demand float64       `json:"d"` // first attempts of calls a second
 	Counts []Count       `json:"c"`
-	Period time.Duration `json:"p,omitempty"` // the sender's; 0: not told, as by older versions
-	// Senders is how many there are by the sender's settings; 0: not told, as where Config.Stewards is empty.
+	Period time.Duration `json:"p,omitempty"` // the sender's period; 0 if not given, as by older versions
+	// Senders is the number of senders in the sender's settings; 0 if not given, as when Config.Stewards is
+	// empty.
 	Senders int `json:"n,omitempty"`
 }
 
-// Due is what the steward tells of one server.
+// Due is what the steward says about one server.
 type Due struct {
 	Server string        `json:"s"`
-	Share  float64       `json:"x"`           // set-ups a second that it is to get from all
-	Rate   float64       `json:"r,omitempty"` // that it can take
-	Out    float64       `json:"o,omitempty"` // unanswered, of all senders
-	Idle   time.Duration `json:"i,omitempty"` // since anybody sent it one
-	Grant  int           `json:"g,omitempty"` // set-ups that the hearer may send it while it is cold
-	Duty   bool          `json:"y,omitempty"` // it is idle, and the hearer's next call is to go there; a remote steward alone says so
+	Share  float64       `json:"x"`           // set-ups a second that it should get from all senders together
+	Rate   float64       `json:"r,omitempty"` // set-ups a second that it can take; 0 if not known
+	Out    float64       `json:"o,omitempty"` // unanswered set-ups of all senders
+	Idle   time.Duration `json:"i,omitempty"` // time since any sender sent it a set-up
+	Grant  int           `json:"g,omitempty"` // set-ups that the receiver may send it while it is cold
+	Duty   bool          `json:"y,omitempty"` // it is idle and gets the receiver's next call; set by remote stewards only
 }
 
-// View is what the steward tells one sender in answer to a summary.
+// View is the steward's answer to a sender's summary.
 type View struct {
 	From    Stamp         `json:"f"`
-	Echo    Stamp         `json:"e"`           // the summary that it answers: grants hold from when that was sent
-	Senders int           `json:"n"`           // heard lately
-	Demand  float64       `json:"d"`           // of all of them
+	Echo    Stamp         `json:"e"`           // the answered summary; grants are valid from when that was sent
+	Senders int           `json:"n"`           // number of senders heard lately
+	Demand  float64       `json:"d"`           // first attempts of calls a second, of all senders
 	Hold    float64       `json:"h,omitempty"` // share of the calls that all servers together can't take
 	Dues    []Due         `json:"v"`
-	Period  time.Duration `json:"p,omitempty"` // the steward's; 0: not told
+	Period  time.Duration `json:"p,omitempty"` // the steward's period; 0 if not given
 }
 
-// StewardAt names who of those alive is to be told, by rendezvous hashing (Thaler and
-// Ravishankar 1998): place 0 is the first, and the next follow where it is silent.
+// StewardAt returns the steward among live senders, by rendezvous hashing (Thaler and Ravishankar 1998). Rank
+// 0 is the first choice; the next ranks follow if it does not answer.
 func StewardAt(alive []string, rank int) string { return Rendezvous(alive, stewardKey, rank) }
 
-// stewardKey orders senders that are steward themselves.
+// stewardKey is the hash key for senders that are stewards themselves.
 const stewardKey = "steward"
 
-// Rendezvous is the name at a place of the order that a key gives to names.
+// Rendezvous returns the name at a rank of the order that rendezvous hashing with a key gives to names.
 func Rendezvous(names []string, key string, rank int) string {
 	if len(names) == 0 {
 		return ""
@@ -98,7 +101,7 @@
 	return all[rank%len(all)].name
 }
 
-// SetAlive tells which senders are thought alive, this one among them.
+// SetAlive sets the names of the senders considered alive, including this one.
 func (s *State) SetAlive(names []string) {
 	if slices.Equal(names, s.alive) {
 		return
@@ -109,7 +112,7 @@
 	}
 }
 
-// rankFor is this sender's place in the order that a server's id gives to all of them.
+// rankFor returns this sender's rank among the live senders, in the hash order for a server's id.
 func (s *State) rankFor(id string, server *serverState) int {
 	if !server.rankKnown {
 		mine := score(id, s.cfg.Name)
@@ -128,8 +131,8 @@
 	return xxhash.Sum64(append(append(append(buffer[:0], key...), 0), name...))
 }
 
-// CurrentSteward is whom this sender tells now: the first in order or, where its views have not come
-// for some periods, the next.
+// CurrentSteward returns the steward to send the next summary to: the first in order, or a later one if no
+// views have arrived for some periods.
 func (s *State) CurrentSteward(now Time) string {
 	if s.usesRemoteSteward() {
 		return s.chooseRemoteSteward(now)
@@ -141,27 +144,27 @@
 	return StewardAt(s.alive, rank)
 }
 
-// usesRemoteSteward tells whether stewards are no senders.
+// usesRemoteSteward reports whether the stewards are processes other than the senders.
 func (s *State) usesRemoteSteward() bool { return len(s.cfg.Stewards) > 0 }
 
-// stewardChoice is which of Config.Stewards a sender tells. Nobody takes a dead machine off that list, as the
-// membership takes a dead sender off those alive. So a sender stays with the next one for as long as that
-// answers, and turns to the first again with one summary now and then; by its first answer it comes back.
-// All senders are back within that time. While they are not, two stewards hear some of them each, and
-// one that hears less than half tells nothing.
+// stewardChoice is the choice of a steward from Config.Stewards. Unlike the list of live senders, from which
+// membership removes dead ones, this list keeps machines that are down. So a sender stays with the next
+// steward for as long as that answers, but sends one summary to the first every stewardRetryPeriods and
+// returns to it with its first answer. All senders are back within that time. Until then, two stewards each
+// hear some of the senders, and one that hears fewer than half sends no shares.
 type stewardChoice struct {
 	started      bool
 	rank         int
-	since        Time // it turned to whom it tells
-	triedFirstAt Time // it last tried the first
+	since        Time // when the current steward was chosen
+	triedFirstAt Time // when the first steward was last tried
 }
 
 const (
-	stewardTimeoutPeriods = 3 // a steward whose views have not come for so long is passed over for the next
-	stewardRetryPeriods   = 8 // and tried again so long after
+	stewardTimeoutPeriods = 3 // without a view for this long, a sender turns to the next steward
+	stewardRetryPeriods   = 8 // and tries the first one again after this long
 )
 
-// chooseRemoteSteward is Steward where Config.Stewards names them.
+// chooseRemoteSteward implements CurrentSteward if Config.Stewards is set.
 func (s *State) chooseRemoteSteward(now Time) string {
 	choice := &s.stewardChoice
 	switch {
@@ -181,7 +184,7 @@
 	return Rendezvous(s.cfg.Stewards, cmp.Or(s.cfg.Service, stewardKey), rank)
 }
 
-// BuildSummary words what this sender knows, for the steward that it names.
+// BuildSummary returns the next summary of what this sender knows, for the named steward.
 func (s *State) BuildSummary(now Time, steward string) Summary {
 	s.seq++
 	summary := Summary{From: Stamp{s.cfg.Name, s.cfg.Life, s.seq}, Demand: s.demand.perSecond(now), Period: s.cfg.period()}
@@ -208,8 +211,8 @@
 	return summary
 }
 
-// HandleView takes a view, and tells whether it is news: one that is older than another heard before,
-// or answers an earlier life of this sender, is passed over.
+// HandleView processes a view and reports whether it was new. A view that is older than one received before,
+// or that answers an earlier run of this sender, is ignored.
 func (s *State) HandleView(now Time, view View) bool {
 	if view.Echo.Name != s.cfg.Name || view.Echo.Life != s.cfg.Life {
 		return false
@@ -218,25 +221,25 @@
 		return false
 	}
 	s.view, s.lastViewAt = &view, now
-	// A distant steward that is unsure tells no shares, and what was told before holds on.
+	// A remote steward that lacks data sends no shares; the previous shares then stay valid.
 	hasShares := !s.usesRemoteSteward() || slices.ContainsFunc(view.Dues, func(d Due) bool { return d.Share > 0 })
 	if hasShares {
 		s.hasShares, s.sharesAt = true, now
 	}
 	answered := s.recentSummaries[view.Echo.Seq%uint64(len(s.recentSummaries))]
 	if choice := &s.stewardChoice; choice.rank > 0 && answered.seq == view.Echo.Seq && answered.sentAt >= choice.since && view.From.Name == s.remoteStewardAt(0) {
-		choice.rank, choice.since = 0, now // the first is there again
+		choice.rank, choice.since = 0, now // the first steward answers again
 	}
 	inView := map[string]bool{}
 	for _, due := range view.Dues {
 		if s.usesRemoteSteward() && s.servers[due.Server] == nil {
-			continue // it is on no list of this sender's, and none is made of a view
+			continue // a view must not add servers that are not on this sender's list
 		}
 		inView[due.Server] = true
 		server := s.getOrCreate(due.Server)
 		if hasShares {
 			server.share, server.due = max(due.Share, 1e-6), due
-			server.due.Duty = due.Duty && answered.seq == view.Echo.Seq && server.lastSentAt < answered.sentAt // it has not done it since
+			server.due.Duty = due.Duty && answered.seq == view.Echo.Seq && server.lastSentAt < answered.sentAt // not sent since that summary
 		}
 		if due.Grant > 0 {
 			s.addGrant(now, server, due.Grant, view.Echo.Seq, view.Period)
@@ -250,13 +253,13 @@
 	return true
 }
 
-// maxIdle is how long a healthy server may get nothing before one sender's next call is
-// called for, and each next sender in order after a period more.
+// maxIdle is how long a healthy server may get no set-up before one sender must send its next call there.
+// With each further period, the next sender in order must too.
 const maxIdle = time.Second
 
-// isOnDuty tells whether this sender is the one whose next call an idle server gets.
+// isOnDuty reports whether this sender must send its next call to an idle server.
 func (s *State) isOnDuty(now Time, id string, server *serverState) bool {
-	if s.usesRemoteSteward() { // who is alive only the steward knows
+	if s.usesRemoteSteward() { // only the steward knows which senders are alive
 		return server.due.Duty && !server.isCold(now) && server.sent == server.done
 	}
 	if server.isCold(now) || server.due.Idle == 0 || len(s.alive) == 0 {
@@ -266,11 +269,11 @@
 	if idle < maxIdle {
 		return false
 	}
-	// Those before it may have no call just now; and once is enough.
+	// The senders ranked before this one may have no call at present. One set-up is enough.
 	return s.rankFor(id, server) <= int((idle-maxIdle)/s.cfg.period()) && server.sent == server.done
 }
 
-// The bounds of a message.
+// Bounds on the fields of a message.
 const (
 	maxServers   = 4096
 	maxNameBytes = 256
@@ -279,7 +282,7 @@
 	maxSenders   = 1 << 16
 )
 
-// Valid names the first field of a summary that can't be used.
+// Valid returns an error that names the first invalid field of a summary.
 func (s Summary) Valid() error {
 	if err := s.From.valid("f"); err != nil {
 		return err
@@ -315,7 +318,7 @@
 	return nil
 }
 
-// Valid names the first field of a view that can't be used.
+// Valid returns an error that names the first invalid field of a view.
 func (v View) Valid() error {
 	if err := v.From.valid("f"); err != nil {
 		return err
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,13 +1,18 @@
-// Package subset decides which of an agent's setup servers have a place: the right to one
-// connection. Where the list fits in the places, every server has one. Where it does not, half of the
-// places belong to the agent's standing set, the first servers of the list by rendezvous hashing
-// (Thaler and Ravishankar 1998) with the agent's name, and the rest go to whoever a call is for, in
-// place of the one idle longest. It has no clock and no I/O: times are data.
+// Package subset decides which setup servers get an agent's connection slots; a slot is the right to one
+// connection. If all listed servers fit in the slots, every server has one. Otherwise half of the slots
+// belong to the agent's preferred set: the first servers of the list by rendezvous hashing (Thaler and
+// Ravishankar 1998) with the agent's name. The other slots are assigned when a call needs one, and the server
+// idle for longest is evicted. The package has no clock and performs no I/O: times are passed in.
 //
-// Bounds that hold at any time, whatever comes: no more servers have a place than there are places;
-// a server that is in use keeps its place; one server more or less on the list, or reached, moves at
-// most one other that is reached into the standing set and one out of it; another agent moves none.
-// The ways weighed stand in docs/connections.md.
+// These bounds hold after any sequence of events:
+//
+//   - No more servers have a slot than there are slots.
+//   - A server in use keeps its slot.
+//   - Adding or removing one server, or one server becoming reachable or unreachable, moves at most one other
+//     reachable server into the preferred set and at most one out of it.
+//   - Adding or removing another agent moves none.
+//
+// The alternatives considered are in docs/connections.md.
 package subset
 
 import (
@@ -18,23 +23,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// preferredDivisor is the part of the places, one in so many, that the standing set has.
+// preferredDivisor is the number of slots for each slot of the preferred set: 2 reserves half of them.
 const preferredDivisor = 2
 
-// Purpose tells what a server's place is asked for.
+// Purpose says what a slot is requested for.
 type Purpose int
 
-// The needs. A call, or a release that is owed, takes the place of whoever is idle longest. So does
-// a server of the standing set, but for one that was not reached lately: it takes what is free.
+// Purposes of a slot. ForCall, for a call or a release that is still to be sent, may evict the server idle
+// for longest. So may Standby, for a server of the preferred set, unless that server was not reachable
+// lately; then it gets only a free slot.
 const (
 	Standby Purpose = iota
 	ForCall
 )
 
-// Use is what a server's place is used for.
+// Use describes the current use of a server's slot.
 type Use struct {
-	Pinned bool // it may not be taken: something is out, stands, waits or is owed there
-	Failed bool // its latest connection did not come up
+	Pinned bool // it must not be evicted: something is unanswered, stands, waits or still has to be sent there
+	Failed bool // its latest connection attempt failed
 }
 
 type server struct {
@@ -44,33 +50,33 @@
 	preferred  bool
 	hasSlot    bool
 	use        Use
-	lastUsedAt time.Time // not pinned since
-	extra      int       // connections beyond its first
+	lastUsedAt time.Time // when its use was last set; it is idle from then unless pinned
+	extra      int       // connections in addition to its first
 }
 
-// Table is the places of one agent. It is not safe for concurrent use.
+// Table holds the connection slots of one agent. It is not safe for concurrent use.
 type Table struct {
 	name           string
 	slots          int
-	maxConnections int           // connections to all servers
-	minIdle        time.Duration // a place not pinned for so long may be taken
+	maxConnections int           // maximum number of connections to all servers; 0 means no limit
+	minIdle        time.Duration // a slot must be unpinned for this long before it can be evicted
 	servers        map[string]*server
 	held           int
 	extra          int
 }
 
-// New returns the table of the agent of this name: with so many connections at most, of which an
-// eighth is left for those beside a first one, and servers idle for so long making room for others.
-// most 0: there is no bound.
+// New returns the table of the agent of this name, with at most maxConnections connections (0 means no
+// limit). An eighth of them is reserved for additional connections to servers that have one. A server that
+// was idle for minIdle can be evicted.
 func New(name string, maxConnections int, minIdle time.Duration) *Table {
 	return &Table{name: name, maxConnections: maxConnections, slots: max(maxConnections-maxConnections/extraDivisor, min(maxConnections, 1)), minIdle: minIdle, servers: map[string]*server{}}
 }
 
-// extraDivisor is the part of the connections, one in so many, that those beside a first one may have
-// where the list does not fit.
+// extraDivisor sets the connections reserved for additional connections if the list does not fit: 8 reserves
+// an eighth.
 const extraDivisor = 8
 
-// Update notes a server of the list and whether it is up.
+// Update adds a server to the list or updates whether it is up.
 func (t *Table) Update(id string, up bool) {
 	s := t.servers[id]
 	if s == nil {
@@ -80,7 +86,7 @@
 	s.up = up
 }
 
-// Remove drops a server, and its place with it.
+// Remove drops a server and its slot.
 func (t *Table) Remove(id string) {
 	if s := t.servers[id]; s != nil {
 		t.release(s)
@@ -89,8 +95,9 @@
 	}
 }
 
-// UpdatePreferred finds the standing set after news of the list, or of a server that was not reached, and
-// tells who has come into it. One that was not reached stays in it, and the next in order stands in.
+// UpdatePreferred recalculates the preferred set after a change of the list or a failed connection, and
+// returns the servers that have joined it. An unreachable server stays in the set, and the next one in order
+// is added to replace it.
 func (t *Table) UpdatePreferred() (gained []string) {
 	up := make([]*server, 0, len(t.servers))
 	for _, s := range t.servers {
@@ -123,26 +130,27 @@
 	return gained
 }
 
-// Fits tells whether each server may have a place.
+// Fits reports whether every listed server can have a slot.
 func (t *Table) Fits() bool { return t.maxConnections <= 0 || len(t.servers) <= t.slots }
 
-// Stats are how many servers are listed and how many places there are, and are held.
+// Stats returns the number of listed servers, of slots, and of slots in use.
 func (t *Table) Stats() (listed, slots, held int) { return len(t.servers), t.slots, t.held }
 
-// HasSlot tells whether a server has a place.
+// HasSlot reports whether a server has a slot.
 func (t *Table) HasSlot(id string) bool {
 	s := t.servers[id]
 	return s != nil && s.hasSlot
 }
 
-// IsPreferred tells whether a server is of the standing set.
+// IsPreferred reports whether a server is in the preferred set.
 func (t *Table) IsPreferred(id string) bool {
 	s := t.servers[id]
 	return s != nil && s.preferred
 }
 
-// Acquire gives a server a place, pinned until it tells otherwise, unless none is to be had: a free one,
-// or that of the one idle longest, which is told (from). A server that has one keeps it.
+// Acquire gives a server a slot, pinned until SetUse says otherwise. It uses a free slot or evicts the server
+// idle for longest, which it returns as evicted. ok is false if no slot is available. A server that has a
+// slot keeps it.
 func (t *Table) Acquire(now time.Time, id string, purpose Purpose) (evicted string, ok bool) {
 	s := t.servers[id]
 	if s == nil || purpose == Standby && !s.preferred && !t.Fits() {
@@ -167,8 +175,8 @@
 	return evicted, true
 }
 
-// victim is whose place may be taken first: one that was not reached, else the one not in use for
-// the longest. The standing set keeps its places but for those that were not reached.
+// victim returns the server to evict first: an unreachable one, otherwise the one unused for longest.
+// Reachable servers of the preferred set are never evicted.
 func (t *Table) victim(now time.Time) (victim *server) {
 	for _, s := range t.servers {
 		switch {
@@ -188,14 +196,14 @@
 	return cmp.Or(s.lastUsedAt.Compare(other.lastUsedAt), cmp.Compare(s.id, other.id)) < 0
 }
 
-// SetUse tells what a server's place is used for from now on. Where it has none, nothing changes.
+// SetUse records the use of a server's slot from now on.
 func (t *Table) SetUse(now time.Time, id string, use Use) {
 	if s := t.servers[id]; s != nil {
 		s.use, s.lastUsedAt = use, now
 	}
 }
 
-// Release gives a server's place back.
+// Release frees a server's slot.
 func (t *Table) Release(id string) {
 	if s := t.servers[id]; s != nil {
 		t.release(s)
@@ -209,7 +217,7 @@
 	}
 }
 
-// AddExtra tells whether a connection beside a server's first may be opened, and counts it.
+// AddExtra reports whether an additional connection to a server may be opened, and counts it if so.
 func (t *Table) AddExtra(id string) bool {
 	s := t.servers[id]
 	if s == nil || t.maxConnections > 0 && t.extra >= t.maxConnections-min(len(t.servers), t.slots) {
@@ -220,7 +228,7 @@
 	return true
 }
 
-// SetExtra tells how many connections a server has beyond its first.
+// SetExtra sets how many connections a server has in addition to its first.
 func (t *Table) SetExtra(id string, count int) {
 	if s := t.servers[id]; s != nil {
 		t.extra += count - s.extra
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -24,7 +24,8 @@
 	return ids
 }
 
-// missing counts those of some servers that are not among others; reached: that were reached lately.
+// missing counts the servers of "of" that are not in "from"; with reached, unreachable servers are not
+// counted.
 func (t *Table) missing(from, of []string, reached bool) (n int) {
 	for _, id := range of {
 		s := t.servers[id]
@@ -35,16 +36,16 @@
 	return n
 }
 
-// TestTableInvariants: whatever comes, no more servers have a place than there are places, none in use and
-// none of the standing set that was reached loses its own, a call is turned away only where no place
-// is to be had, connections beside first ones leave room for those, and a change of the list moves
-// one reached server into the standing set and one out of it.
+// TestTableInvariants runs random events and checks the bounds of the package: slots are never exceeded, no
+// server in use and no reachable server of the preferred set loses its slot, a call is refused only if no
+// slot is available, additional connections leave room for first ones, and a change of the list moves at most
+// one reachable server into the preferred set and one out of it.
 func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxConnections := rapid.IntRange(1, 40).Draw(t, "most")
 		table, now := New("a", maxConnections, minIdle), time.Unix(0, 0)
 		ids := rapid.SampledFrom([]string{"s0", "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8", "s9", "sa", "sb", "sc", "sd", "se", "sf", "sg", "sh", "si", "sj"})
-		fitted := true // it fitted before
+		fitted := true // the list fitted before the event
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 			id, before := ids.Draw(t, "id"), table.preferredIDs()
@@ -67,7 +68,7 @@
 				}
 				require.True(t, !ok || table.HasSlot(id))
 				if s := table.servers[id]; s != nil && !ok && purpose == ForCall {
-					require.Nil(t, table.victim(now), "somebody is idle")
+					require.Nil(t, table.victim(now), "an idle server could be evicted")
 					require.GreaterOrEqual(t, table.held, table.slots)
 				}
 			case 5:
@@ -97,7 +98,7 @@
 				for _, s := range table.servers {
 					require.Equal(t, s.up, s.preferred)
 					_, ok := table.Acquire(now, s.id, Standby)
-					require.True(t, ok, "where the list fits nobody is turned away")
+					require.True(t, ok, "if the list fits, every server gets a slot")
 					table.SetUse(now, s.id, Use{})
 				}
 			}
@@ -105,8 +106,8 @@
 	})
 }
 
-// TestPreferredSetsAreBalanced: the standing sets of a fleet lie evenly over the servers, within what independent draws
-// give (five standard deviations), and an agent more moves nothing at the others.
+// TestPreferredSetsAreBalanced guards against a hash that overloads some servers: over a fleet, each server
+// must be in as many preferred sets as independent random choices give, within five standard deviations.
 func TestPreferredSetsAreBalanced(t *testing.T) {
 	for _, size := range []struct{ agents, servers, most int }{{730, 730, 96}, {270, 730, 228}, {60, 300, 96}} {
 		degree := map[string]int{}
@@ -130,10 +131,10 @@
 	}
 }
 
-// TestEvictionOrder: a call takes the place of a server that was not reached, else of the one idle longest;
-// never that of one in use or idle for less than the quiet time.
+// TestEvictionOrder checks that a call evicts an unreachable server first, otherwise the one idle for
+// longest, and never one in use or idle for less than the minimum.
 func TestEvictionOrder(t *testing.T) {
-	table, now := New("a", 5, minIdle), time.Unix(100, 0) // five places, two of them standing
+	table, now := New("a", 5, minIdle), time.Unix(100, 0) // five slots, two of them for the preferred set
 	for i := range 10 {
 		table.Update(fmt.Sprint("s", i), true)
 	}
@@ -159,11 +160,11 @@
 		table.SetUse(now.Add(time.Duration(-i)*time.Millisecond), id, Use{})
 	}
 	table.SetUse(now.Add(-time.Hour), preferred[0], Use{})
-	assert.Empty(t, take(others[3]), "idle just now, or standing")
+	assert.Empty(t, take(others[3]), "idle for too short a time, or preferred")
 	now = now.Add(minIdle)
 	assert.Equal(t, others[2], take(others[3]))
 	table.SetUse(now, preferred[1], Use{Failed: true})
 	assert.Equal(t, preferred[1], take(others[4]))
-	assert.Len(t, table.UpdatePreferred(), 1, "the next in order stands in")
-	assert.True(t, table.IsPreferred(preferred[1]), "and it stays in it")
+	assert.Len(t, table.UpdatePreferred(), 1, "the next in order joins the set")
+	assert.True(t, table.IsPreferred(preferred[1]), "the unreachable server stays in the set")
 }
