--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -112,7 +112,7 @@
 				if kind == "remote" {
 					w = NewRemoteSteward(Config{Name: "c1", Life: 1})
 				}
-				hear := func(i int) (v View) { // each sender sends one summary a period
+				handle := func(i int) (v View) { // each sender sends one summary a period
 					now, s := time.Hour+time.Duration(i+n)*period/time.Duration(n), &all[i%n]
 					s.From.Seq, s.Demand = uint64(i/n+2), 64
 					if kind == "remote" {
@@ -127,13 +127,13 @@
 					return v
 				}
 				for i := range 30 * n { // until all capacities are learned
-					hear(i)
+					handle(i)
 				}
 				var v View
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					v = hear(i + 30*n)
+					v = handle(i + 30*n)
 				}
 				if len(v.Dues) != n {
 					b.Fatalf("%d servers", len(v.Dues))
--- a/spread/remote.go
+++ b/spread/remote.go
@@ -31,14 +31,14 @@
 
 // remoteState is the additional state of a remote steward.
 type remoteState struct {
-	lastHeardAt      Time // when the latest summary arrived
+	lastSummaryAt    Time // when the latest summary arrived
 	sendersChanged   bool // a sender joined or left since the latest evaluation
 	senderGeneration int  // number of evaluations that found such a change
-	enoughHeard      bool // at least half of the senders are heard
+	enoughActive     bool // at least half of the senders are heard
 	tooFewAt         Time // when fewer than half were last heard
 	withholdsShares  bool // it sends no shares
 	withheldAt       Time // when it last sent none; idle times are counted from then at the earliest
-	heardCount       int  // senders heard, as of the latest evaluation
+	activeSenders    int  // senders heard, as of the latest evaluation
 	largestSenders   int  // largest number of senders in any summary
 	medianSenders    int  // median of these numbers
 	reportedSenders  []int
@@ -80,7 +80,7 @@
 func (w *Steward) Status(now Time) Status {
 	status := Status{Configured: w.configuredSenders(), Lent: w.lenders(now), Hold: w.hold, Unsure: w.withholdsShares}
 	for _, sender := range w.senders {
-		if now-sender.heardAt <= senderTTLPeriods*max(sender.latest.Period, w.cfg.period()) {
+		if now-sender.lastSummaryAt <= senderTTLPeriods*max(sender.latest.Period, w.cfg.period()) {
 			status.Senders++
 			status.Demand += sender.latest.Demand
 		}
@@ -106,7 +106,7 @@
 // Idle reports whether no summary arrived within forgetAfter and no right is lent, so that the steward can be
 // dropped.
 func (w *Steward) Idle(now Time) bool {
-	return now-w.lastHeardAt >= forgetAfter && (len(w.loanEnds) == 0 || w.loanEnds[len(w.loanEnds)-1] < now)
+	return now-w.lastSummaryAt >= forgetAfter && (len(w.loanEnds) == 0 || w.loanEnds[len(w.loanEnds)-1] < now)
 }
 
 // updateReports replaces a sender's previous report about a server with its current one.
@@ -136,13 +136,13 @@
 
 // aggregateReports evaluates what the senders report about servers, cold servers and the number of senders.
 func (w *Steward) aggregateReports(now Time) {
-	w.heardCount, w.largestSenders, w.reportedSenders = 0, 0, w.reportedSenders[:0]
+	w.activeSenders, w.largestSenders, w.reportedSenders = 0, 0, w.reportedSenders[:0]
 	for _, sender := range w.senders {
 		w.largestSenders = max(w.largestSenders, sender.latest.Senders) // the rights of a silent sender may still be lent
 		if sender.silent {
 			continue
 		}
-		w.heardCount++
+		w.activeSenders++
 		if sender.latest.Senders > 0 {
 			w.reportedSenders = append(w.reportedSenders, sender.latest.Senders)
 		}
@@ -153,7 +153,7 @@
 		}
 	}
 	slices.Sort(w.reportedSenders)
-	w.medianSenders = w.heardCount
+	w.medianSenders = w.activeSenders
 	if count := len(w.reportedSenders); count > 0 {
 		w.medianSenders = w.reportedSenders[count/2]
 	}
@@ -168,7 +168,7 @@
 			continue
 		}
 		i++
-		up := 2*server.upReports > w.heardCount
+		up := 2*server.upReports > w.activeSenders
 		if up && !server.up { // no sender had to send it anything before
 			server.upSince = now
 		}
@@ -178,8 +178,8 @@
 		server.setColdRate(server.minColdRate)
 		server.minColdRate = 0
 	}
-	wasEnough := w.enoughHeard
-	if w.enoughHeard = 2*w.heardCount >= w.medianSenders; !w.enoughHeard || !wasEnough {
+	wasEnough := w.enoughActive
+	if w.enoughActive = 2*w.activeSenders >= w.medianSenders; !w.enoughActive || !wasEnough {
 		w.tooFewAt = now
 	}
 }
@@ -202,7 +202,7 @@
 
 // lacksData reports whether shares from this steward would be worse than the senders' own estimates.
 func (w *Steward) lacksData(now Time) bool {
-	if !w.enoughHeard {
+	if !w.enoughActive {
 		return true
 	}
 	if now-w.tooFewAt >= 2*fastRateWindow+2*w.cfg.period() { // capacities that can be learned have been learned by now
@@ -218,7 +218,7 @@
 		return false
 	}
 	earlier := int((idle - maxIdle) / w.cfg.period()) // the senders selected first may have no call at present
-	if earlier >= w.heardCount {
+	if earlier >= w.activeSenders {
 		return true
 	}
 	if server.scoresGeneration != w.senderGeneration {
--- a/spread/remote_test.go
+++ b/spread/remote_test.go
@@ -50,10 +50,10 @@
 		{"nobody names it", [][5][]Count{{up, up, up, up, up}, {no, no, no, no, no}}, false, 0, 0},
 	} {
 		w, now, last := NewRemoteSteward(Config{Name: "w", Life: 1}), Time(0), View{}
-		for _, words := range tc.rounds {
+		for _, reports := range tc.rounds {
 			for range 5 {
 				now += period
-				for i, counts := range words {
+				for i, counts := range reports {
 					if counts != nil {
 						last = sendSummary(w, now+Time(i), fmt.Sprint("a", i), 5, counts...)
 					}
@@ -61,12 +61,12 @@
 			}
 		}
 		last = sendSummary(w, now+period/2, "a1", 5, tc.rounds[len(tc.rounds)-1][1]...) // after the next evaluation
-		st := w.Status(now)
+		status := w.Status(now)
 		assert.Equal(t, tc.up, len(last.Dues) == 1, tc.name)
-		assert.Equal(t, tc.up, st.Servers == 1, tc.name)
-		if j := w.servers["s"]; j != nil {
-			assert.Equal(t, tc.cold, j.coldRate, tc.name)
-			assert.Equal(t, tc.out, j.outstanding, tc.name)
+		assert.Equal(t, tc.up, status.Servers == 1, tc.name)
+		if server := w.servers["s"]; server != nil {
+			assert.Equal(t, tc.cold, server.coldRate, tc.name)
+			assert.Equal(t, tc.out, server.outstanding, tc.name)
 		} else {
 			assert.Equal(t, "nobody names it", tc.name)
 		}
@@ -106,12 +106,12 @@
 	}
 	for _, tc := range []struct {
 		name        string
-		heard       int
+		active      int
 		named       [8]int
 		allReport   bool // both servers complete set-ups
 		after       time.Duration
-		owners      int
-		tellsShares bool
+		rightParts  int
+		sendsShares bool
 	}{
 		{"too few senders heard", 3, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 20 * time.Second, 8, false},
 		{"nothing learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, false, 4 * time.Second, 8, false},
@@ -122,7 +122,7 @@
 	} {
 		w, v := NewRemoteSteward(Config{Name: "w", Life: 1}), View{}
 		for i := 0; Time(i)*period <= tc.after; i++ {
-			for a := range tc.heard {
+			for a := range tc.active {
 				c := counts(i)
 				if tc.allReport {
 					c[1] = c[0]
@@ -131,26 +131,26 @@
 				v = sendSummary(w, Time(i)*period+Time(a), fmt.Sprint("a", a), tc.named[a], c...)
 			}
 		}
-		assert.Equal(t, tc.tellsShares, v.Dues[0].Share > 0, "%s: %+v", tc.name, v)
-		assert.Equal(t, !tc.tellsShares, w.Status(tc.after).Unsure, tc.name)
-		assert.Equal(t, tc.owners, w.rightParts(), tc.name)
+		assert.Equal(t, tc.sendsShares, v.Dues[0].Share > 0, "%s: %+v", tc.name, v)
+		assert.Equal(t, !tc.sendsShares, w.Status(tc.after).Unsure, tc.name)
+		assert.Equal(t, tc.rightParts, w.rightParts(), tc.name)
 	}
 
 	s := New(Config{Name: "a", Life: 1, Senders: 8, Stewards: []string{"w"}})
 	s.UpdateServer("s", true)
-	hear := func(now Time, life int64, share float64) {
+	handle := func(now Time, life int64, share float64) {
 		s.HandleView(now, View{From: Stamp{"w", life, 1}, Echo: s.BuildSummary(now, "w").From, Dues: []Due{{Server: "s", Share: share}}})
 		s.ExpireView(now)
 	}
-	hear(0, 1, 5)
-	hear(period, 2, 0)
+	handle(0, 1, 5)
+	handle(period, 2, 0)
 	assert.True(t, s.FollowsView(period))
 	assert.EqualValues(t, 5, s.servers["s"].share, "the shares of the previous life stay valid")
 	assert.True(t, s.BuildSummary(period, "w").Lends, "rights are lent to the new life meanwhile")
 	next := s.BuildSummary(2*period, "w2")
 	s.HandleView(2*period, View{From: Stamp{"w2", 1, 1}, Echo: next.From})
 	assert.False(t, s.BuildSummary(2*period, "w2").Lends, "rights are lent to another steward only after they come back")
-	hear(4*period, 3, 0)
+	handle(4*period, 3, 0)
 	assert.False(t, s.FollowsView(4*period))
 	assert.Zero(t, s.servers["s"].share)
 	assert.NotNil(t, s.view)
@@ -230,13 +230,13 @@
 		held[first]++
 	}
 	assert.Len(t, held, 4, "%v", held)
-	alone := New(Config{Name: "a", Service: "svc00"})
-	alone.SetAlive(machines)
-	assert.Equal(t, StewardAt(machines, 0), alone.CurrentSteward(0), "Service is used only with Stewards")
+	local := New(Config{Name: "a", Service: "svc00"})
+	local.SetAlive(machines)
+	assert.Equal(t, StewardAt(machines, 0), local.CurrentSteward(0), "Service is used only with Stewards")
 
 	s := New(Config{Name: "a", Life: 1, Stewards: machines, Service: "svc00"})
 	first, second := s.remoteStewardAt(0), s.remoteStewardAt(1)
-	var told []int // 0 is the first machine, 1 the next
+	var chosen []int // 0 is the first machine, 1 the next
 	seq := uint64(0)
 	for i := range 40 {
 		now := time.Hour + Time(i)*period
@@ -244,7 +244,7 @@
 		to := s.CurrentSteward(now)
 		require.Contains(t, []string{first, second}, to)
 		require.Equal(t, to, s.CurrentSteward(now))
-		told = append(told, map[string]int{first: 0, second: 1}[to])
+		chosen = append(chosen, map[string]int{first: 0, second: 1}[to])
 		sum := s.BuildSummary(now, to)
 		if to == first && i >= 5 && i < 25 { // the first machine is down
 			continue
@@ -253,7 +253,7 @@
 		s.HandleView(now+ms, View{From: Stamp{to, 1, seq}, Echo: sum.From, Dues: []Due{{Server: "s", Share: 1}}})
 		require.True(t, i < 8 || s.FollowsView(now+ms), i)
 	}
-	assert.Equal(t, []int{0, 0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0}, told)
+	assert.Equal(t, []int{0, 0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1, 1, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0}, chosen)
 }
 
 // TestStewardIdle checks that a steward can be dropped only after no summary arrived for long and no right is
--- a/spread/steward.go
+++ b/spread/steward.go
@@ -14,7 +14,7 @@
 	capacityChangeThreshold = 0.4                    // relative change of the capacity that is detected
 	minFastSetups           = 20                     // set-ups within fastRateWindow needed to detect a change
 	minSlowdownQueue        = 5                      // queued set-ups that show that a busy server has slowed down
-	minHeardShare           = 0.85                   // share of the senders; with fewer, completed set-ups don't show a server's capacity
+	minActiveShare          = 0.85                   // share of the senders; with fewer, completed set-ups don't show a server's capacity
 	horizonPeriods          = 3                      // periods within which all queues should become equally long
 	normalAnswerTime        = 250 * time.Millisecond // answer time without a queue; set-ups sent within it don't count as queued
 	harmlessWait            = 600 * time.Millisecond // wait that does no harm; calls are held back only beyond it
@@ -48,11 +48,11 @@
 
 // senderRecord is what the steward keeps about one sender.
 type senderRecord struct {
-	latest    Summary // the latest summary, without its counts
-	heardAt   Time
-	lentUntil Time          // its rights are lent to this steward until then
-	counts    []countRecord // its latest counts, sorted by server
-	silent    bool          // no summary for long; the record is kept only for the loan
+	latest        Summary // the latest summary, without its counts
+	lastSummaryAt Time
+	lentUntil     Time          // its rights are lent to this steward until then
+	counts        []countRecord // its latest counts, sorted by server
+	silent        bool          // no summary for long; the record is kept only for the loan
 }
 
 // countRecord is a sender's latest count for a server, and the server whose sums include it; nil if none
@@ -163,10 +163,10 @@
 		}
 	}
 	w.largestSenders = max(w.largestSenders, summary.Senders)
-	w.lastHeardAt, w.sendersChanged = now, w.sendersChanged || sender.silent
+	w.lastSummaryAt, w.sendersChanged = now, w.sendersChanged || sender.silent
 	w.demand += summary.Demand - sender.latest.Demand
 	counts := summary.Counts
-	sender.latest, sender.heardAt, sender.silent = summary, now, false
+	sender.latest, sender.lastSummaryAt, sender.silent = summary, now, false
 	sender.latest.Counts = nil
 	w.applyCounts(now, sender, counts)
 	w.acceptLoan(now, sender, summary)
@@ -290,7 +290,7 @@
 	}
 	demand, all := 0.0, 0.0
 	for name, sender := range w.senders {
-		if now-sender.heardAt > senderTTLPeriods*max(sender.latest.Period, w.cfg.period()) {
+		if now-sender.lastSummaryAt > senderTTLPeriods*max(sender.latest.Period, w.cfg.period()) {
 			w.sendersChanged = w.sendersChanged || !sender.silent
 			sender.silent = true
 			w.removeCounts(sender)
@@ -344,7 +344,7 @@
 // is its completed set-ups a second; otherwise these are divided by its utilization. The slow average is used
 // until the fast one differs too much.
 func (w *Steward) estimateCapacity(now Time, server *jointServer) {
-	if float64(len(w.senders)) < minHeardShare*float64(w.configuredSenders()) {
+	if float64(len(w.senders)) < minActiveShare*float64(w.configuredSenders()) {
 		return // set-ups of senders that are not heard are missing, so the capacity would be underestimated
 	}
 	slow, fast := server.doneSlow.perSecond(now), server.doneFast.perSecond(now)
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -26,10 +26,10 @@
 
 // missing counts the servers of "of" that are not in "from"; with reached, unreachable servers are not
 // counted.
-func (t *Table) missing(from, of []string, reached bool) (n int) {
-	for _, id := range of {
+func (t *Table) missing(present, wanted []string, onlyReachable bool) (n int) {
+	for _, id := range wanted {
 		s := t.servers[id]
-		if !slices.Contains(from, id) && !(reached && s != nil && s.use.Failed) {
+		if !slices.Contains(present, id) && !(onlyReachable && s != nil && s.use.Failed) {
 			n++
 		}
 	}
