--- a/spread/remote.go
+++ b/spread/remote.go
@@ -8,23 +8,24 @@
 
 // A remote steward is not a sender itself; it runs, for example, on a control machine. It has no list of
 // servers, does not know which are cold, and has no setting for the number of senders. It takes all three
-// from the summaries it received lately, and trusts none of them alone:
+// from the summaries of active senders, which are those whose last summary is recent, and trusts none of them
+// alone:
 //
-//   - A server is included in views if more than half of the senders list it. A single stale list thus
+//   - A server is included in views if more than half of the active senders list it. A single stale list thus
 //     neither keeps a dead server in the views nor drops a live one. A sender adds no server because a view
 //     names it; otherwise the steward would take its own information for that of the senders.
-//   - A server's cold budget is the smallest that any sender reports, so news of a restart takes effect as
-//     soon as it has reached one sender. A wrong report costs a warm server its share for as long as it is
-//     repeated; a report ends by the sender's own clock, at the end of the warm-up that it knows of.
+//   - A server's cold budget is the smallest that any active sender reports, so news of a restart takes
+//     effect as soon as it has reached one sender. A wrong report costs a warm server its share for as long
+//     as it is repeated; a report ends by the sender's own clock, at the end of the warm-up that it knows of.
 //   - Rights are divided by the largest number of senders that is reported. While settings change, some
 //     senders own one part in the old number and some in the new. What is lent counts as the smaller of the
 //     two, so that grants never add up to more than was lent. The median of the numbers decides whether
-//     enough senders are heard, because a single wrong number must not silence the steward.
+//     enough senders are active, because a single wrong number must not silence the steward.
 //
 // A remote steward sends no shares, no hold share and no duty for idle servers while it lacks data. That is
-// so while it hears fewer than half of the senders, because it would then level part of the demand over part
-// of the queues. It is also so while it does not know the capacity of a server in its views, for as long as
-// learning one takes. Senders then continue with the shares of the previous steward while those are valid,
+// so while fewer than half of the senders are active, because it would then level part of the demand over
+// part of the queues. It is also so while it does not know the capacity of a server in its views, for as long
+// as learning one takes. Senders then continue with the shares of the previous steward while those are valid,
 // and afterwards with what each of them knows, which is more than shares by lines alone would give. So a
 // restart without memory redirects no sender. Rights are still lent and granted meanwhile, because they are
 // counted, not estimated.
@@ -34,11 +35,11 @@
 	lastSummaryAt    Time // when the latest summary arrived
 	sendersChanged   bool // a sender joined or left since the latest evaluation
 	senderGeneration int  // number of evaluations that found such a change
-	enoughActive     bool // at least half of the senders are heard
-	tooFewAt         Time // when fewer than half were last heard
+	enoughActive     bool // at least half of the senders are active
+	tooFewAt         Time // when fewer than half were last active
 	withholdsShares  bool // it sends no shares
 	withheldAt       Time // when it last sent none; idle times are counted from then at the earliest
-	activeSenders    int  // senders heard, as of the latest evaluation
+	activeSenders    int  // active senders, as of the latest evaluation
 	largestSenders   int  // largest number of senders in any summary
 	medianSenders    int  // median of these numbers
 	reportedSenders  []int
@@ -50,7 +51,7 @@
 	upReports        int // senders that list it as up
 	reports          int // senders that name it at all
 	minColdRate      float64
-	scores           []uint64 // hash scores of the senders heard, descending
+	scores           []uint64 // hash scores of the active senders, descending
 	scoresGeneration int      // senderGeneration for which the scores were calculated
 }
 
@@ -66,14 +67,14 @@
 
 // Status is what a steward's console shows about a service.
 type Status struct {
-	Senders    int     // senders heard lately
+	Senders    int     // active senders
 	Configured int     // median of the numbers of senders in their settings
 	Servers    int     // servers included in its views
 	Cold       int     // those of the servers that are cold
 	Lent       int     // senders whose lent rights can be granted now
-	Demand     float64 // first attempts of calls a second, of the senders heard lately
+	Demand     float64 // first attempts of calls a second, of the active senders
 	Hold       float64 // share of the calls that all servers together can't take
-	Unsure     bool    // it sends no shares: it hears too few senders or has not learned the servers' capacities yet
+	Unsure     bool    // it sends no shares: too few senders are active, or it has not learned the servers' capacities yet
 }
 
 // Status returns the steward's status.
@@ -96,7 +97,7 @@
 	return status
 }
 
-// Senders returns how many senders were heard lately, as of the latest summary.
+// Senders returns how many senders are recorded: the active ones, and silent ones whose rights are still lent.
 func (w *Steward) Senders() int { return len(w.senders) }
 
 // forgetAfter is how long a steward without summaries is kept. By then its averages have decayed, while a
@@ -212,7 +213,7 @@
 }
 
 // isOnDuty reports whether a sender must send its next call to an idle server. Rendezvous hashing over the
-// senders heard at the latest evaluation selects one sender, and one more with each period.
+// senders active at the latest evaluation selects one sender, and one more with each period.
 func (w *Steward) isOnDuty(server *jointServer, name string, idle time.Duration) bool {
 	if idle < maxIdle || server.coldRate > 0 || w.withholdsShares {
 		return false
--- a/spread/remote_test.go
+++ b/spread/remote_test.go
@@ -38,7 +38,7 @@
 	}{
 		{"a stale list keeps no dead server", [][5][]Count{{up, up, up, up, up}, {up, no, no, no, no}}, false, 0, 0},
 		{"a stale list drops no live server", [][5][]Count{{no, up, up, up, up}}, true, 0, 0},
-		{"half of those heard is not enough", [][5][]Count{{up, up, no, no, silent}}, false, 0, 0},
+		{"half of the active senders is not enough", [][5][]Count{{up, up, no, no, silent}}, false, 0, 0},
 		{"silent senders do not count", [][5][]Count{{up, up, up, up, up}, {up, no, no, silent, silent}}, false, 0, 0},
 		{"unanswered set-ups do not keep a server listed", [][5][]Count{{up, up, up, up, up}, {up, up, down, down, down}}, false, 0, 3},
 		{"a server on most lists is up", [][5][]Count{{up, up, up, down, down}}, true, 0, 2},
@@ -96,8 +96,8 @@
 	assert.True(t, s.BuildSummary(2*period, "w").Counts[0].Down)
 }
 
-// TestRemoteStewardWithholdsShares checks that a steward sends no shares while it hears fewer than half of
-// the senders, nor after a restart until the servers' capacities are learned or enough time to learn them has
+// TestRemoteStewardWithholdsShares checks that a steward sends no shares while fewer than half of the senders
+// are active, nor after a restart until the servers' capacities are learned or enough time to learn them has
 // passed. A sender follows the previous shares for as long as they are valid. A single wrong number of
 // senders does not silence the steward, but makes lent rights smaller.
 func TestRemoteStewardWithholdsShares(t *testing.T) {
@@ -113,7 +113,7 @@
 		rightParts  int
 		sendsShares bool
 	}{
-		{"too few senders heard", 3, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 20 * time.Second, 8, false},
+		{"too few active senders", 3, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 20 * time.Second, 8, false},
 		{"nothing learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, false, 4 * time.Second, 8, false},
 		{"nothing to be learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, false, 6 * time.Second, 8, true},
 		{"learned", 8, [8]int{8, 8, 8, 8, 8, 8, 8, 8}, true, 2 * time.Second, 8, true},
--- a/spread/steward.go
+++ b/spread/steward.go
@@ -14,7 +14,7 @@
 	capacityChangeThreshold = 0.4                    // relative change of the capacity that is detected
 	minFastSetups           = 20                     // set-ups within fastRateWindow needed to detect a change
 	minSlowdownQueue        = 5                      // queued set-ups that show that a busy server has slowed down
-	minActiveShare          = 0.85                   // share of the senders; with fewer, completed set-ups don't show a server's capacity
+	minActiveShare          = 0.85                   // share of the senders; with fewer active, completed set-ups don't show a server's capacity
 	horizonPeriods          = 3                      // periods within which all queues should become equally long
 	normalAnswerTime        = 250 * time.Millisecond // answer time without a queue; set-ups sent within it don't count as queued
 	harmlessWait            = 600 * time.Millisecond // wait that does no harm; calls are held back only beyond it
@@ -266,7 +266,7 @@
 	}
 }
 
-// removeCounts subtracts all counts of a sender that restarted or was not heard for long.
+// removeCounts subtracts all counts of a sender that restarted or became silent.
 func (w *Steward) removeCounts(sender *senderRecord) {
 	for _, record := range sender.counts {
 		w.removeCount(record)
@@ -345,7 +345,7 @@
 // until the fast one differs too much.
 func (w *Steward) estimateCapacity(now Time, server *jointServer) {
 	if float64(len(w.senders)) < minActiveShare*float64(w.configuredSenders()) {
-		return // set-ups of senders that are not heard are missing, so the capacity would be underestimated
+		return // set-ups of inactive senders are missing, so the capacity would be underestimated
 	}
 	slow, fast := server.doneSlow.perSecond(now), server.doneFast.perSecond(now)
 	busy := server.util >= busyUtilization || server.wait > busyWaitSeconds || fast > 0 && server.outstanding/fast > 2*busyWaitSeconds
--- a/spread/view.go
+++ b/spread/view.go
@@ -68,7 +68,7 @@
 type View struct {
 	From    Stamp         `json:"f"`
 	Echo    Stamp         `json:"e"`           // the answered summary; grants are valid from when that was sent
-	Senders int           `json:"n"`           // number of senders heard lately
+	Senders int           `json:"n"`           // number of senders recorded by the steward
 	Demand  float64       `json:"d"`           // first attempts of calls a second, of all senders
 	Hold    float64       `json:"h,omitempty"` // share of the calls that all servers together can't take
 	Dues    []Due         `json:"v"`
@@ -151,7 +151,7 @@
 // membership removes dead ones, this list keeps machines that are down. So a sender stays with the next
 // steward for as long as that answers, but sends one summary to the first every stewardRetryPeriods and
 // returns to it with its first answer. All senders are back within that time. Until then, two stewards each
-// hear some of the senders, and one that hears fewer than half sends no shares.
+// receive summaries from some of the senders, and one with fewer than half of them sends no shares.
 type stewardChoice struct {
 	started      bool
 	rank         int
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -24,8 +24,7 @@
 	return ids
 }
 
-// missing counts the servers of "of" that are not in "from"; with reached, unreachable servers are not
-// counted.
+// missing counts the wanted servers that are not present; with onlyReachable, unreachable ones don't count.
 func (t *Table) missing(present, wanted []string, onlyReachable bool) (n int) {
 	for _, id := range wanted {
 		s := t.servers[id]
