--- a/agent/agent.go
+++ b/agent/agent.go
@@ -19,7 +19,7 @@
 	"woodrouter/spread"
 )
 
-// What a front may hear instead of an outcome.
+// Errors that a front may get in place of an answer.
 var (
 	ErrDuplicate    = errors.New("a call of this id is open")
 	ErrUnknownClass = errors.New("unknown class")
@@ -28,41 +28,41 @@
 	ErrPanic        = errors.New("fault inside the agent")
 )
 
-// maxNumberBytes bounds the number called.
+// maxNumberBytes bounds the length of the called number.
 const maxNumberBytes = 256
 
-// Config is what an agent needs beside its backend.
+// Config holds an agent's configuration, apart from its backend.
 type Config struct {
 	Settings     policy.Settings
 	Seed         uint64
-	AnswerSlack  time.Duration // a final answer counts so long after the deadline
-	MailboxSize  int           // most events that wait; 0: 8192
-	MaxOpenCalls int           // most calls without a final answer, as each holds memory; 0: 4096
-	MaxCallBytes int64         // most memory that these and the waiting ones hold, about; 0: 16 MiB
+	AnswerSlack  time.Duration // a final answer still counts this long after the deadline
+	MailboxSize  int           // maximum number of queued events; 0: 8192
+	MaxOpenCalls int           // maximum number of calls without a final answer, as each holds memory; 0: 4096
+	MaxCallBytes int64         // approximate maximum memory of these and the queued calls in bytes; 0: 16 MiB
 	Log          *slog.Logger
-	// OnUnknownEnded hears of a call's end at a setup server when the call is none of this agent's:
-	// it stood before a restart, and its caller still waits to be told. err as for Ended.
+	// OnUnknownEnded is called when a setup server ends a call that is unknown to this agent: the call stood
+	// before a restart, and its caller still has to be told. err is as for Front.Ended.
 	OnUnknownEnded func(id string, err error)
-	// Promises copies promises to further agents; nil: this agent keeps them for itself alone.
+	// Promises replicates promises to further agents; nil: this agent keeps them in its own memory only.
 	Promises PromiseStore
-	// ObserveServers has the agent count what it sees of the setup servers by zone (Agent.Sights).
+	// ObserveServers makes the agent collect Observations of the setup servers by zone.
 	ObserveServers bool
 }
 
-// Route is what a call's route gives it beyond the settings; zero fields leave the settings.
-// Routes may only narrow (package internal/routes proves a file before it is used).
+// Route holds the limits that a call's route sets in place of the settings'; zero fields leave the settings'
+// limits. Routes may only narrow them (package internal/routes checks a file before it is used).
 type Route struct {
-	MaxAttempts int           // most attempts of the call
-	Spacing     time.Duration // least wait after a give-up before the next attempt
-	TimeShare   float64       // of the caller's time that all attempts may use, in (0, 1]
-	Pools       []int         // the pools it may go to, within its class's
-	// AttemptTimeout gives each attempt up this long after it was handed on, unless the
-	// module's deadline comes first; the module then hears it timed out, and its spacing holds.
+	MaxAttempts int           // maximum number of attempts of the call
+	Spacing     time.Duration // minimum wait after a give-up before the next attempt
+	TimeShare   float64       // fraction of the caller's time that all attempts together may use, in (0, 1]
+	Pools       []int         // pools that the call may use, from those of its class
+	// AttemptTimeout gives each attempt up this long after it was passed to the backend, unless the module's
+	// deadline comes first. The module is then told that the attempt timed out, and its spacing applies.
 	AttemptTimeout time.Duration
 }
 
-// Router finds a call's route. It is called on the core's goroutine, once for each call, and
-// must neither block nor keep the call.
+// Router returns a call's route. It is called on the core's goroutine, once per call, and must neither block
+// nor retain the call.
 type Router func(c Call) Route
 
 // Agent is the actor that owns the decision module, the call table and the timers.
@@ -76,23 +76,23 @@
 	tenants         map[string]bool
 	start           time.Time
 	origin          policy.Time
-	idleCallbacks   []func() // told when no set-up is open
+	idleCallbacks   []func() // called once no set-up is open
 	openCalls       int      // calls without a final answer
 	standingCalls   int      // calls that stand
 	recent          recent.Set[string]
-	unknownReleases rateLimiter // of callers
-	unknownEnds     rateLimiter // of setup servers
+	unknownReleases rateLimiter // limits releases of unknown calls by callers
+	unknownEnds     rateLimiter // limits ends of unknown calls by setup servers
 	refusingNew     atomic.Bool
-	openBytes       atomic.Int64      // memory of the calls offered that have no final answer
-	tallies         map[string]*Tally // by class; the map itself never changes
+	openBytes       atomic.Int64      // bytes of the offered calls that have no final answer
+	tallies         map[string]*Tally // by class; the map itself is never modified
 	gauges          gauges
-	router          atomic.Pointer[Router] // nil: every call has the settings' limits
-	observations    *Observations          // nil: not counted
-	adopted         map[string]*call       // calls that stand by another agent's answer, told here
-	serverByAddress map[string]Server      // who is listed at each address
+	router          atomic.Pointer[Router] // nil: the settings' limits apply to every call
+	observations    *Observations          // nil: not collected
+	adopted         map[string]*call       // standing calls that another agent answered and this one reported
+	serverByAddress map[string]Server      // the server listed at each address
 }
 
-// SetRouter has the calls that arrive from now on take their routes from r; nil: none.
+// SetRouter sets the router for calls that arrive from now on; nil: none.
 func (a *Agent) SetRouter(r Router) {
 	if r == nil {
 		a.router.Store(nil)
@@ -101,7 +101,7 @@
 	a.router.Store(&r)
 }
 
-// route is a call's route and the time the module may use of the caller's.
+// route returns a call's route and how much of the remaining time the module may use.
 func (a *Agent) route(in Call, left time.Duration) (Route, time.Duration) {
 	r := a.router.Load()
 	if r == nil {
@@ -117,30 +117,30 @@
 // Tally counts the outcomes of one class's calls. It may be read at any time.
 type Tally struct{ Served, Refused, Failed atomic.Int64 }
 
-// gauges are what the actor tells of itself without being asked.
+// gauges are the actor's published state; they may be read at any time.
 type gauges struct{ inFlight, listed, avoided atomic.Int64 }
 
-// Tallies returns what has come of the calls so far, by class.
+// Tallies returns the counts of outcomes so far, by class.
 func (a *Agent) Tallies() map[string]*Tally { return a.tallies }
 
-// InFlight is how many calls are open or stand.
+// InFlight returns the number of calls that are open or stand.
 func (a *Agent) InFlight() int64 { return a.gauges.inFlight.Load() }
 
-// Hosts is how many setup servers are listed, and how many of them get no calls now.
+// Hosts returns how many setup servers are listed, and how many of those get no calls at present.
 func (a *Agent) Hosts() (listed, avoided int64) {
 	return a.gauges.listed.Load(), a.gauges.avoided.Load()
 }
 
-// How many releases of unknown calls a second go on. Callers' cost each server a message:
-// the bound is more than the calls of a busy second, which is what a restart leaves behind of
-// each. Servers' cost one caller a message, and come all at once on the first connection
-// after a restart: the bound is the calls that stand in a busy hour.
+// Limits per second on passing on ends of unknown calls. A caller's release of an unknown call costs each
+// server a message: its limit is above the number of calls of a busy second, which is what a restart leaves
+// behind per second. A server's end of an unknown call costs one caller a message, and these come all at once
+// on the first connection after a restart: its limit is the number of calls that stand in a busy hour.
 const (
 	unknownReleasesPerSecond = 200
 	unknownEndsPerSecond     = 2000
 )
 
-// rateLimiter counts what may happen so many times a second.
+// rateLimiter counts events within the current second.
 type rateLimiter struct {
 	since time.Time
 	count int
@@ -154,39 +154,39 @@
 	return l.count <= limit
 }
 
-// event is work for the actor; id names the call it is about, if any.
+// event is work for the actor; id is the call that it concerns, if any.
 type event struct {
 	id string
 	do func()
 }
 
-// call is an entry of the call table. It leaves once resolved with no attempt out.
+// call is an entry of the call table. It is removed once the call has its final answer and no attempt is out.
 type call struct {
 	Call
 	front          Front
-	resolved       bool // has its final answer, or needs none
+	resolved       bool // the call has its final answer, or needs none
 	stands         bool
-	callerLeft     bool // the caller has left or released it
+	callerLeft     bool // the caller has left or has released the call
 	attempts       int
 	server         string
 	attemptOut     bool // an attempt is unanswered or stands
 	givenUp        bool
 	sentAt         policy.Time
-	attemptTimer   *time.Timer   // of the attempt
-	cancelAttempt  func()        // ends the attempt's Wanted
-	overdueTimer   *time.Timer   // of the call: the core's own last word
-	lastFailure    *Failure      // of its latest attempt
-	attemptTimeout time.Duration // of each attempt, by its route; 0: until the module's deadline
+	attemptTimer   *time.Timer   // gives the attempt up when its time is over
+	cancelAttempt  func()        // ends the attempt's Context
+	overdueTimer   *time.Timer   // fails the call if the module did not answer it in time
+	lastFailure    *Failure      // of the latest attempt
+	attemptTimeout time.Duration // for each attempt, by the call's route; 0: until the module's deadline
 
-	claimed    bool     // further agents know that this one alone sends it, and no answer of it
-	storing    bool     // its claim or its answer is on the way to further agents
-	stored     bool     // further agents hold that it stands
-	ended      bool     // it stood, and ended while its answer was being kept
-	endFailure *Failure // how
+	claimed    bool     // the call is claimed for this agent, and its answer is not stored yet
+	storing    bool     // the claim or the answer is being stored at further agents
+	stored     bool     // further agents have stored that the call stands
+	ended      bool     // the call stood, and ended while its answer was being stored
+	endFailure *Failure // the error with which it ended; nil: normally
 }
 
-// New returns an agent, or tells why the settings can't be used. The backend may be
-// set later with Attach, but before Run.
+// New returns an agent, or an error if the settings can't be used. The backend may be set later with
+// SetBackend, but before Run.
 func New(cfg Config) (*Agent, error) {
 	controller, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -194,8 +194,8 @@
 	}
 	a := &Agent{cfg: cfg, controller: controller, mailbox: mailbox.New[event](cmp.Or(cfg.MailboxSize, 8192)),
 		calls: map[string]*call{}, adopted: map[string]*call{}, serverByAddress: map[string]Server{}, classes: map[string]policy.Class{}, tenants: map[string]bool{}, tallies: map[string]*Tally{}, start: time.Now()}
-	// The module compares its time with the Unix milliseconds of a server's start, and
-	// must never see it run backwards: the wall clock once, then the monotonic one.
+	// The module compares its time with the Unix milliseconds of a server's start, and its time must never
+	// run backwards: so the wall clock is read once, and the monotonic clock is used from then on.
 	a.origin = policy.Time(a.start.UnixNano())
 	for _, c := range cfg.Settings.Classes {
 		a.classes[c.Name] = c
@@ -216,24 +216,24 @@
 	return a, nil
 }
 
-// WithSpread hands the module's part in spreading the load of all senders, and the module's time, to
-// do on the core's goroutine, which must not wait. It does nothing once the agent has stopped.
+// WithSpread runs do on the core's goroutine with the module's time and its state for spreading the load of
+// all senders. do must not block. It does not run once the agent has stopped.
 func (a *Agent) WithSpread(do func(now policy.Time, s *spread.State)) {
 	a.post("", func() { do(a.now(), a.controller.Spread()) })
 }
 
-// ApplyView has the module follow a steward's view of the fleet.
+// ApplyView makes the module follow a steward's view of the fleet.
 func (a *Agent) ApplyView(v spread.View) {
 	a.post("", func() { a.act(a.controller.ApplyView(a.now(), v)) })
 }
 
-// Observations is what the agent sees of the setup servers; nil where Config.Sights is not set.
+// Observations returns what the agent observed of the setup servers; nil unless Config.ObserveServers is set.
 func (a *Agent) Observations() *Observations { return a.observations }
 
-// SetBackend names the backend.
+// SetBackend sets the backend.
 func (a *Agent) SetBackend(b Backend) { a.backend = b }
 
-// Run handles events until Stop, then what has come in before it.
+// Run handles events until Stop is called, then the events that are still queued.
 func (a *Agent) Run() {
 	for {
 		e, ok := a.mailbox.Take()
@@ -244,16 +244,17 @@
 	}
 }
 
-// RefuseNew has calls that come from now on refused, or taken again. What is open goes on.
+// RefuseNew sets whether new calls are refused. Calls that are open continue.
 func (a *Agent) RefuseNew(on bool) { a.refusingNew.Store(on) }
 
-// refusingRetryAfter is told to callers while the agent takes no calls: others take them at once.
+// refusingRetryAfter is told to callers while the agent refuses new calls; it is short, as other agents
+// accept calls at once.
 const refusingRetryAfter = 200 * time.Millisecond
 
-// Stop lets no further events in.
+// Stop closes the event queue to further events.
 func (a *Agent) Stop() { a.mailbox.Close() }
 
-// handle runs one event; a panic ends the call it was about and nothing else.
+// handle runs one event. A panic fails the call that the event was about and affects nothing else.
 func (a *Agent) handle(e event) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -274,8 +275,8 @@
 
 func (a *Agent) now() policy.Time { return a.origin + time.Since(a.start) }
 
-// Offer hands a call in. It reports false when the agent is too busy to take it; the
-// front then refuses the call itself.
+// Offer passes a call to the agent. It returns false if the agent is too busy; the front then refuses the
+// call itself.
 func (a *Agent) Offer(f Front, c Call) bool {
 	if a.openBytes.Add(callMemory(c)) <= cmp.Or(a.cfg.MaxCallBytes, 16<<20) && a.mailbox.Offer(event{c.ID, func() {
 		if !a.offer(f, c) {
@@ -289,14 +290,14 @@
 	return false
 }
 
-// callOverheadBytes is what a call takes beside its description: tables, timers, closures.
+// callOverheadBytes is a call's memory besides its description: table entries, timers, closures.
 const callOverheadBytes = 1 << 10
 
-// callMemory tells about how much memory a call holds until it is answered. Hundreds of set-ups of
-// 16 KiB at once, from one caller, must not take a small machine's.
+// callMemory returns approximately how many bytes a call holds until it is answered. Hundreds of concurrent
+// set-ups of 16 KiB from one caller must not exhaust a small machine's memory.
 func callMemory(c Call) int64 { return int64(callOverheadBytes + len(c.Description)) }
 
-// tally returns the counts of a call's class; those of a class unknown are nobody's.
+// tally returns the counts of a call's class; for an unknown class it returns counts that are discarded.
 func (a *Agent) tally(c Call) *Tally {
 	if t := a.tallies[c.Class]; t != nil {
 		return t
@@ -304,7 +305,7 @@
 	return &Tally{}
 }
 
-// The ways in which a front hears of a final answer, counted.
+// These methods pass a final answer to the front and count it.
 func (a *Agent) answer(f Front, c Call, description []byte) {
 	a.tally(c).Served.Add(1)
 	f.Answered(c, description)
@@ -325,13 +326,14 @@
 	f.Rejected(c, err)
 }
 
-// Withdraw tells that the caller has left: it gave the set-up up, released the call that
-// stands, or can't be reached with the answer. Nothing more is owed for the call.
+// Withdraw reports that the caller has left: it gave up the set-up, released the standing call, or can't be
+// reached with the answer. The front needs no further message about the call.
 func (a *Agent) Withdraw(f Front, id string) { a.post(id, func() { a.withdraw(f, id) }) }
 
-// ReleaseUnknown tells that a caller released a call its front knows nothing of. One from
-// before a restart still stands at some server; of one handled here all is said. Each
-// costs every server a message, so a caller that makes ids up is held to unknownMost a second.
+// ReleaseUnknown reports that a caller released a call that its front does not know. A call from before a
+// restart still stands at some server and is released at all of them; a call that was handled here needs
+// nothing more. Each release costs every server a message, so callers that invent ids are limited to
+// unknownReleasesPerSecond.
 func (a *Agent) ReleaseUnknown(id string) {
 	a.post(id, func() {
 		if a.calls[id] == nil && !a.recent.Has(id) && a.unknownReleases.allow(time.Now(), unknownReleasesPerSecond) {
@@ -340,23 +342,23 @@
 	})
 }
 
-// Servers brings news of the server list.
+// Servers updates the server list. whole: servers that are not in the list are gone.
 func (a *Agent) Servers(list []Server, whole bool) {
 	a.post("", func() { a.servers(list, whole) })
 }
 
-// Stands tells that an attempt was answered.
+// Stands reports that an attempt was answered and the call stands.
 func (a *Agent) Stands(id string, n int, description []byte) {
 	a.post(id, func() { a.handleStands(id, n, description) })
 }
 
-// Ended tells how an attempt ended, or the call that stood on it; err is nil where the
-// call came to its end, and a *Failure otherwise.
+// Ended reports the end of an attempt, or of the call that stood on it. err is nil if the call ended
+// normally, and a *Failure otherwise.
 func (a *Agent) Ended(id string, n int, err *Failure, r policy.Report) {
 	a.post(id, func() { a.handleEnded(id, n, err, r) })
 }
 
-// UnknownEnded tells that a server ended a call of which the backend knows nothing.
+// UnknownEnded reports that a server ended a call that the backend does not know.
 func (a *Agent) UnknownEnded(id string, err *Failure) {
 	a.post(id, func() {
 		if a.calls[id] == nil && !a.adoptedEnded(id, err) && !a.recent.Has(id) && a.unknownEnds.allow(time.Now(), unknownEndsPerSecond) {
@@ -365,7 +367,7 @@
 	})
 }
 
-// Reported brings a report that came outside an answer, or the outcome of a probe.
+// Reported passes on a report that did not come with an answer, or the outcome of a probe.
 func (a *Agent) Reported(p policy.ReportReceived) {
 	a.post("", func() {
 		a.observations.recordReport(p)
@@ -381,8 +383,8 @@
 	})
 }
 
-// RefuseAll gives every unresolved call its final answer now. For a shutdown that can
-// wait no longer.
+// RefuseAll refuses every call that has no final answer yet. It is meant for a shutdown that can't wait
+// longer.
 func (a *Agent) RefuseAll(retryAfter time.Duration) {
 	a.post("", func() {
 		for _, c := range a.calls {
@@ -396,7 +398,7 @@
 	})
 }
 
-// offer enters a call and tells whether it was taken.
+// offer adds a call to the table and reports whether it was accepted.
 func (a *Agent) offer(f Front, in Call) bool {
 	if a.calls[in.ID] != nil {
 		a.reject(f, in, ErrDuplicate)
@@ -420,7 +422,8 @@
 	a.calls[in.ID] = c
 	a.openCalls++
 	left := max(time.Until(in.Deadline), 0)
-	// The module answers every call in time. Should it ever not, the caller still hears.
+	// The module answers every call in time. This timer makes sure that the caller gets an answer even if it
+	// does not.
 	c.overdueTimer = time.AfterFunc(left+a.cfg.AnswerSlack/2, func() {
 		a.post(in.ID, func() {
 			if a.calls[in.ID] == c && !c.resolved {
@@ -437,7 +440,7 @@
 	return true
 }
 
-// notifyArrival tells the module of a call, with its route's limits.
+// notifyArrival passes a call to the module, with its route's limits.
 func (a *Agent) notifyArrival(c *call) {
 	in := c.Call
 	route, left := a.route(in, max(time.Until(in.Deadline), 0))
@@ -447,8 +450,8 @@
 		MaxAttempts: route.MaxAttempts, RetryDelay: route.Spacing, Pools: route.Pools}))
 }
 
-// check looks at what a caller claims before anything is kept of it. A setup server answers
-// what it can't use with an error, or ends the connection and with it others' set-ups.
+// check validates a caller's parameters before anything of the call is stored. A setup server answers
+// unusable parameters with an error, or closes the connection and thereby ends other calls' set-ups.
 func (a *Agent) check(c Call) error {
 	class, ok := a.classes[c.Class]
 	bad := func(format string, args ...any) error {
@@ -490,7 +493,7 @@
 	a.endAtServer(c)
 }
 
-// abandon is the core's own final answer, whatever the module thinks.
+// abandon fails the call, whatever the module decides later.
 func (a *Agent) abandon(c *call, err error) {
 	if !c.resolved {
 		a.resolve(c)
@@ -500,7 +503,8 @@
 	a.endAtServer(c)
 }
 
-// endAtServer ends what a resolved call still has at a setup server, and tells the module.
+// endAtServer gives up the attempt that a resolved call still has at a setup server, and tells the module
+// that the call is gone.
 func (a *Agent) endAtServer(c *call) {
 	if c.attemptOut {
 		a.giveUp(c, policy.Cancelled)
@@ -519,7 +523,7 @@
 	}
 }
 
-// resolve marks that a call has its final answer: the one place where that is set.
+// resolve marks a call as finally answered. Nothing else sets resolved.
 func (a *Agent) resolve(c *call) {
 	c.resolved = true
 	a.openBytes.Add(-callMemory(c.Call))
@@ -538,16 +542,16 @@
 	a.idleCallbacks = nil
 }
 
-// forgetIfDone forgets a call that needs nothing more.
+// forgetIfDone removes a call from the table if nothing more can happen to it.
 func (a *Agent) forgetIfDone(c *call) {
 	if c.resolved && !c.attemptOut && a.calls[c.ID] == c {
 		delete(a.calls, c.ID)
 	}
 }
 
-// dropReplaced takes those off a list whose address a later one has: a server is replaced at its address
-// before the list tells that it is gone, and what was meant for it would reach the new one, which
-// is cold. It leaves the list it was given as it is.
+// dropReplaced marks the servers as gone whose address another server with a later start has taken over. A
+// server is replaced at its address before the list says that it is gone, and calls meant for the old server
+// would reach the new one, which is cold. The given list is not modified.
 func (a *Agent) dropReplaced(list []Server, whole bool) []Server {
 	list = slices.Clone(list)
 	if whole {
@@ -564,7 +568,7 @@
 		case held && h.ID != s.ID && h.ReadyAt > s.ReadyAt:
 			list[i].State = policy.Gone
 		case held && h.ID != s.ID:
-			a.cfg.Log.Info("setup server replaced at its address", "address", s.Address, "old", h.ID, "new", s.ID)
+			a.cfg.Log.Info("setup server replaced by another at the same address", "address", s.Address, "old", h.ID, "new", s.ID)
 			h.State = policy.Gone
 			list = append(list, h)
 			a.serverByAddress[s.Address] = s
@@ -582,11 +586,11 @@
 		news.Servers = append(news.Servers, s.Server)
 	}
 	a.observations.recordList(list, whole)
-	a.backend.Servers(list, whole) // first: what the module sends next must find its server
+	a.backend.Servers(list, whole) // first: the backend must know the servers to which the module sends next
 	a.act(a.controller.Handle(a.now(), news))
 }
 
-// currentAttempt returns the call whose latest attempt is n and still out.
+// currentAttempt returns the call if n is its latest attempt and that attempt is still out.
 func (a *Agent) currentAttempt(id string, n int) *call {
 	if c := a.calls[id]; c != nil && c.attemptOut && n == c.attempts-1 {
 		return c
@@ -596,7 +600,7 @@
 
 func (a *Agent) handleStands(id string, n int, description []byte) {
 	c := a.currentAttempt(id, n)
-	// Once given up, the answer comes too late: the backend releases it at the server.
+	// An answer after the give-up is too late: the backend releases the call at the server.
 	if c == nil || c.givenUp || c.resolved || c.storing {
 		return
 	}
@@ -639,14 +643,14 @@
 		e.Result, e.Wait = err.Result, err.Wait
 		a.cfg.Log.Debug("attempt ended", "call", id, "attempt", n, "error", err)
 	}
-	if !c.stands { // how a call that stood ended shows nothing of the way to its server
+	if !c.stands { // the end of a standing call says nothing about reaching its server
 		a.observations.recordAttempt(c.server, e.Result, e.Delay, r)
 	}
 	a.forgetIfDone(c)
 	a.act(a.controller.Handle(a.now(), e))
 }
 
-// overdueError tells how far the latest attempt of a call without an outcome had come.
+// overdueError is the error of a call without an outcome; it says how far the latest attempt got.
 func (c *call) overdueError() error {
 	if c.lastFailure == nil {
 		return ErrOverdue
@@ -654,7 +658,7 @@
 	return fmt.Errorf("%w: %w", ErrOverdue, c.lastFailure)
 }
 
-// failureOrNil keeps a failure that is none from becoming an error that is not nil.
+// failureOrNil returns f as an error, so that a nil *Failure becomes a nil error.
 func failureOrNil(f *Failure) error {
 	if f == nil {
 		return nil
@@ -695,7 +699,7 @@
 func (a *Agent) send(d policy.Send) {
 	c := a.calls[d.ID]
 	if c == nil || c.resolved || c.attemptOut || c.storing {
-		a.cfg.Log.Error("set-up for a call that is over or out", "call", d.ID, "server", d.Server)
+		a.cfg.Log.Error("set-up ignored: the call has ended or another attempt is out", "call", d.ID, "server", d.Server)
 		return
 	}
 	n := c.attempts
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -31,11 +31,11 @@
 	}
 }
 
-// fakeSides records what the core does as front and as backend; a test plays the rest.
+// fakeSides records what the core does to its front and its backend; the test provides their events.
 type fakeSides struct {
 	mu         sync.Mutex
-	toCaller   []string // to the caller
-	toServers  []string // of the setup servers
+	toCaller   []string // messages to the caller
+	toServers  []string // requests to the setup servers
 	retryAfter time.Duration
 	panics     bool
 }
@@ -87,7 +87,7 @@
 	s.note(&s.toServers, "give up %s.%d at %s", id, n, server)
 }
 
-// withAgent runs a test in a bubble with one setup server on the list.
+// withAgent runs a test in a synctest bubble, with one setup server on the list.
 func withAgent(t *testing.T, test func(a *Agent, s *fakeSides)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeSides{}
@@ -117,7 +117,8 @@
 	synctest.Wait()
 }
 
-// earnRetryBudget has eight calls stand at once: first attempts earn the module's budget of further ones.
+// earnRetryBudget sets up eight calls at once, as first attempts earn the module's budget of further
+// attempts.
 func earnRetryBudget(a *Agent, s *fakeSides) {
 	for i := range 8 {
 		id := fmt.Sprint("w", i)
@@ -128,8 +129,8 @@
 
 var cutFailure = &Failure{Stage: Written, Result: policy.Cut, Server: "s", Err: fmt.Errorf("reset")}
 
-// TestEventOrders plays what the two sides may do in every order that is a race on sockets;
-// each call gets one final answer, and what is left at a server is given up.
+// TestEventOrders plays events of callers and servers in the orders that races on sockets can produce. Each
+// call must get one final answer, and what is left at a server must be given up.
 func TestEventOrders(t *testing.T) {
 	stands := func(a *Agent, s *fakeSides) { a.Stands("c", 0, []byte("d")) }
 	cut := func(a *Agent, s *fakeSides) { a.Ended("c", 0, cutFailure, policy.EmptyReport()) }
@@ -157,7 +158,7 @@
 			[]string{"give up c.0 at s"}},
 		{"caller leaves twice", []func(*Agent, *fakeSides){leave, leave, cancelled, leave}, nil,
 			[]string{"give up c.0 at s"}},
-		{"end of an attempt that is none", []func(*Agent, *fakeSides){stands, done, done},
+		{"the attempt ends twice", []func(*Agent, *fakeSides){stands, done, done},
 			[]string{"answered c d", "ended c true"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -168,18 +169,18 @@
 					step(a, s)
 					synctest.Wait()
 				}
-				sleep(4 * time.Second) // no guard may speak later
+				sleep(4 * time.Second) // the overdue timer must not answer a second time
 				assert.Equal(t, tc.said, s.callerLog())
 				assert.Equal(t, append([]string{"set up c.0 at s"}, tc.asked...), s.serverLog())
-				assert.Empty(t, a.calls, "the call table forgets")
+				assert.Empty(t, a.calls, "the call is removed from the table")
 				assert.Zero(t, a.openCalls)
 			})
 		})
 	}
 }
 
-// TestDeadline: at the caller's deadline the set-up is given up first; its end brings the
-// failure. Should the backend never tell of it, the caller still hears within the slack.
+// TestDeadline checks that the set-up is given up at the caller's deadline, and that its end produces the
+// failure. If the backend never reports the end, the caller must still get an answer within the slack.
 func TestDeadline(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 800*ms)
@@ -189,12 +190,12 @@
 		require.Equal(t, []string{"set up c.0 at s", "give up c.0 at s"}, s.serverLog())
 		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.TimedOut}, policy.EmptyReport())
 		synctest.Wait()
-		require.Equal(t, []string{"failed c written"}, s.callerLog(), "how far it came is told")
+		require.Equal(t, []string{"failed c written"}, s.callerLog(), "the stage is reported")
 	})
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 800*ms)
 		sleep(811 * ms)
-		require.Equal(t, []string{"failed c"}, s.callerLog(), "the core's own last word")
+		require.Equal(t, []string{"failed c"}, s.callerLog(), "failed by the core's overdue timer")
 		a.Ended("c", 0, cutFailure, policy.EmptyReport())
 		sleep(time.Second)
 		require.Equal(t, []string{"failed c"}, s.callerLog())
@@ -202,8 +203,8 @@
 	})
 }
 
-// TestClearWait: a call whose attempt broke goes out again only 300 ms after its end, and
-// what the module gives up is refused at once, with when to return.
+// TestClearWait checks that a call whose attempt was cut is sent again only 300 ms after the end, and that a
+// call which the module gives up is refused at once with a time to retry.
 func TestClearWait(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		earnRetryBudget(a, s)
@@ -213,7 +214,7 @@
 		require.NotContains(t, s.serverLog(), "set up c.1 at s")
 		sleep(60 * ms)
 		require.Contains(t, s.serverLog(), "set up c.1 at s")
-		a.Ended("c", 0, cutFailure, policy.EmptyReport()) // a late word of the first attempt
+		a.Ended("c", 0, cutFailure, policy.EmptyReport()) // a late end of the first attempt
 		synctest.Wait()
 		require.NotContains(t, s.callerLog(), "refused c")
 
@@ -225,14 +226,14 @@
 	})
 }
 
-// TestRejected: an id that is open and a class that is unknown are turned away without
-// touching the call that is open.
+// TestRejected checks that an id that is already open and an unknown class are rejected without affecting the
+// open call.
 func TestRejected(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
 		offer(a, s, "c", 3*time.Second)
 		a.Offer(s, Call{ID: "x", Class: "none"})
-		a.Withdraw(&fakeSides{}, "c") // another front's caller
+		a.Withdraw(&fakeSides{}, "c") // a caller of another front
 		synctest.Wait()
 		require.Equal(t, []string{"rejected c: " + ErrDuplicate.Error(), "rejected x: " + ErrUnknownClass.Error()}, s.callerLog())
 		a.Stands("c", 0, nil)
@@ -241,8 +242,8 @@
 	})
 }
 
-// TestUnknownReleaseFlood: releases of calls that nobody knows go to the servers, as after a restart,
-// but a caller that makes ids up must not have each of them cost every server a message.
+// TestUnknownReleaseFlood checks that releases of unknown calls go to all servers, as is needed after a
+// restart, but that a caller which invents ids can't make each of them cost every server a message.
 func TestUnknownReleaseFlood(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		for i := range 10 * unknownReleasesPerSecond {
@@ -257,7 +258,8 @@
 	})
 }
 
-// TestUnusableCalls: what no setup server could use is turned away before anything is kept of it.
+// TestUnusableCalls checks that a call that no setup server could use is rejected before anything of it is
+// stored.
 func TestUnusableCalls(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		for _, spoil := range []func(*Call){
@@ -283,8 +285,8 @@
 	})
 }
 
-// TestMaxOpenCalls: open calls hold their descriptions, so there is a bound; beyond it a call is
-// refused at once and one that is over makes place.
+// TestMaxOpenCalls checks the bound on open calls, which hold their descriptions in memory: beyond it a call
+// is refused at once, and an answered call makes room.
 func TestMaxOpenCalls(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		a.cfg.MaxOpenCalls = 1
@@ -299,8 +301,8 @@
 	})
 }
 
-// TestMaxCallBytes: the memory of calls that wait is bounded, not their number alone, and each way
-// in which a call is done with gives its part back.
+// TestMaxCallBytes checks that the memory of waiting calls is bounded, not only their number, and that every
+// way in which a call ends gives its share back.
 func TestMaxCallBytes(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		one := callFor("c", 3*time.Second)
@@ -310,7 +312,7 @@
 		synctest.Wait()
 		a.Stands("c", 0, nil)
 		synctest.Wait()
-		for _, id := range []string{"c", "e"} { // one that stands already, and one that is left
+		for _, id := range []string{"c", "e"} { // one that stands already, and one whose caller leaves
 			require.True(t, a.Offer(s, callFor(id, 3*time.Second)))
 			synctest.Wait()
 			a.Withdraw(s, "e")
@@ -319,11 +321,11 @@
 		}
 		require.True(t, a.Offer(s, callFor("f", 500*ms)))
 		sleep(time.Second)
-		require.Zero(t, a.openBytes.Load(), "its time ran out")
+		require.Zero(t, a.openBytes.Load(), "its deadline passed")
 	})
 }
 
-// TestPanic: a panic ends the call that it came up in, and the core goes on.
+// TestPanic checks that a panic ends the call in whose event it occurred, and that the core continues.
 func TestPanic(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
@@ -336,11 +338,11 @@
 		offer(a, s, "d", 3*time.Second)
 		a.Stands("d", 0, nil)
 		synctest.Wait()
-		require.Equal(t, []string{"ended c false", "answered d "}, s.callerLog(), "the caller of c is told that it is over")
+		require.Equal(t, []string{"ended c false", "answered d "}, s.callerLog(), "the caller of c is told that its call has ended")
 	})
 }
 
-// TestShutdown: a shutdown waits for open calls, and what can wait no longer is refused.
+// TestShutdown checks that a shutdown waits for open calls, and that RefuseAll refuses the rest.
 func TestShutdown(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		idle := false
@@ -359,8 +361,8 @@
 	})
 }
 
-// TestUnknownEnded: the end of a call from before a restart goes to the callers, and a caller's
-// release of one to the servers; a word too many about a call of this agent does not.
+// TestUnknownEnded checks that the end of a call from before a restart goes to the callers, and a caller's
+// release of such a call to the servers, but that neither happens for a call that this agent has handled.
 func TestUnknownEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, strays := &fakeSides{}, make(chan string, 10)
@@ -383,8 +385,8 @@
 	})
 }
 
-// TestUnknownEndedFlood: a server that ends calls nobody knows, without end, floods no caller; the next
-// second those of a restart go through again.
+// TestUnknownEndedFlood checks that a server which keeps ending unknown calls can't flood the callers, and
+// that ends pass again in the next second.
 func TestUnknownEndedFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		told := 0
@@ -404,24 +406,25 @@
 	})
 }
 
-// TestModuleTimeIsUnixTime: module time is Unix time, so that the start of a server compares with it.
+// TestModuleTimeIsUnixTime checks that the module's time is comparable with the Unix time of a server's
+// start.
 func TestModuleTimeIsUnixTime(t *testing.T) {
 	a, err := New(Config{Settings: settings()})
 	require.NoError(t, err)
 	require.InDelta(t, time.Now().UnixNano(), int64(a.now()), float64(time.Minute))
 }
 
-// TestCounts: each final answer is counted once in its class, however it came about; what
-// stands is in flight until its end, and the list's servers are counted.
+// TestCounts checks that each final answer is counted once in its class, however it came about, that a
+// standing call is in flight until its end, and that the listed servers are counted.
 func TestCounts(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
 		a.Stands("c", 0, nil)
-		offer(a, s, "c", 3*time.Second)          // a second one under its id: failed
-		offer(a, s, "d", 500*ms)                 // nobody answers it: refused or failed in its time
-		a.Offer(s, Call{ID: "x", Class: "none"}) // of no class that is counted
+		offer(a, s, "c", 3*time.Second)          // a second call with the same id: failed
+		offer(a, s, "d", 500*ms)                 // not answered: refused or failed by its deadline
+		a.Offer(s, Call{ID: "x", Class: "none"}) // of an unknown class: not counted
 		sleep(time.Second)
-		require.EqualValues(t, 1, a.InFlight(), "one stands")
+		require.EqualValues(t, 1, a.InFlight(), "one call stands")
 		listed, _ := a.Hosts()
 		require.EqualValues(t, 1, listed)
 		tally := a.Tallies()["voice"]
@@ -433,8 +436,8 @@
 	})
 }
 
-// TestRefuseNew: an agent that is to be empty refuses what comes, with a time, and goes on with
-// what is open; then it takes calls again.
+// TestRefuseNew checks that an agent that is being drained refuses new calls with a time to retry and
+// completes the open ones, and that it accepts calls again afterwards.
 func TestRefuseNew(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		offer(a, s, "c", 3*time.Second)
@@ -451,8 +454,8 @@
 	})
 }
 
-// TestAttemptTimeout: a route's attempt time-out gives each attempt up at that time, not at
-// the deadline, tells the server so (Until), and the next attempt waits the route's spacing.
+// TestAttemptTimeout checks that a route's attempt time-out gives each attempt up at that time rather than at
+// the deadline, that the server is told this time, and that the next attempt waits for the route's spacing.
 func TestAttemptTimeout(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
 		earnRetryBudget(a, s)
@@ -470,6 +473,6 @@
 		sleep(401 * ms)
 		a.Ended("c", 1, &Failure{Stage: Written, Result: policy.TimedOut, Server: "s"}, policy.EmptyReport())
 		synctest.Wait()
-		require.Contains(t, s.callerLog(), "refused c", "two attempts were all its route allows")
+		require.Contains(t, s.callerLog(), "refused c", "its route allows two attempts")
 	})
 }
--- a/agent/api.go
+++ b/agent/api.go
@@ -1,6 +1,6 @@
-// Package agent is the core of a call agent: it hands what happens to the decision
-// module and carries out what the module decides. It knows no wire. Callers reach it
-// through a Front, setup servers through a Backend.
+// Package agent is the core of a call agent. It passes events to the decision module (package policy) and
+// carries out the module's decisions. It knows no wire protocol: callers reach it through a Front, setup
+// servers through a Backend.
 package agent
 
 import (
@@ -11,55 +11,55 @@
 	"woodrouter/policy"
 )
 
-// Call is a call as a front hands it in.
+// Call is a call as a front passes it to the agent.
 type Call struct {
-	ID          string // 16 hex digits, the same at the setup server
+	ID          string // 16 hex digits; the setup server gets the same id
 	Class       string
 	Tenant      string
 	Number      string
-	Pool        int  // setup server of first choice, by its number; -1: none
-	Width       int  // lines it takes; 0: not stated
-	Redialled   bool // dialled again
+	Pool        int  // number of the setup server of first choice; -1: none
+	Width       int  // lines that the call occupies; 0: not stated
+	Redialled   bool // the caller dials again after an earlier try
 	Deadline    time.Time
 	Description []byte
-	Ref         any // the front's own; the core returns it untouched
-	// CallerContext ends the moment the front sees its caller leave, before word of it reaches the
-	// core: nothing more is sent for the call from then on. nil: the front has none.
+	Ref         any // for the front's use; the agent returns it unchanged
+	// CallerContext ends as soon as the front notices that the caller has left, before the core processes the
+	// withdrawal. Nothing more is sent for the call from then on. nil: the front has no such context.
 	CallerContext context.Context
 }
 
-// Front is the callers' side. The core calls it from its own goroutine, so no method
-// may wait. For each call offered it gets exactly one of Answered, Refused, Failed and
-// Rejected, unless the front withdrew the call first; after Answered at most one Ended.
+// Front is the callers' side. The core calls it from its own goroutine, so its methods must not block. For
+// each call that it offered, the front gets exactly one of Answered, Refused, Failed and Rejected, unless it
+// withdrew the call first. After Answered it gets at most one Ended.
 type Front interface {
-	// Answered tells that the call stands, with the setup server's description.
+	// Answered reports that the call stands, with the setup server's description.
 	Answered(c Call, description []byte)
-	// Refused tells that trying again is harmless, after stayAway.
+	// Refused reports that the call was refused and that the caller may safely try again after retryAfter.
 	Refused(c Call, retryAfter time.Duration)
-	// Failed tells that the call could not be set up; err tells how far it came.
+	// Failed reports that the call could not be set up; err says how far it got.
 	Failed(c Call, err error)
-	// Rejected tells that the call was not taken: err is ErrDuplicate, ErrClass
-	// or ErrCall.
+	// Rejected reports that the call was not accepted: err is ErrDuplicate, ErrUnknownClass or
+	// ErrUnusableCall.
 	Rejected(c Call, err error)
-	// Ended tells that a call that stood is over; err is nil where it came to its end.
+	// Ended reports the end of a call that stood; err is nil if the call ended normally.
 	Ended(c Call, err error)
 }
 
 // Attempt is one set-up at one setup server.
 type Attempt struct {
 	ID          string
-	Index       int // attempts of a call are numbered from 0
+	Index       int // attempts of a call are counted from 0
 	Server      string
 	Class       string
 	Number      string
 	Deadline    time.Time
 	Description []byte
-	// Context ends once the attempt is given up or its caller has left, whatever still waits in
-	// the way of that news. A backend looks at it last of all before it sends; nil: always wanted.
+	// Context ends as soon as the attempt is given up or its caller has left, even while that event is still
+	// queued elsewhere. A backend checks it immediately before sending. nil: the attempt is always wanted.
 	Context context.Context
 }
 
-// CancelCause tells why the attempt must not be sent any more; nil: it may.
+// CancelCause returns why the attempt must not be sent any more; nil if it may be sent.
 func (a Attempt) CancelCause() error {
 	if a.Context == nil {
 		return nil
@@ -67,37 +67,36 @@
 	return context.Cause(a.Context)
 }
 
-// Backend is the setup servers' side. The core calls it from its own goroutine, so no
-// method may wait. Each SetUp is followed by exactly one Core.Ended, and by at most
-// one Core.Stands before it.
+// Backend is the setup servers' side. The core calls it from its own goroutine, so its methods must not
+// block. Each SetUp is followed by exactly one Agent.Ended, with at most one Agent.Stands before it.
 type Backend interface {
-	// Servers brings news of the list; whole: servers not named are gone.
+	// Servers updates the server list. whole: servers that are not in the list are gone.
 	Servers(list []Server, whole bool)
 	SetUp(a Attempt)
-	// GiveUp ends an attempt, or the call that stands on it: Ended follows with why,
-	// once the give-up is written, unless another end came first.
+	// GiveUp ends an attempt, or the call that stands on it. Ended with the reason why follows once the
+	// message is written, unless the attempt ended otherwise first.
 	GiveUp(server, id string, n int, why policy.Result)
-	// ReleaseUnknown ends a call that stands at one of the servers, nobody knows which.
+	// ReleaseUnknown ends a call that stands at one of the servers when it is not known at which.
 	ReleaseUnknown(id string)
 	Probe(server string)
 }
 
-// Server is an entry of the server list. Its name is what it is; addresses are reused.
+// Server is an entry of the server list. A server is identified by its ID, as addresses are reused.
 type Server struct {
 	policy.Server
 	Address string
-	Zone    string // where it stands; "": the list does not say
+	Zone    string // zone of the server; "": not in the list
 }
 
-// Stage tells how far an attempt had come when it ended.
+// Stage is how far an attempt had got when it ended.
 type Stage int
 
-// The stages. Up to Unconnected the attempt proves that nothing ran.
+// The stages. Unwritten and Unconnected prove that the setup server did not start the call.
 const (
-	Unwritten   Stage = iota // not a byte of it left
-	Unconnected              // the server refused the connection, or it never came up
-	Written                  // the set-up left, whole or in part: it may have run
-	Responded                // the server itself said how it ended
+	Unwritten   Stage = iota // not a byte of the set-up was sent
+	Unconnected              // the connection was refused or not established
+	Written                  // the set-up was sent, wholly or in part, and may have been carried out
+	Responded                // the server itself reported the outcome
 	Stood                    // the call stood and was cut
 )
 
@@ -110,7 +109,7 @@
 	Stage  Stage
 	Result policy.Result
 	Server string
-	Wait   time.Duration // stated by a full server
+	Wait   time.Duration // wait at the processor, as stated by a full server
 	Err    error
 }
 
--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// ErrFailedBefore is a failure that was promised before: by another agent, or in an earlier life.
+// ErrFailedBefore reports that the call's failure is already promised: by another agent, or by this one
+// before a restart.
 var ErrFailedBefore = errors.New("failed before, as other agents hold")
 
-// PromiseStore copies what the agent promises to further agents, so that losing this one with its
-// disk loses nothing that was promised. The core calls it from its own goroutine, so no
-// method may wait; each done is called exactly once, from any goroutine. An agent without a
-// Keeper promises for itself alone.
+// PromiseStore replicates the agent's promises to further agents, so that losing this agent and its disk
+// loses no promise. The core calls it from its own goroutine, so its methods must not block; each done is
+// called exactly once, from any goroutine. Without a PromiseStore an agent keeps its promises in its own
+// memory.
 type PromiseStore interface {
-	// Claim asks that this agent alone may send a call's set-ups. If another had the call
-	// before, it is closed for both: refused, with when to come back.
+	// Claim requests the exclusive right to send a call's set-ups. If another agent claimed the call before,
+	// the call is closed for both of them: it is refused, with the time after which the caller may retry.
 	Claim(c Call, retryAfter time.Duration, done func(StoreResult))
-	// Resolve asks that a claimed call's final answer is kept, until a time at the latest.
+	// Resolve stores a claimed call's final answer, trying until the given time.
 	Resolve(id string, p Promise, until time.Time, done func(StoreResult))
-	// MarkEnded tells that a call which stood is over, or that its promise must not be passed on
-	// as one that stands. Nobody waits for it.
+	// MarkEnded records that a call that stood has ended, or that its promise must not be passed on as a
+	// standing call. Nobody waits for the result.
 	MarkEnded(id string)
 }
 
-// Promise is a call's final answer as further agents keep it.
+// Promise is a call's final answer as stored at further agents.
 type Promise struct {
 	Outcome     Outcome
-	Server      string // who took the set-up; "": none sent on
+	Server      string // server of the latest attempt; "": none was sent
 	Description []byte // of a served call
 	RetryAfter  time.Duration
-	Ended       bool // it stood, and is over
+	Ended       bool // the call stood and has ended
 }
 
 // Outcome is how a call was answered.
@@ -42,18 +43,18 @@
 	Failed
 )
 
-// StoreResult tells what came of a claim or a resolution.
+// StoreResult is the result of a claim or a resolution.
 type StoreResult struct {
-	// OK tells that a quorum has it. For a claim: set-ups may be sent.
+	// OK reports that a quorum has stored it. For a claim: set-ups may be sent.
 	OK bool
-	// Existing is the call's final answer where it has one already. Not nil: it is to be told.
+	// Existing is the call's final answer if it already has one. If it is not nil, the caller gets this
+	// answer.
 	Existing *Promise
-	// RetryAfter is when asking again may help, where neither of the above holds: it is not
-	// known whether it is kept, or it is not.
+	// RetryAfter is when the caller may retry if the entry was not stored, or it is unknown whether it was.
 	RetryAfter time.Duration
 }
 
-// claim asks for the call before the module hears of it: nothing is sent on meanwhile.
+// claim claims the call before the module is told of it, so that nothing is sent in the meantime.
 func (a *Agent) claim(c *call) {
 	c.storing = true
 	a.cfg.Promises.Claim(c.Call, a.cfg.Settings.Limits.MaxRetryAfter, func(k StoreResult) {
@@ -65,7 +66,7 @@
 	c.storing = false
 	c.claimed = k.OK
 	switch {
-	case a.calls[c.ID] != c || c.resolved: // the caller has left, or was told that it is overdue
+	case a.calls[c.ID] != c || c.resolved: // the caller has left, or got the answer that the call is overdue
 		a.closeClaim(c, Promise{Outcome: Failed})
 	case k.Existing != nil:
 		a.resolve(c)
@@ -80,8 +81,8 @@
 	}
 }
 
-// closeClaim resolves a claimed call that has its answer, or needs none, without the quorum, so
-// that an agent asked for it later sends nothing.
+// closeClaim resolves a claimed call that already has its answer, or needs none. It does not wait for the
+// quorum; the entry keeps an agent that is asked for the call later from sending it.
 func (a *Agent) closeClaim(c *call, p Promise) {
 	if !c.claimed {
 		return
@@ -91,11 +92,11 @@
 	a.cfg.Promises.Resolve(c.ID, p, time.Now().Add(closeClaimTimeout), func(StoreResult) {})
 }
 
-// closeClaimTimeout is how long a resolution nobody waits for is tried: an election or two.
+// closeClaimTimeout bounds a resolution that nobody waits for; it covers one or two elections.
 const closeClaimTimeout = 2 * time.Second
 
-// storeAndAnswer gives a call its final answer, which is kept first where the call was claimed. tell
-// passes it on. While it is being kept the call is unresolved and nothing is sent for it.
+// storeAndAnswer gives a call its final answer. If the call is claimed, the answer is stored first; meanwhile
+// the call counts as unresolved and nothing is sent for it. tell passes the answer to the front.
 func (a *Agent) storeAndAnswer(c *call, p Promise, tell func()) {
 	if !c.claimed {
 		a.resolve(c)
@@ -106,7 +107,7 @@
 	c.claimed, c.storing = false, true
 	p.Server = c.server
 	until := c.Deadline
-	if p.Outcome != Served { // nothing is lost if it is not kept: an answer at once matters more
+	if p.Outcome != Served { // nothing is lost if it is not stored; a prompt answer matters more
 		until = time.Now().Add(refusalStoreTimeout)
 	}
 	a.cfg.Promises.Resolve(c.ID, p, until, func(k StoreResult) {
@@ -114,16 +115,16 @@
 	})
 }
 
-// refusalStoreTimeout is the longest that the quorum may hold back an answer which is harmless if it
-// is not kept: the caller may try again, and the claim keeps others from sending the call.
+// refusalStoreTimeout bounds how long storing may delay an answer other than Served. Losing such an answer is
+// harmless: the caller may retry, and the claim keeps other agents from sending the call.
 const refusalStoreTimeout = 100 * time.Millisecond
 
-// answerStored passes a final answer on once it is kept, or what stands in its place.
+// answerStored passes a final answer to the front once it is stored, or the answer that exists in its place.
 func (a *Agent) answerStored(c *call, p Promise, k StoreResult, tell func()) {
 	c.storing = false
 	gone := a.calls[c.ID] != c || c.resolved
 	if gone || p.Outcome == Served && !k.OK {
-		a.cfg.Promises.MarkEnded(c.ID) // it may stand, and the call does not
+		a.cfg.Promises.MarkEnded(c.ID) // a served promise may be stored, but the call does not stand
 	}
 	if gone {
 		return
@@ -137,29 +138,29 @@
 	case p.Outcome == Served:
 		a.refuse(c.front, c.Call, k.RetryAfter)
 	default:
-		tell() // not promised: docs/replication.md names what that can lose
+		tell() // not promised: docs/replication.md says what that can lose
 	}
-	if p.Outcome == Served && !k.OK { // it stands at the server, and its caller heard otherwise
+	if p.Outcome == Served && !k.OK { // the call stands at the server, but its caller got another answer
 		a.endAtServer(c)
 		return
 	}
 	c.stored = p.Outcome == Served
-	if c.ended { // while its answer was being kept
+	if c.ended { // it ended while its answer was being stored
 		a.cfg.Promises.MarkEnded(c.ID)
 		a.notifyEnded(c, c.endFailure)
 	}
 	a.forgetIfDone(c)
 }
 
-// notifyEnded tells the caller of a call that stood how it ended.
+// notifyEnded tells the caller how a call that stood has ended.
 func (a *Agent) notifyEnded(c *call, err *Failure) {
 	c.callerLeft = true
 	c.front.Ended(c.Call, failureOrNil(err))
 }
 
-// adopt tells what stands for a call that another agent, or this one in an earlier life,
-// answered. The call is none of this agent's: its end, and its caller's release, are passed
-// on as those of a call from before a restart.
+// adopt answers a call with the promise that another agent made, or this one before a restart. The call does
+// not count as this agent's own: its end and its caller's release are handled like those of a call from
+// before a restart.
 func (a *Agent) adopt(c *call, p Promise) {
 	switch p.Outcome {
 	case Served:
@@ -177,11 +178,11 @@
 	}
 }
 
-// maxAdopted bounds the calls that stand by another's answer; ends of more are passed on as
-// those of calls from before a restart.
+// maxAdopted bounds the adopted calls; the ends of further ones are passed on like those of calls from before
+// a restart.
 const maxAdopted = 4096
 
-// adoptedEnded passes the end of an echoed call on, and tells whether it was one.
+// adoptedEnded passes on the end of an adopted call, and reports whether the call was one.
 func (a *Agent) adoptedEnded(id string, err *Failure) bool {
 	c := a.adopted[id]
 	if c == nil {
@@ -193,7 +194,7 @@
 	return true
 }
 
-// adoptedReleased has a caller's release of an echoed call reach the server it stands at.
+// adoptedReleased passes a caller's release of an adopted call to the server at which it stands.
 func (a *Agent) adoptedReleased(f Front, id string) {
 	if c := a.adopted[id]; c != nil && c.front == f {
 		delete(a.adopted, id)
--- a/agent/keeper_test.go
+++ b/agent/keeper_test.go
@@ -11,8 +11,8 @@
 	"woodrouter/policy"
 )
 
-// fakeStore is a Keeper that notes what it is asked and answers as the test says; a nil answer
-// is held back until the test gives it.
+// fakeStore is a PromiseStore that records its requests and answers as the test says. With a nil answer the
+// request stays pending until the test answers it.
 type fakeStore struct {
 	*fakeSides
 	claim, resolve *StoreResult
@@ -36,8 +36,9 @@
 }
 func (k *fakeStore) MarkEnded(id string) { k.note(&k.toServers, "over %s", id) }
 
-// TestPromiseStore: nothing is sent before the claim is kept, no answer told before it is; what
-// stands elsewhere is told in its place; and a set-up whose promise failed is given up.
+// TestPromiseStore checks the order of claims, set-ups and answers: nothing is sent before the claim is
+// stored, and no answer is given before it is stored. An answer that exists elsewhere is given in its place,
+// and a set-up whose answer could not be stored is given up.
 func TestPromiseStore(t *testing.T) {
 	ok, no := &StoreResult{OK: true}, &StoreResult{RetryAfter: 600 * ms}
 	stands := func(o Outcome) *StoreResult {
@@ -56,26 +57,26 @@
 		do             []func(*Agent, *fakeStore)
 		said, asked    string
 	}{
-		{"kept throughout", ok, ok, []func(*Agent, *fakeStore){stood, ended}, "answered 1 room,ended 1 true",
+		{"stored throughout", ok, ok, []func(*Agent, *fakeStore){stood, ended}, "answered 1 room,ended 1 true",
 			claim + "," + sent + ",resolve 1 0,over 1"},
 		{"no quorum for the claim: refused, nothing sent", no, nil, nil, "refused 1", claim},
-		{"served elsewhere: told, and its end and release reach", stands(Served), nil, []func(*Agent, *fakeStore){leave},
+		{"served elsewhere: answered, its release reaches the server", stands(Served), nil, []func(*Agent, *fakeStore){leave},
 			"answered 1 room", claim + ",over 1,release 1 somewhere"},
-		{"served elsewhere: its end is told", stands(Served), nil,
+		{"served elsewhere: its end reaches the caller", stands(Served), nil,
 			[]func(*Agent, *fakeStore){func(a *Agent, _ *fakeStore) { a.UnknownEnded("1", nil) }}, "answered 1 room,ended 1 true", claim + ",over 1"},
 		{"refused elsewhere", stands(Refused), nil, nil, "refused 1", claim},
 		{"failed elsewhere", stands(Failed), nil, nil, "failed 1", claim},
 		{"left while claimed: resolved, nothing sent", nil, ok, []func(*Agent, *fakeStore){leave, release(*ok)}, "", claim + ",resolve 1 2"},
 		{"left with a set-up out", ok, ok, []func(*Agent, *fakeStore){leave}, "", claim + "," + sent + ",resolve 1 2,give up 1.0 at s"},
-		{"the answer has no quorum: given up", ok, no, []func(*Agent, *fakeStore){stood}, "refused 1",
+		{"no quorum for the answer: given up", ok, no, []func(*Agent, *fakeStore){stood}, "refused 1",
 			claim + "," + sent + ",resolve 1 0,over 1,give up 1.0 at s"},
 		{"closed by another meanwhile: given up", ok, stands(Refused), []func(*Agent, *fakeStore){stood}, "refused 1",
 			claim + "," + sent + ",resolve 1 0,over 1,give up 1.0 at s"},
-		{"ended while its answer is kept: both told, in order", ok, nil, []func(*Agent, *fakeStore){stood, ended, release(*ok)},
+		{"ended while its answer is stored: answer, then end", ok, nil, []func(*Agent, *fakeStore){stood, ended, release(*ok)},
 			"answered 1 room,ended 1 true", claim + "," + sent + ",resolve 1 0,over 1"},
-		{"left while its answer is kept", ok, nil, []func(*Agent, *fakeStore){stood, leave, release(*ok)}, "",
+		{"left while its answer is stored", ok, nil, []func(*Agent, *fakeStore){stood, leave, release(*ok)}, "",
 			claim + "," + sent + ",resolve 1 0,give up 1.0 at s,over 1"},
-		{"overdue while its answer is kept", ok, nil, []func(*Agent, *fakeStore){stood, func(*Agent, *fakeStore) { sleep(10 * time.Second) }, release(*ok)},
+		{"overdue while its answer is stored", ok, nil, []func(*Agent, *fakeStore){stood, func(*Agent, *fakeStore) { sleep(10 * time.Second) }, release(*ok)},
 			"failed 1", claim + "," + sent + ",resolve 1 0,give up 1.0 at s,over 1"},
 		{"stopped while claimed", nil, ok, []func(*Agent, *fakeStore){func(a *Agent, _ *fakeStore) { a.RefuseAll(time.Second) }, release(*ok)},
 			"refused 1", claim + ",resolve 1 2"},
@@ -97,7 +98,7 @@
 				}
 				require.Equal(t, c.said, strings.Join(k.callerLog(), ","))
 				require.Equal(t, c.asked, strings.Join(k.serverLog(), ","))
-				if c.name != "kept throughout" {
+				if c.name != "stored throughout" {
 					require.Zero(t, a.openCalls)
 				}
 			})
--- a/agent/list_test.go
+++ b/agent/list_test.go
@@ -10,8 +10,8 @@
 	"woodrouter/policy"
 )
 
-// TestDropReplaced: a server whose address a later one has is gone, whatever the list still says of it;
-// what was meant for it would reach the new one, which is cold.
+// TestDropReplaced checks that a server counts as gone once a later server has its address, whatever the list
+// still says of it. Otherwise calls meant for the old server would reach the new one, which is cold.
 func TestDropReplaced(t *testing.T) {
 	entry := func(id, address string, ready policy.Time, state policy.State) Server {
 		return Server{Server: policy.Server{ID: id, ReadyAt: ready, State: state}, Address: address}
@@ -21,13 +21,13 @@
 	for _, tc := range []struct {
 		name string
 		news [][]Server
-		want string // of the last news
+		want string // the result for the last list
 	}{
-		{"told of apart", [][]Server{{old}, {next}}, "next up, old gone"},
-		{"told of together", [][]Server{{old, next}}, "old up, next up, old gone"},
-		{"in the other order", [][]Server{{next, old}}, "next up, old gone"},
+		{"in two lists", [][]Server{{old}, {next}}, "next up, old gone"},
+		{"in one list", [][]Server{{old, next}}, "old up, next up, old gone"},
+		{"in one list, the new one first", [][]Server{{next, old}}, "next up, old gone"},
 		{"the old one drains", [][]Server{{draining}, {next}}, "next up, old gone"},
-		{"late news of the old one", [][]Server{{old}, {next}, {draining}}, "old gone"},
+		{"a late entry of the old one", [][]Server{{old}, {next}, {draining}}, "old gone"},
 		{"the old one was gone", [][]Server{{old}, {entry("old", "x:1", 0, policy.Gone)}, {next}}, "next up"},
 		{"the old one has moved", [][]Server{{old}, {entry("old", "x:2", 0, policy.Up)}, {next}}, "next up"},
 		{"a restart", [][]Server{{old}, {entry("old", "x:1", 7, policy.Up)}}, "old up"},
--- a/agent/sight.go
+++ b/agent/sight.go
@@ -9,32 +9,32 @@
 	"woodrouter/policy"
 )
 
-// Observations is what an agent sees of the setup servers, by zone, and what callers hand it, for
-// those who decide where a zone's calls go (package failover). It is counted only where
-// Config.Sights asks for it. The core's actor writes it; Take may be called from anywhere.
+// Observations collect what an agent observes of the setup servers, by zone, and which calls it is offered.
+// Package failover decides by them where a zone's calls go. They are collected only if Config.ObserveServers
+// is set. The core's actor writes them; Take, RecordCheck and Down may be called from any goroutine.
 type Observations struct {
 	mu              sync.Mutex
 	since           time.Time
-	offered         map[string]int // by class, since the last Take
+	offered         map[string]int // number of calls by class since the last Take
 	servers         map[string]*serverObservation
-	meanHoldSeconds float64 // mean length of a call in seconds, over the classes
+	meanHoldSeconds float64 // mean over the classes
 }
 
-// serverObservation is one server as this agent's own attempts, probes and the list show it.
+// serverObservation is what this agent's own attempts, its probes and the server list show of one server.
 type serverObservation struct {
 	zone, address  string
 	pool           int
 	state          policy.State
-	lines          float64 // by its latest report; 0: none
-	attempts, full int     // that ended since the last Take, and of these "full"
-	unreachable    int     // of these, met nothing alive
-	failuresInRow  int     // attempts in a row that proved nothing alive there
+	lines          float64 // lines in its latest report; 0: none reported
+	attempts, full int     // attempts ended since the last Take, and those answered "full"
+	unreachable    int     // of the attempts, those that did not reach a live server
+	failuresInRow  int     // consecutive attempts that did not reach a live server
 	lastFailure    time.Time
-	lastDelay      time.Duration // of the latest answer
+	lastDelay      time.Duration // delay of the latest answer
 }
 
-// badMost is how many attempts in a row must meet nothing alive before a server counts as
-// down; badFor is how long that stands without another.
+// downAfterFailures is how many consecutive attempts must fail to reach a server before it counts as down;
+// downPeriod is how long it then counts as down without another failure.
 const (
 	downAfterFailures = 2
 	downPeriod        = 10 * time.Second
@@ -48,19 +48,18 @@
 	return o
 }
 
-// ZoneObservation is one zone's servers since the last look.
+// ZoneObservation summarises one zone's servers since the last Take.
 type ZoneObservation struct {
 	Listed, Up     int
-	Pools          []int    // of the servers listed as up, without repeats
-	Addresses      []string // of the same
-	Capacity       float64  // calls a second, by the lines reported; 0: none reported
-	Attempts, Full float64  // a second: attempts that ended, and of these "full"
-	Unreachable    float64  // of these, met nothing alive
+	Pools          []int    // of the servers listed as up, without duplicates
+	Addresses      []string // of the servers listed as up
+	Capacity       float64  // calls per second, by the lines reported; 0: none reported
+	Attempts, Full float64  // per second: attempts that ended, and those answered "full"
+	Unreachable    float64  // per second: attempts that did not reach a live server
 	Wait           time.Duration
 }
 
-// Take returns what was seen since the last Take, by zone, and the calls offered a second, by
-// class.
+// Take returns the observations since the last Take by zone, and the calls offered per second by class.
 func (o *Observations) Take() (zones map[string]ZoneObservation, offered map[string]float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -97,7 +96,8 @@
 		zones[s.zone] = z
 	}
 	for name, z := range zones {
-		if n := reported[name]; n > 0 && o.meanHoldSeconds > 0 { // those that told nothing are taken for the mean
+		// servers without a report count with the mean of the others
+		if n := reported[name]; n > 0 && o.meanHoldSeconds > 0 {
 			z.Capacity = lines[name] / float64(n) * float64(z.Up) / o.meanHoldSeconds
 			zones[name] = z
 		}
@@ -110,8 +110,8 @@
 	return s.failuresInRow >= downAfterFailures && time.Since(s.lastFailure) < downPeriod
 }
 
-// RecordCheck tells what a look at a server's address showed, by whoever looked: a connection on
-// which it spoke, or none.
+// RecordCheck records the result of a check of a server's address: alive means that a connection was made and
+// the server sent something on it.
 func (o *Observations) RecordCheck(address string, alive bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,7 +131,7 @@
 	s.lastFailure = time.Now()
 }
 
-// The core's notes. A nil Sights takes none.
+// The core records by these methods. On nil Observations they do nothing.
 
 func (o *Observations) recordList(list []Server, whole bool) {
 	if o == nil {
@@ -169,8 +169,8 @@
 	o.mu.Unlock()
 }
 
-// recordAttempt notes what an attempt showed of its server. A time-out counts against it as a
-// refused connection does: a server cut off says nothing.
+// recordAttempt records what an attempt showed of its server. A time-out counts like a refused connection, as
+// a server that is cut off sends nothing.
 func (o *Observations) recordAttempt(server string, r policy.Result, wait time.Duration, report policy.Report) {
 	if o == nil {
 		return
@@ -217,8 +217,9 @@
 	}
 }
 
-// Down are the addresses of the servers listed as up that are down by what was seen, or were
-// lately: whoever looks at them keeps them so, or brings them back.
+// Down returns the addresses of servers that are listed as up and whose latest failures marked them as down,
+// even if downPeriod is over. The caller checks them again; the check either confirms the failure or clears
+// it.
 func (o *Observations) Down() (addresses []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/agent/sight_bench_test.go
+++ b/agent/sight_bench_test.go
@@ -8,8 +8,8 @@
 	"woodrouter/policy"
 )
 
-// BenchmarkObservations is what the notes of n servers in five zones cost: the news of a whole list, a look
-// by whoever tells of them, and one probe's result.
+// BenchmarkObservations measures the cost of observing n servers in five zones: recording a whole list,
+// taking the observations, and recording the result of one check.
 func BenchmarkObservations(b *testing.B) {
 	for _, n := range []int{10, 27, 100, 300, 730, 1460} {
 		var list []Server
--- a/callrpc/callrpc_test.go
+++ b/callrpc/callrpc_test.go
@@ -17,7 +17,7 @@
 	"woodrouter/internal/standin"
 )
 
-// startServer serves the API by a core that decides by the call's class.
+// startServer serves the API with a core that decides by the call's class.
 func startServer(t *testing.T) (*standin.Core, string, context.Context) {
 	c := standin.NewCore()
 	f := callapi.New(connmgr.Config{}, c)
@@ -74,7 +74,7 @@
 	assert.Equal(t, End{ID: id, Cause: "completed"}, <-call.Ended())
 }
 
-// TestContext: cancelling a context gives the set-up up, and the id is free again.
+// TestContext checks that cancelling a context gives up the set-up and frees the call's id.
 func TestContext(t *testing.T) {
 	core, c, ctx := dial(t)
 	short, cancel := context.WithCancel(ctx)
@@ -89,7 +89,8 @@
 	require.NoError(t, err)
 }
 
-// TestConnectionEnds: what is open ends with an error that is not the agent's.
+// TestConnectionEnds checks that an open set-up fails with an error that is not an agent's *Error when the
+// connection ends.
 func TestConnectionEnds(t *testing.T) {
 	core, c, ctx := dial(t)
 	go func() {
@@ -102,7 +103,7 @@
 	assert.False(t, ok)
 }
 
-// TestCodec plugs the API into a plain rpc.Client.
+// TestCodec uses the codec with a plain rpc.Client.
 func TestCodec(t *testing.T) {
 	_, url, ctx := startServer(t)
 	conn, _, err := websocket.Dial(ctx, url, nil)
--- a/callrpc/client.go
+++ b/callrpc/client.go
@@ -13,12 +13,12 @@
 	"woodrouter/internal/front/callproto"
 )
 
-// Options tell how to connect.
+// Options configure a connection.
 type Options struct {
 	Token string // sent as a bearer token, if any
 }
 
-// Client sets calls up at one agent. It is safe for concurrent use.
+// Client sets up calls at one agent. It is safe for concurrent use.
 type Client struct {
 	rpc *rpc.Client
 
@@ -49,12 +49,11 @@
 	return c, nil
 }
 
-// Close ends the connection. Calls that stand go on; their ends are not heard of here.
+// Close closes the connection. Standing calls continue, but their ends are not reported to this client.
 func (c *Client) Close() error { return c.rpc.Close() }
 
-// SetUp sets a call up. Its deadline is the context's where the call names none.
-// Cancelling the context gives the set-up up; a call that came to stand all the same is
-// released. An *Error tells what the agent answered.
+// SetUp sets up a call. If the call names no deadline, the context's is used. Cancelling the context gives up
+// the set-up; if the call came to stand nevertheless, it is released. An *Error is the agent's answer.
 func (c *Client) SetUp(ctx context.Context, call Call) (*Standing, error) {
 	if at, ok := ctx.Deadline(); ok && call.DeadlineMs == 0 {
 		call.DeadlineMs = max(time.Until(at).Milliseconds(), 1)
@@ -74,14 +73,14 @@
 		s.Description = result.Description
 		return s, nil
 	case <-ctx.Done():
-		// The agent takes a cancel for a release if its answer is already on the way.
+		// The agent handles a cancel as a release if its answer is already on the way.
 		c.unregister(s)
 		c.rpc.Go(callproto.Cancel, callproto.Name{ID: call.ID}, nil, make(chan *rpc.Call, 1))
 		return nil, ctx.Err()
 	}
 }
 
-// Ended delivers how the call ended, once, unless it was released here.
+// Ended delivers once how the call ended, unless the call was released by this client.
 func (s *Standing) Ended() <-chan End { return s.ended }
 
 // Release ends the call.
@@ -96,7 +95,7 @@
 	}
 }
 
-// agentError turns an error of net/rpc into the agent's, where it is one.
+// agentError converts an error of net/rpc to the agent's *Error if it is one.
 func agentError(err error) error {
 	if e, ok := AsError(err); ok {
 		return e
@@ -104,7 +103,7 @@
 	return err
 }
 
-// register lists a call before it is sent, as its end may come right behind its answer.
+// register records a call before it is sent, as its end may arrive directly after its answer.
 func (c *Client) register(s *Standing) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/callrpc/codec.go
+++ b/callrpc/codec.go
@@ -1,5 +1,5 @@
-// Package callrpc is the client's side of woodrouter's call-control API: a codec that
-// plugs the API into net/rpc, and a typed client on top of it that takes contexts.
+// Package callrpc is a client for woodrouter's call-control API: a codec for net/rpc, and a typed client on
+// top of it that supports contexts.
 package callrpc
 
 import (
@@ -15,13 +15,13 @@
 	"woodrouter/internal/front/callproto"
 )
 
-// The forms of the API.
+// Message types of the API.
 type (
-	// Error is an error that the agent answered with.
+	// Error is an error that the agent returned.
 	Error = callproto.Error
 	// Call is a call to set up.
 	Call = callproto.Call
-	// End tells how a call that stood ended.
+	// End says how a call that stood ended.
 	End = callproto.End
 )
 
@@ -36,11 +36,11 @@
 	CodeUnknownCall  = callproto.CodeUnknownCall
 )
 
-// writeTimeout bounds a write to an agent that takes nothing.
+// writeTimeout bounds a write to an agent that reads nothing.
 const writeTimeout = 5 * time.Second
 
-// Codec is an rpc.ClientCodec on one WebSocket. Methods are the API's own names, such as
-// "call.setUp". An rpc.ServerError holds the agent's error object: see AsError.
+// Codec is an rpc.ClientCodec on one WebSocket. Methods have the API's names, such as "call.setUp". An
+// rpc.ServerError holds the agent's error object: see AsError.
 type Codec struct {
 	conn  *websocket.Conn
 	ended func(End)
@@ -50,14 +50,14 @@
 	result json.RawMessage // of the response whose header was read last
 }
 
-// NewCodec returns a codec; ended hears of calls that stood and is called from the
-// goroutine that reads, so it must not wait.
+// NewCodec returns a codec. ended is called when a standing call ends; it runs on the reading goroutine and
+// must not block.
 func NewCodec(conn *websocket.Conn, ended func(End)) *Codec {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Codec{conn: conn, ended: ended, ctx: ctx, stop: stop}
 }
 
-// WriteRequest sends one request; the sequence number is its id.
+// WriteRequest sends one request; its id is the sequence number.
 func (c *Codec) WriteRequest(r *rpc.Request, params any) error {
 	text, err := json.Marshal(struct {
 		Version string `json:"jsonrpc"`
@@ -82,8 +82,8 @@
 	Error  json.RawMessage `json:"error"`
 }
 
-// ReadResponseHeader reads up to the next response. Notifications on the way are handed
-// on; a response to no request can't be matched and is passed over.
+// ReadResponseHeader reads until the next response. Notifications before it are passed to ended; a response
+// without a request id can't be matched and is ignored.
 func (c *Codec) ReadResponseHeader(r *rpc.Response) error {
 	for {
 		_, text, err := c.conn.Read(c.ctx)
--- a/internal/front/callapi/callapi_test.go
+++ b/internal/front/callapi/callapi_test.go
@@ -27,7 +27,7 @@
 	return f, c, "ws://" + standin.Serve(t, f) + "/calls"
 }
 
-// client is coder/websocket: an implementation that this one did not write.
+// client uses coder/websocket, an implementation independent of package ws.
 type client struct {
 	*websocket.Conn
 	t   *testing.T
@@ -50,7 +50,7 @@
 	require.NoError(c.t, c.Write(c.ctx, websocket.MessageText, []byte(text)))
 }
 
-// receive returns the next message in one form: what was told, without its prose.
+// receive returns the next message in a canonical form, without error texts.
 func (c client) receive() string {
 	c.t.Helper()
 	_, text, err := c.Read(c.ctx)
@@ -77,7 +77,7 @@
 const setUp = `{"jsonrpc":"2.0","id":1,"method":"call.setUp","params":{"id":"` + id +
 	`","class":"voice","tenant":"t","number":"12","first_choice":2,"deadline_ms":3000,"description":"b2ZmZXI=","x":1}}`
 
-// TestOutcomes: each outcome of the core is one answer of the API.
+// TestOutcomes checks that each outcome of the core is one answer of the API.
 func TestOutcomes(t *testing.T) {
 	fail := &agent.Failure{Stage: agent.Written, Server: "s", Err: agent.ErrPanic}
 	for _, tc := range []struct {
@@ -111,17 +111,17 @@
 				string(rune('0' + call.Pool)), string(call.Description)}, " "))
 			assert.InDelta(t, 3, time.Until(call.Deadline).Seconds(), 2.9)
 			tc.do(f, call)
-			tc.do(f, call) // whatever comes again says nothing
+			tc.do(f, call) // a second outcome must not be sent
 			for _, want := range tc.want {
 				assert.Equal(t, want, c.receive())
 			}
 			c.send(`{"jsonrpc":"2.0","id":9,"method":"nothing"}`)
-			assert.Contains(t, c.receive(), `-32601`, "nothing else was said")
+			assert.Contains(t, c.receive(), `-32601`, "nothing else was sent")
 		})
 	}
 }
 
-// TestBadRequests: each is answered, and the connection and its calls go on.
+// TestBadRequests checks that each bad request is answered, and that the connection and its calls continue.
 func TestBadRequests(t *testing.T) {
 	f, core, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
@@ -132,7 +132,7 @@
 		"not an object":          {`7`, `{"error":{"code":-32600},"id":null}`},
 		"a batch":                {`[]`, `{"error":{"code":-32600},"id":null}`},
 		"no version":             {`{"id":2,"method":"call.cancel"}`, `{"error":{"code":-32600},"id":2}`},
-		"an id that is none":     {`{"jsonrpc":"2.0","id":{},"method":"call.cancel"}`, `{"error":{"code":-32600},"id":null}`},
+		"invalid request id":     {`{"jsonrpc":"2.0","id":{},"method":"call.cancel"}`, `{"error":{"code":-32600},"id":null}`},
 		"unknown method":         {`{"jsonrpc":"2.0","id":"a","method":"call.hold"}`, `{"error":{"code":-32601},"id":"a"}`},
 		"request id in use":      {strings.Replace(setUp, id, "0000000000000002", 1), `{"error":{"code":-32600},"id":null}`},
 		"duplicate call id":      {strings.Replace(setUp, `"id":1`, `"id":2`, 1), `{"error":{"code":1005,"data":{"id":"` + id + `","retry_after_ms":0}},"id":2}`},
@@ -152,8 +152,8 @@
 	assert.Contains(t, c.receive(), `"result"`)
 }
 
-// TestCancel: a cancel answers the set-up's request too; a release ends a call that
-// stands, by another connection as well. Neither reaches the core twice.
+// TestCancel checks that a cancel also answers the set-up's request, and that a release ends a standing call,
+// on another connection too. Neither may reach the core twice.
 func TestCancel(t *testing.T) {
 	f, core, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
@@ -175,8 +175,8 @@
 	assert.Empty(t, core.Withdrawn, "the connection's end withdraws no call that stands")
 }
 
-// TestClientGone: a client that leaves mid-set-up withdraws its calls. The end of a call
-// that stands is told to its host's next connection.
+// TestClientGone checks that a client that leaves during a set-up withdraws its calls, and that the end of a
+// standing call is sent on its host's next connection.
 func TestClientGone(t *testing.T) {
 	f, core, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
@@ -188,12 +188,12 @@
 	open := standin.Next(t, core.Offered)
 	c.CloseNow()
 	assert.Equal(t, open.ID, standin.Next(t, core.Withdrawn))
-	f.Answered(open, nil) // crosses the withdrawal: nobody hears it
+	f.Answered(open, nil) // crosses the withdrawal: not sent
 	f.Ended(standing, nil)
 	assert.Contains(t, dial(t, url).receive(), `"call.ended"`)
 }
 
-// TestBusyCore: a core that takes no more calls has the front refuse at once.
+// TestBusyCore checks that the front refuses a call at once if the core accepts no more calls.
 func TestBusyCore(t *testing.T) {
 	_, core, url := startFront(t, connmgr.Config{RetryAfter: 700 * time.Millisecond})
 	core.Busy = true
@@ -202,8 +202,8 @@
 	assert.Equal(t, `{"error":{"code":1001,"data":{"id":"`+id+`","retry_after_ms":700}},"id":1}`, c.receive())
 }
 
-// TestConnectionFaults: a fault of the framing ends the connection with the status that
-// names it, and its open calls.
+// TestConnectionFaults checks that a framing error ends the connection with the matching status code, and its
+// open calls with it.
 func TestConnectionFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -234,7 +234,7 @@
 	}
 }
 
-// TestUnmasked: RFC 6455 has a server close on an unmasked frame.
+// TestUnmasked checks that the server closes the connection on an unmasked frame, as RFC 6455 requires.
 func TestUnmasked(t *testing.T) {
 	_, _, url := startFront(t, connmgr.Config{})
 	conn, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(url, "ws://"), "/calls"))
@@ -256,7 +256,7 @@
 	assert.Contains(t, frames, "\x03\xea", "1002")
 }
 
-// TestSlowReader: a client that reads nothing is cut off; the front does not wait for it.
+// TestSlowReader checks that a client that reads nothing is disconnected and does not block the front.
 func TestSlowReader(t *testing.T) {
 	_, core, url := startFront(t, connmgr.Config{MaxQueued: 16, WriteTimeout: 100 * time.Millisecond})
 	slow := dial(t, url)
@@ -274,8 +274,8 @@
 	standin.Next(t, core.Offered)
 }
 
-// TestVanishedClient: a connection that stays open and silent is pinged and then ended;
-// one that answers the pings stays.
+// TestVanishedClient checks that a silent connection is pinged and then closed, and that one that answers the
+// pings stays open.
 func TestVanishedClient(t *testing.T) {
 	_, core, url := startFront(t, connmgr.Config{IdleTimeout: 300 * time.Millisecond})
 	c := dial(t, url) // answers pings only while it reads
@@ -289,7 +289,7 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded, "its pings were answered")
 }
 
-// TestUpgradeRefused: who may not connect is told by a status.
+// TestUpgradeRefused checks that a client that may not connect gets an HTTP status that says so.
 func TestUpgradeRefused(t *testing.T) {
 	f, _, url := startFront(t, connmgr.Config{})
 	f.Configure(ws.Endpoint{Path: "/calls", Allow: func(*http.Request) int { return http.StatusUnauthorized }}, 0)
@@ -299,7 +299,7 @@
 	assert.Equal(t, http.StatusUnauthorized, resp.StatusCode)
 }
 
-// TestClose: at the end of the front its clients hear a close frame.
+// TestClose checks that clients get a close frame when the front is closed.
 func TestClose(t *testing.T) {
 	f, _, url := startFront(t, connmgr.Config{})
 	c := dial(t, url)
@@ -310,8 +310,8 @@
 	assert.Equal(t, websocket.StatusGoingAway, websocket.CloseStatus(err))
 }
 
-// TestSilent: a connection that never asks for an upgrade is ended soon, as one that says
-// nothing is on the other front; an upgraded one may be idle.
+// TestSilent checks that a connection that never requests an upgrade is closed soon, and that an upgraded one
+// may be idle.
 func TestSilent(t *testing.T) {
 	_, _, url := startFront(t, connmgr.Config{FirstMessageTimeout: 100 * time.Millisecond})
 	idle := dial(t, url)
@@ -322,7 +322,7 @@
 		conn.Write([]byte(half))
 		conn.SetReadDeadline(time.Now().Add(standin.Patience))
 		_, err = io.ReadAll(conn)
-		require.NoError(t, err, "the agent ended it, not the test")
+		require.NoError(t, err, "closed by the agent, not by the test's deadline")
 	}
 	idle.send(`{}`)
 	assert.Contains(t, idle.receive(), "error")
--- a/internal/front/callapi/front.go
+++ b/internal/front/callapi/front.go
@@ -1,5 +1,5 @@
-// Package callapi is the second front: a call-control API, JSON-RPC 2.0 over WebSocket.
-// It hands calls to the same core as binary signalling, so the same rules hold.
+// Package callapi is the front for the call-control API, JSON-RPC 2.0 over WebSocket. It passes calls to the
+// same core as the front for binary signalling, so the same rules apply.
 package callapi
 
 import (
@@ -17,19 +17,19 @@
 	"woodrouter/internal/front/ws"
 )
 
-// Front serves clients; Serve, Limit, Clear and Close are its desk's.
+// Front serves clients of the API; Serve, SetLimits, CloseExisting and Close come from its Manager.
 type Front struct {
 	*connmgr.Manager
 	options atomic.Pointer[options]
 }
 
-// options are what holds for connections that come from now on.
+// options apply to connections that are accepted from now on.
 type options struct {
 	endpoint        ws.Endpoint
-	maxMessageBytes int // bytes of a message
+	maxMessageBytes int // of a message
 }
 
-// New returns a front that hands calls to core.
+// New returns a front that passes calls to core.
 func New(cfg connmgr.Config, core connmgr.Core) *Front {
 	f := &Front{}
 	f.Configure(ws.Endpoint{}, 0)
@@ -38,13 +38,13 @@
 	return f
 }
 
-// Configure sets what is upgraded, and the most bytes of a message; 0: 64 KiB.
+// Configure sets which requests are upgraded, and the maximum size of a message in bytes; 0: 64 KiB.
 func (f *Front) Configure(e ws.Endpoint, maxMessageBytes int) {
 	e.Subprotocol = callproto.Subprotocol
 	f.options.Store(&options{e, cmp.Or(maxMessageBytes, 64<<10)})
 }
 
-// session is one client's connection: the request ids that wait for their answers.
+// session is one client's connection, with the ids of the requests that wait for their answers.
 type session struct {
 	peer    *connmgr.Peer
 	mu      sync.Mutex
@@ -71,13 +71,13 @@
 
 func frame(text []byte) []byte { return ws.AppendFrame(nil, ws.Text, text) }
 
-// pendingRequest is what a call in the desk's table keeps of its request.
+// pendingRequest is what the manager's table stores of a call's request.
 type pendingRequest struct {
 	session *session
 	id      json.RawMessage
 }
 
-// replyWith words the answer of a call's request; it is asked for once.
+// replyWith returns the encoder of the answer to a call's request. The manager calls it once.
 func replyWith(text func(id json.RawMessage) []byte) func(any) []byte {
 	return func(tag any) []byte {
 		t := tag.(pendingRequest)
@@ -90,19 +90,19 @@
 	return replyWith(func(id json.RawMessage) []byte { return encodeError(id, e) })
 }
 
-// Answered gives the set-up's result.
+// Answered sends the set-up's result.
 func (f *Front) Answered(c agent.Call, description []byte) {
 	f.SendAnswer(c.ID, replyWith(func(id json.RawMessage) []byte {
 		return encodeResult(id, callproto.Standing{ID: c.ID, Description: description})
 	}))
 }
 
-// Refused tells the client when to return.
+// Refused sends a refusal, with the time after which to retry.
 func (f *Front) Refused(c agent.Call, retryAfter time.Duration) {
 	f.SendFinal(c.ID, replyError(&callproto.Error{Code: callproto.CodeRefused, Message: "refused: trying again is harmless", Data: &callproto.ErrorData{ID: c.ID, RetryAfterMs: retryAfter.Milliseconds()}}))
 }
 
-// Failed tells how far the call came.
+// Failed sends a failure, with the stage that the call reached.
 func (f *Front) Failed(c agent.Call, err error) {
 	e := &callproto.Error{Code: callproto.CodeFailed, Message: "failed: " + err.Error(), Data: &callproto.ErrorData{ID: c.ID,
 		RetryAfterMs: f.RetryAfter.Milliseconds()}}
@@ -116,7 +116,7 @@
 	f.SendFinal(c.ID, replyError(e))
 }
 
-// Rejected tells why a call was not taken.
+// Rejected sends why a call was not accepted.
 func (f *Front) Rejected(c agent.Call, err error) {
 	code := callproto.CodeUnknownClass
 	switch {
@@ -161,8 +161,8 @@
 	return err
 }
 
-// readAll reads messages until the connection ends. A client that is silent is pinged,
-// and ends if it does not answer: a vanished one leaves its connection open.
+// readAll reads messages until the connection ends. A silent client is pinged, and its connection is closed
+// if it does not answer, as a client that has vanished does not close it.
 func (f *Front) readAll(s *session, maxMessageBytes int) error {
 	in, pinged := ws.Reader{In: s.peer.In, MaxMessageBytes: maxMessageBytes}, false
 	for {
@@ -191,8 +191,7 @@
 	}
 }
 
-// handle answers one message. What can't be a request gets an error and no more: the
-// calls of the connection go on.
+// handle answers one message. An invalid request gets an error, and the connection and its calls continue.
 func (f *Front) handle(s *session, text []byte) {
 	r, bad := parseRequest(text)
 	if bad == nil && len(r.ID) > 0 && !s.begin(r.ID) {
@@ -227,7 +226,7 @@
 
 func (f *Front) setUp(s *session, r request) *callproto.Error {
 	if len(r.ID) == 0 {
-		f.Log.Warn("set-up without a request id passed over: its outcome could not be told")
+		f.Log.Warn("set-up without a request id ignored: its outcome could not be reported")
 		return nil
 	}
 	c, bad := parseCall(r.Params, time.Now())
@@ -240,8 +239,8 @@
 	return nil
 }
 
-// withdraw serves cancel and release alike, as an answer may cross either. The set-up's
-// own request is answered too if it still waits.
+// withdraw handles both cancel and release, as an answer may cross either of them. If the set-up's own
+// request has no answer yet, it is answered too.
 func (f *Front) withdraw(r request) (any, *callproto.Error) {
 	var p callproto.Name
 	if bad := parseParams(r.Params, &p); bad != nil {
--- a/internal/front/callapi/message.go
+++ b/internal/front/callapi/message.go
@@ -12,14 +12,14 @@
 	"woodrouter/isup"
 )
 
-// Bounds of a set-up's parameters. A description must fit a message to a setup server.
+// Bounds of a set-up's parameters. A description must fit into a message to a setup server.
 const (
 	maxDescriptionBytes = 15000
 	maxNameBytes        = 256
 	maxDeadlineMillis   = 600_000
 )
 
-// request is a JSON-RPC request, or a notification where it has no id.
+// request is a JSON-RPC request, or a notification if it has no id.
 type request struct {
 	Version string          `json:"jsonrpc"`
 	ID      json.RawMessage `json:"id"`
@@ -27,7 +27,7 @@
 	Params  json.RawMessage `json:"params"`
 }
 
-// parseRequest reads a message. Batches are not taken.
+// parseRequest parses a message. Batches are not supported.
 func parseRequest(text []byte) (request, *callproto.Error) {
 	var r request
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -45,12 +45,12 @@
 	return r, nil
 }
 
-// validID tells whether an id is missing, a string, a number or null.
+// validID reports whether an id is missing, a string, a number or null.
 func validID(id json.RawMessage) bool {
 	return len(id) == 0 || !bytes.ContainsAny(id[:1], "{[tf")
 }
 
-// parseParams reads parameters; unknown ones are skipped.
+// parseParams parses parameters; unknown ones are ignored.
 func parseParams(params json.RawMessage, into any) *callproto.Error {
 	if len(params) == 0 {
 		params = []byte("{}")
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// parseCall checks a set-up's parameters and words them for the core. An error names
-// the parameter at fault.
+// parseCall checks a set-up's parameters and converts them to a call for the core. An error names the invalid
+// parameter.
 func parseCall(params json.RawMessage, now time.Time) (agent.Call, *callproto.Error) {
 	var p callproto.Call
 	if bad := parseParams(params, &p); bad != nil {
@@ -102,7 +102,8 @@
 	Params  any              `json:"params,omitempty"`
 }
 
-// marshal words a message. What goes in is made of strings, numbers and valid ids.
+// marshal encodes a message. It panics on an error, which can't occur: messages consist of strings, numbers
+// and valid ids.
 func marshal(r response) []byte {
 	r.Version = "2.0"
 	b, err := json.Marshal(r)
--- a/internal/front/connmgr/desk.go
+++ b/internal/front/connmgr/desk.go
@@ -1,6 +1,6 @@
-// Package connmgr is what every front needs and no wire decides: connections with a reader
-// and a writing actor each, the table of the callers' side of calls, and the rule that
-// no connection owns a call that stands.
+// Package connmgr manages callers' connections for the fronts, independent of the wire protocol: a reading
+// goroutine and a writing actor per connection, and the table of callers' calls. A call that stands is not
+// bound to the connection that set it up.
 package connmgr
 
 import (
@@ -16,25 +16,25 @@
 	"woodrouter/agent"
 )
 
-// Core is what a front needs of the agent; *agent.Agent is one.
+// Core is what a front needs of the agent; *agent.Agent implements it.
 type Core interface {
 	Offer(f agent.Front, c agent.Call) bool
 	Withdraw(f agent.Front, id string)
 	ReleaseUnknown(id string)
 }
 
-// Config are a desk's figures; zero values get defaults.
+// Config configures a Manager; zero values get defaults.
 type Config struct {
-	MaxPeers            int           // most connections
-	MaxQueued           int           // most messages that wait for one slow caller
-	WriteTimeout        time.Duration // a caller that takes nothing for so long is cut off
-	FirstMessageTimeout time.Duration // a new connection's first message must be whole by then
-	MessageTimeout      time.Duration // a later message, once begun, must be whole within this
-	EvictAfter          time.Duration // a connection without a call, silent for so long, makes room in a full house
-	IdleTimeout         time.Duration // a connection that says nothing more is looked at after this
-	LingerTimeout       time.Duration // a caller may take so long to see that its connection ends
-	RetryAfter          time.Duration // told when the agent itself is too busy; 0: callers heed none, and none is told
-	CloseMessage        []byte        // the last that a connection hears when the desk closes
+	MaxPeers            int           // maximum number of connections
+	MaxQueued           int           // maximum number of messages queued for one slow caller
+	WriteTimeout        time.Duration // a caller that takes no data for this long is disconnected
+	FirstMessageTimeout time.Duration // a new connection's first message must be complete within this
+	MessageTimeout      time.Duration // a later message must be complete this long after its first byte
+	EvictAfter          time.Duration // at MaxPeers, a connection without a call, unused this long, may be closed
+	IdleTimeout         time.Duration // AwaitMessage returns ErrIdle after this long without a message
+	LingerTimeout       time.Duration // time for a caller to notice that its connection is closing
+	RetryAfter          time.Duration // sent when the agent is too busy; 0: callers ignore it, none is sent
+	CloseMessage        []byte        // sent last on a connection that the manager closes
 	Log                 *slog.Logger
 }
 
@@ -42,13 +42,14 @@
 	c.MaxPeers = cmp.Or(c.MaxPeers, 512)
 	c.MaxQueued = cmp.Or(c.MaxQueued, 1024)
 	c.WriteTimeout = cmp.Or(c.WriteTimeout, 500*time.Millisecond)
-	// Lawful callers may take 2 s over a set-up, by the platform's pages; who says nothing whole is
-	// owed an end within 3 s.
+	// By the platform's pages callers may take 2 s to send a set-up, and a connection without a complete
+	// message must be closed within 3 s.
 	c.FirstMessageTimeout = cmp.Or(c.FirstMessageTimeout, 2500*time.Millisecond)
 	c.MessageTimeout = cmp.Or(c.MessageTimeout, 2500*time.Millisecond)
 	c.EvictAfter = cmp.Or(c.EvictAfter, 250*time.Millisecond)
 	c.IdleTimeout = cmp.Or(c.IdleTimeout, 2*time.Minute)
-	c.LingerTimeout = cmp.Or(c.LingerTimeout, 100*time.Millisecond) // a set-up crosses the end for 50 ms, by the protocol
+	// by the protocol, a set-up may cross the close for 50 ms
+	c.LingerTimeout = cmp.Or(c.LingerTimeout, 100*time.Millisecond)
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
@@ -57,19 +58,19 @@
 // callEntry is the caller's side of a call that is open or stands.
 type callEntry struct {
 	peer         *Peer
-	tag          any // the front's own
+	tag          any // for the front's use
 	answered     bool
-	cancelCaller context.CancelFunc // ends the call's Caller
+	cancelCaller context.CancelFunc // ends the call's CallerContext
 }
 
-// pendingEnd is a release that found no connection to the caller.
+// pendingEnd is the end of a call that could not be sent on any connection of its caller.
 type pendingEnd struct {
 	message Message
-	host    string // "": any
+	host    string // "": any host
 	since   time.Time
 }
 
-// Releases that find no connection are kept so long, and so many of them.
+// Bounds on how long, and how many, ends are kept that could not be sent.
 const (
 	pendingEndLifetime = 10 * time.Second
 	maxPendingEnds     = 4096
@@ -84,15 +85,15 @@
 
 	mu          sync.Mutex
 	peers       map[*Peer]struct{}
-	openConns   int       // connections not closed yet, those that are leaving included
-	connClosed  sync.Cond // one of them has been closed
+	openConns   int       // connections not closed yet, including those that are closing
+	connClosed  sync.Cond // signals that a connection was closed
 	calls       map[string]*callEntry
 	pendingEnds []pendingEnd
 	closed      bool
 	goroutines  sync.WaitGroup
 }
 
-// New returns a desk; converse reads one connection until it ends.
+// New returns a Manager; handler reads one connection until it ends.
 func New(cfg Config, core Core, front agent.Front, converse func(*Peer) error) *Manager {
 	cfg.setDefaults()
 	m := &Manager{Config: cfg, core: core, front: front, handler: converse,
@@ -101,8 +102,8 @@
 	return m
 }
 
-// errClosing tells that a call came on a connection that is being ended. Nothing of it goes
-// on, so that its caller may take the end of the connection for an end of the call.
+// errClosing reports a call on a connection that is being closed. The call is not passed on, so its caller
+// may treat the end of the connection as the end of the call.
 var errClosing = errors.New("the connection is being ended")
 
 // Serve accepts callers until the listener is closed.
@@ -112,7 +113,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, or a caller gone in the queue: others wait
+		if err != nil { // out of descriptors, or the caller left the accept queue; others may wait
 			m.Log.Warn("accept failed", "error", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -121,15 +122,16 @@
 	}
 }
 
-// ClosingDivisor is how many connections, one in so many of the most, may be on their way out beside
-// those that are served. Each costs a descriptor until it is closed.
+// ClosingDivisor bounds the connections that are closing: MaxPeers/ClosingDivisor may be, in addition to the
+// MaxPeers that are served. Each holds a descriptor until it is closed.
 const ClosingDivisor = 8
 
 func (m *Manager) admit(conn net.Conn) {
 	p := newPeer(m, conn)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for !m.closed && m.openConns-len(m.peers) > m.MaxPeers/ClosingDivisor { // they go in a moment, or in WriteTimeout
+	// each is closed soon, at the latest after WriteTimeout
+	for !m.closed && m.openConns-len(m.peers) > m.MaxPeers/ClosingDivisor {
 		m.connClosed.Wait()
 	}
 	if m.closed || len(m.peers) >= m.MaxPeers && !m.evictOne() {
@@ -144,7 +146,7 @@
 	m.goroutines.Go(p.writeAll)
 }
 
-// closePeer closes a connection and counts it off.
+// closePeer closes a connection and reduces the count of open ones.
 func (m *Manager) closePeer(p *Peer) {
 	p.conn.Close()
 	m.mu.Lock()
@@ -153,11 +155,10 @@
 	m.connClosed.Broadcast()
 }
 
-// evictOne ends a connection without a call: one that never said a whole message before one
-// that has; among these the one that has been silent longest. Hundreds that only connect
-// must not shut those out that have calls. What was used just now stays, as its caller's
-// first message, or the next, may be on its way; so does what has a call that stands, as
-// that may be the only way to tell of its end.
+// evictOne closes one connection without a call, and reports whether there was one. Connections that never
+// sent a complete message go first, then the one unused for the longest time: hundreds of connections that
+// only connect must not shut out callers with calls. A connection used within EvictAfter stays, as a message
+// may be on its way. So does one with a standing call, as it may be the only way to report the call's end.
 func (m *Manager) evictOne() bool {
 	var least *Peer
 	for p := range m.peers {
@@ -173,14 +174,14 @@
 	return true
 }
 
-// startClosing ends a connection on which nothing is open: a set-up that crosses its end is not
-// taken, so that its caller may send it again elsewhere.
+// startClosing closes a connection on which no set-up is open. A set-up that crosses the close is not
+// accepted, so its caller may send it again elsewhere.
 func (m *Manager) startClosing(p *Peer, linger bool) {
 	delete(m.peers, p)
 	p.startClosing(linger)
 }
 
-// BusyPeers tells how many connections have a set-up without its answer, or one half-read.
+// BusyPeers returns how many connections have an unanswered set-up, or a partly received message.
 func (m *Manager) BusyPeers() (n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -192,14 +193,14 @@
 	return n
 }
 
-// Exempt tells which connections are in use though no set-up is open on them.
+// Exempt says which connections without an open set-up CloseIdle leaves open.
 type Exempt struct {
-	Used     time.Duration // those used within this,
-	New      bool          // those whose first message may be on its way,
-	Standing bool          // those with a call that stands, whose end is to be told there
+	Used     time.Duration // those used within this period
+	New      bool          // those whose first message may be on its way
+	Standing bool          // those with a standing call, whose end is reported there
 }
 
-// CloseIdle ends the connections that are not in use, and tells how many are left.
+// CloseIdle closes the connections that are not in use, and returns how many are left.
 func (m *Manager) CloseIdle(spare Exempt) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -212,15 +213,15 @@
 	return len(m.peers)
 }
 
-// SetLimits sets the bounds of connections that come from now on.
+// SetLimits sets the limits for connections that are accepted from now on.
 func (m *Manager) SetLimits(maxPeers int, idle time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.MaxPeers, m.IdleTimeout = maxPeers, idle
 }
 
-// CloseExisting ends the connections there are, each once no set-up is open on it, at the latest
-// after most.
+// CloseExisting closes the present connections, each once no set-up is open on it, at the latest after
+// maxWait.
 func (m *Manager) CloseExisting(maxWait time.Duration) {
 	m.mu.Lock()
 	var leaving []*Peer
@@ -231,7 +232,7 @@
 	for last := time.Now().Add(maxWait); len(leaving) > 0; time.Sleep(20 * time.Millisecond) {
 		late := time.Now().After(last)
 		leaving = slices.DeleteFunc(leaving, func(p *Peer) bool {
-			m.mu.Lock() // a set-up must not come between the look and the end
+			m.mu.Lock() // no set-up may be added between the check and the close
 			defer m.mu.Unlock()
 			if !late && (p.openSetUps > 0 || p.midMessage.Load()) {
 				return false
@@ -242,7 +243,7 @@
 	}
 }
 
-// MarkReady tells that a connection can take messages; it gets the releases owed to its host.
+// MarkReady records that a connection can receive messages, and sends it the pending ends for its host.
 func (m *Manager) MarkReady(p *Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -259,8 +260,8 @@
 	m.pendingEnds = kept
 }
 
-// Close ends all connections once what waits for them is written. A set-up that is read from now
-// on is not taken: nobody could tell its caller of its answer.
+// Close closes all connections once their queued messages are written. A set-up that is read from now on is
+// not accepted, as its caller could not be answered.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -272,8 +273,8 @@
 	m.goroutines.Wait()
 }
 
-// Offer enters a call and hands it to the core. It fails if one of this id is open at
-// this front; a core too busy to take the call has the front refuse it.
+// Offer records a call and passes it to the core. It fails if a call with this id is open at this front. If
+// the core is too busy to accept the call, the front refuses it.
 func (m *Manager) Offer(p *Peer, c agent.Call, tag any) error {
 	m.mu.Lock()
 	_, up := m.peers[p]
@@ -298,8 +299,8 @@
 	return nil
 }
 
-// Withdraw ends a call for its caller, by any connection. It reports whether the call
-// was known, and the front's tag and connection if it had no answer yet.
+// Withdraw ends a call for its caller, on any connection. It reports whether the call was known, and the
+// front's tag and the connection if the call had no answer yet.
 func (m *Manager) Withdraw(id string) (known bool, by *Peer, tag any) {
 	entry := m.removeCall(id)
 	if entry == nil {
@@ -322,7 +323,7 @@
 	return entry
 }
 
-// removeLocked takes a call out of the table and off its connection's counts.
+// removeLocked removes a call from the table and from its connection's counts. The caller holds m.mu.
 func (m *Manager) removeLocked(id string, entry *callEntry) {
 	delete(m.calls, id)
 	entry.cancelCaller()
@@ -333,15 +334,15 @@
 	}
 }
 
-// busy tells whether a connection waits for a final answer.
+// busy reports whether a connection waits for a final answer.
 func (m *Manager) busy(p *Peer) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return p.openSetUps > 0
 }
 
-// removePeer ends a connection's part: its unanswered calls have no caller any more. Calls
-// that stand outlive it.
+// removePeer removes a connection. Its unanswered calls are withdrawn, as they have no caller any more. Its
+// standing calls continue.
 func (m *Manager) removePeer(p *Peer) {
 	m.mu.Lock()
 	delete(m.peers, p)
@@ -358,7 +359,7 @@
 	}
 }
 
-// SendAnswer passes an answer on. If the caller can't be reached the call is withdrawn.
+// SendAnswer sends an answer. If the caller can't be reached, the call is withdrawn.
 func (m *Manager) SendAnswer(id string, data func(tag any) []byte) {
 	m.mu.Lock()
 	entry := m.calls[id]
@@ -384,36 +385,36 @@
 	}
 }
 
-// SendFinal passes the last word on a call that did not come to stand.
+// SendFinal sends the final message of a call that did not come to stand.
 func (m *Manager) SendFinal(id string, data func(tag any) []byte) {
 	if entry := m.removeCall(id); entry != nil {
 		entry.peer.Send(Message{ID: id, Data: data(entry.tag)})
 	}
 }
 
-// SendEnd passes the end of a call that stood on, by its own connection or any other.
+// SendEnd reports the end of a call that stood, on the call's connection or another one of its caller.
 func (m *Manager) SendEnd(id string, data []byte) {
 	if entry := m.removeCall(id); entry != nil {
 		m.deliverEnd(pendingEnd{Message{ID: id, Kind: KindEnd, Data: data}, entry.peer.host, time.Now()}, entry.peer)
 	}
 }
 
-// SendUnknownEnd passes on the end of a call that this desk does not know, to any caller.
+// SendUnknownEnd reports the end of a call that this manager does not know, to any caller.
 func (m *Manager) SendUnknownEnd(id string, data []byte) {
 	m.deliverEnd(pendingEnd{Message{ID: id, Kind: KindEnd, Data: data}, "", time.Now()}, nil)
 }
 
-// ReleaseUnknown hands on the release of a call that this desk does not know.
+// ReleaseUnknown passes on the release of a call that this manager does not know.
 func (m *Manager) ReleaseUnknown(id string) { m.core.ReleaseUnknown(id) }
 
-// FailCall ends the connection of a call and reports whether the call was known.
+// FailCall closes the connection of a call, if the call is known.
 func (m *Manager) FailCall(id string, err error) {
 	if entry := m.removeCall(id); entry != nil {
 		entry.peer.Fail(err)
 	}
 }
 
-// deliverEnd tries the caller's connections in turn and keeps what none could take.
+// deliverEnd tries the caller's connections in turn, and keeps the message for later if none accepts it.
 func (m *Manager) deliverEnd(o pendingEnd, first *Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/front/connmgr/desk_test.go
+++ b/internal/front/connmgr/desk_test.go
@@ -11,15 +11,15 @@
 	"woodrouter/agent"
 )
 
-// nullCore is a core that a test does not get to.
+// nullCore is a core that accepts everything and does nothing.
 type nullCore struct{}
 
 func (nullCore) Offer(agent.Front, agent.Call) bool { return true }
 func (nullCore) Withdraw(agent.Front, string)       {}
 func (nullCore) ReleaseUnknown(string)              {}
 
-// addPeer enters a connection of which nothing is read or written: what the desk decides about
-// it is all that happens.
+// addPeer registers a connection without a reader or a writer, so that only the manager's decisions affect
+// it.
 func addPeer(t *testing.T, m *Manager) *Peer {
 	ours, theirs := net.Pipe()
 	t.Cleanup(func() { ours.Close(); theirs.Close() })
@@ -28,9 +28,10 @@
 	return p
 }
 
-// TestCloseIdle: a connection is in use by what is open, what was said just now, a first message
-// on its way, or a call that stands, as far as the one who asks wants these spared. One that was
-// ended takes no set-up any more: its caller sends it elsewhere.
+// TestCloseIdle checks which connections stay open: those with an open set-up, and, as far as the caller of
+// CloseIdle exempts them, those used recently, those whose first message may be on its way, and those with a
+// standing call. A closed connection accepts no set-up any more, so that its caller sends the set-up
+// elsewhere.
 func TestCloseIdle(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -38,14 +39,14 @@
 		is    func(*Peer)
 		kept  bool
 	}{
-		{"silent since long", Exempt{Used: time.Minute, New: true, Standing: true}, func(p *Peer) { p.gotMessage.Store(true); p.lastUsed.Store(0) }, false},
+		{"unused for long", Exempt{Used: time.Minute, New: true, Standing: true}, func(p *Peer) { p.gotMessage.Store(true); p.lastUsed.Store(0) }, false},
 		{"a set-up is open", Exempt{}, func(p *Peer) { p.openSetUps, p.calls = 1, 1 }, true},
 		{"used just now", Exempt{Used: time.Minute}, func(p *Peer) { p.gotMessage.Store(true) }, true},
-		{"used just now, in a hurry", Exempt{}, func(p *Peer) { p.gotMessage.Store(true) }, false},
+		{"used just now, not exempt", Exempt{}, func(p *Peer) { p.gotMessage.Store(true) }, false},
 		{"new", Exempt{New: true}, func(*Peer) {}, true},
-		{"new, in a hurry", Exempt{}, func(*Peer) {}, false},
+		{"new, not exempt", Exempt{}, func(*Peer) {}, false},
 		{"a call stands", Exempt{Standing: true}, func(p *Peer) { p.gotMessage.Store(true); p.calls = 1 }, true},
-		{"a call stands, another process tells", Exempt{New: true}, func(p *Peer) { p.gotMessage.Store(true); p.calls = 1 }, false},
+		{"a call stands, not exempt as another process reports its end", Exempt{New: true}, func(p *Peer) { p.gotMessage.Store(true); p.calls = 1 }, false},
 	} {
 		m := New(Config{}, nullCore{}, nil, nil)
 		p := addPeer(t, m)
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestCloseExisting: a connection whose settings no longer hold ends for good at the moment at which
-// nothing is open on it. A set-up taken after that could not be answered there.
+// TestCloseExisting checks that a connection is closed for good as soon as nothing is open on it. A set-up
+// that was accepted after that could not be answered there.
 func TestCloseExisting(t *testing.T) {
 	m := New(Config{}, nullCore{}, nil, nil)
 	p := addPeer(t, m)
@@ -68,8 +69,8 @@
 	assert.ErrorIs(t, m.Offer(p, agent.Call{ID: "1"}, nil), errClosing)
 }
 
-// countingConn is a connection that has so many messages of one byte, each with the next or alone, and
-// counts the deadlines set.
+// countingConn is a connection that returns one-byte messages, one or several per read, and counts the
+// deadlines that are set.
 type countingConn struct {
 	net.Conn
 	reads        [][]byte
@@ -90,13 +91,14 @@
 	return n, nil
 }
 
-// TestDeadlinesSet: one deadline for each wait, and none for what is there already.
+// TestDeadlinesSet checks that each wait for bytes sets one deadline, and that reading buffered bytes sets
+// none.
 func TestDeadlinesSet(t *testing.T) {
 	for _, tc := range []struct {
 		reads []string
-		want  int // the last is for the connection's end
+		want  int // the last one is for reading the connection's end
 	}{
-		{[]string{"a", "b", "c"}, 4}, // each is waited for
+		{[]string{"a", "b", "c"}, 4}, // a wait for each message
 		{[]string{"abc", "def"}, 3},
 	} {
 		c := &countingConn{}
--- a/internal/front/connmgr/left_test.go
+++ b/internal/front/connmgr/left_test.go
@@ -9,7 +9,7 @@
 	"woodrouter/agent"
 )
 
-// recordingCore is a core that has heard of a call and gets no further.
+// recordingCore is a core that records the offered call and does nothing more.
 type recordingCore struct {
 	nullCore
 	offered agent.Call
@@ -17,11 +17,12 @@
 
 func (s *recordingCore) Offer(_ agent.Front, c agent.Call) bool { s.offered = c; return true }
 
-// noData words a message that nobody reads.
+// noData encodes a message that nobody reads.
 var noData = func(any) []byte { return nil }
 
-// TestCallerLeft: whoever holds a call knows that its caller has left as soon as the desk does,
-// before the core has read the withdrawal; a caller that closes does not leave a call that stands.
+// TestCallerLeft checks that a call's CallerContext ends as soon as the manager sees its caller leave, before
+// the core has processed the withdrawal. A caller that closes its connection does not leave a call that
+// stands.
 func TestCallerLeft(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/front/connmgr/peer.go
+++ b/internal/front/connmgr/peer.go
@@ -14,48 +14,50 @@
 	"woodrouter/internal/mailbox"
 )
 
-// Kind tells what is lost with a message that can't be written.
+// Kind says what to do about a message that can't be written.
 type Kind int
 
-// The kinds. An answer's call is released, a release looks for another connection.
+// The kinds. For an undelivered answer the call is released; the undelivered end of a call is sent on another
+// connection.
 const (
 	KindOther Kind = iota
 	KindAnswer
 	KindEnd
 )
 
-// Message is a message as it goes out.
+// Message is an encoded outgoing message.
 type Message struct {
 	ID   string
 	Kind Kind
 	Data []byte
 }
 
-// Peer is one caller's connection: a goroutine reads it, its actor writes.
+// Peer is one caller's connection. One goroutine reads it, and an actor writes it.
 type Peer struct {
 	In       *bufio.Reader
 	manager  *Manager
 	conn     net.Conn
 	host     string
 	queue    *mailbox.Queue[Message]
-	readDone chan struct{} // closed once nothing more is read of it
+	readDone chan struct{} // closed once reading has ended
 
 	opened      time.Time
-	gotMessage  atomic.Bool  // a message of it was whole
-	midMessage  atomic.Bool  // a message of it has begun and is not whole
-	lastUsed    atomic.Int64 // when it was used last, or bytes of it came, in Unix nanoseconds
+	gotMessage  atomic.Bool  // a complete message was received
+	midMessage  atomic.Bool  // a message is partly received
+	lastUsed    atomic.Int64 // last use or receipt of bytes, in Unix nanoseconds
 	idleTimeout time.Duration
-	ready       atomic.Bool // it can be sent releases
+	ready       atomic.Bool // it can be sent ends of calls
 
-	readDeadline time.Time // the reader's: what it waits for must have come by then
-	deadlineSet  bool      // that is set on the connection
+	readDeadline time.Time // by when the awaited bytes must arrive; used by the reader alone
+	deadlineSet  bool      // readDeadline is set on the connection
 
-	linger atomic.Bool // it leaves without haste
+	linger atomic.Bool // closeWrite waits for the caller to see the close
 
-	openSetUps, calls int // set-ups without an answer, and all calls; guarded by the desk
+	openSetUps, calls int // set-ups without an answer, and all calls; guarded by manager.mu
 }
 
-// evictBefore orders connections without a call by how little they would be missed.
+// evictBefore orders connections without a call for eviction: those that never received a message go before
+// those that did, and the longest unused go first. Connections in the middle of a message go last.
 func (p *Peer) evictBefore(q *Peer) bool {
 	if p.midMessage.Load() != q.midMessage.Load() {
 		return q.midMessage.Load()
@@ -75,9 +77,9 @@
 	return p
 }
 
-// deadlineReader reads a connection and notes that something came: whoever writes slowly is not idle. The
-// deadline is set on the connection only here, where something must be waited for: most messages are
-// there whole once they have begun.
+// deadlineReader reads a connection and records the receipt of bytes as use, so that a caller that writes
+// slowly is not idle. The deadline is set on the connection only here, where bytes must be waited for: most
+// messages are there completely once they have begun.
 type deadlineReader struct{ p *Peer }
 
 func (a deadlineReader) Read(b []byte) (int, error) {
@@ -92,7 +94,7 @@
 	return n, err
 }
 
-// Send queues a message. A caller too slow to take its messages is cut off.
+// Send queues a message. A caller that is too slow to take its messages is disconnected.
 func (p *Peer) Send(i Message) bool {
 	if p.queue.Offer(i) {
 		return true
@@ -101,9 +103,9 @@
 	return false
 }
 
-// startClosing ends the connection once what waits for it is written. linger: what its caller has on the
-// way is read first and passed over, as a close with bytes unread resets the connection, and with
-// it the answers that the caller has not read yet.
+// startClosing closes the connection once its queued messages are written. With linger, the bytes that the
+// caller has on the way are read first and discarded: closing with unread bytes resets the connection, and
+// the caller would lose the answers that it has not read yet.
 func (p *Peer) startClosing(linger bool) {
 	p.linger.Store(linger)
 	if p.ready.Load() && len(p.manager.CloseMessage) > 0 {
@@ -112,21 +114,22 @@
 	p.queue.Close()
 }
 
-// Fail ends the connection for a fault of the caller.
+// Fail closes the connection because of a fault of the caller.
 func (p *Peer) Fail(err error) {
 	p.manager.Log.Warn("caller's connection ended", "caller", p.conn.RemoteAddr(), "error", err)
 	p.conn.Close()
 }
 
-// ErrIdle tells that the next message did not begin in time.
+// ErrIdle reports that no message began within the idle time.
 var ErrIdle = errors.New("idle")
 
-// errNoMessage tells that a new connection said nothing, or half a message.
-var errNoMessage = errors.New("no whole message in time")
+// errNoMessage reports that a new connection sent no complete message.
+var errNoMessage = errors.New("no complete message in time")
 
-// AwaitMessage waits for the next message to begin, ErrIdle telling of a long silence. What has
-// begun is to be read whole within MessageTime. All that a connection says first has
-// FirstTime: who only holds it open is told apart from a caller between two calls.
+// AwaitMessage waits for the next message to begin; it returns ErrIdle after IdleTimeout without one. A
+// message that has begun must be read completely within MessageTimeout. A connection's first message must be
+// complete within FirstMessageTimeout of the accept: this tells a connection that is only held open from a
+// caller between two calls.
 func (p *Peer) AwaitMessage() error {
 	if !p.gotMessage.Load() {
 		p.setReadDeadline(p.opened.Add(p.manager.FirstMessageTimeout))
@@ -147,10 +150,10 @@
 	return err
 }
 
-// setReadDeadline has what is read from now on come by then.
+// setReadDeadline sets the deadline for the bytes that are read from now on.
 func (p *Peer) setReadDeadline(due time.Time) { p.readDeadline, p.deadlineSet = due, false }
 
-// MessageRead notes that a message was read whole.
+// MessageRead records that a complete message was read.
 func (p *Peer) MessageRead() {
 	p.gotMessage.Store(true)
 	p.midMessage.Store(false)
@@ -159,12 +162,12 @@
 
 func (p *Peer) touch() { p.lastUsed.Store(time.Now().UnixNano()) }
 
-// sinceUsed is how long the connection has not been used.
+// sinceUsed returns how long the connection has been unused.
 func (p *Peer) sinceUsed() time.Duration {
 	return time.Duration(time.Now().UnixNano() - p.lastUsed.Load())
 }
 
-// Busy tells whether a set-up is open on the connection.
+// Busy reports whether a set-up is open on the connection.
 func (p *Peer) Busy() bool { return p.manager.busy(p) }
 
 func (p *Peer) readAll() {
@@ -175,14 +178,14 @@
 	}
 	p.midMessage.Store(false)
 	p.manager.removePeer(p)
-	p.queue.Close() // the writer says what is left, and closes
+	p.queue.Close() // the writer sends what is queued, then closes the connection
 	if p.linger.Load() {
 		p.conn.SetReadDeadline(time.Now().Add(p.manager.LingerTimeout))
 		io.Copy(io.Discard, p.conn)
 	}
 }
 
-// runHandler stops a panic at the connection.
+// runHandler runs the handler and turns a panic into an error, so that it ends this connection only.
 func (p *Peer) runHandler() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -217,7 +220,7 @@
 	}
 }
 
-// closeWrite says that nothing more comes, and gives the caller the time to see it.
+// closeWrite signals the end of the stream and gives the caller the time to see it.
 func (p *Peer) closeWrite() {
 	half, ok := p.conn.(interface{ CloseWrite() error })
 	if !ok || !p.linger.Load() || half.CloseWrite() != nil {
--- a/internal/front/connmgr/room_test.go
+++ b/internal/front/connmgr/room_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestEvictOne: in a full house the connection that is missed least goes: one that never said
-// anything, then an idle one, then one that stopped in the middle of a message; never one whose
-// message is still coming, nor one with a set-up in it.
+// TestEvictOne checks the order in which connections are closed for new ones: one that never sent anything,
+// then an idle one, then one that stopped in the middle of a message; never one whose message is still
+// arriving, nor one with an open set-up.
 func TestEvictOne(t *testing.T) {
 	old := time.Now().Add(-time.Hour).UnixNano()
 	kinds := []func(p *Peer){
@@ -38,7 +38,7 @@
 
 func registered(m *Manager, p *Peer) bool { _, ok := m.peers[p]; return ok }
 
-// TestBytesCountAsUse: bytes that come count as use, before the message is whole.
+// TestBytesCountAsUse checks that received bytes count as use before the message is complete.
 func TestBytesCountAsUse(t *testing.T) {
 	m := New(Config{}, nullCore{}, nil, nil)
 	ours, theirs := net.Pipe()
@@ -49,8 +49,8 @@
 	assert.Less(t, p.sinceUsed(), time.Minute)
 }
 
-// TestClosingBound: connections on their way out cost descriptors until they are closed. Past a bound
-// nobody is let in before one of them is.
+// TestClosingBound checks that no connection is admitted while too many are closing, as each holds a
+// descriptor until it is closed.
 func TestClosingBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(Config{MaxPeers: 8, LingerTimeout: time.Hour}, nullCore{}, nil, func(p *Peer) error { _, err := p.In.ReadByte(); return err })
@@ -64,7 +64,7 @@
 			enter()
 		}
 		stuck := 0
-		for p := range m.peers { // their callers take nothing of what is still to be said
+		for p := range m.peers { // their callers don't read the queued message
 			p.Send(Message{Data: []byte("x")})
 			m.mu.Lock()
 			m.startClosing(p, false)
@@ -78,7 +78,7 @@
 		synctest.Wait()
 		select {
 		case <-entered:
-			t.Error("let in while two of eight were on their way out")
+			t.Error("admitted while two of eight connections were closing")
 		default:
 		}
 		time.Sleep(m.WriteTimeout)
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -1,5 +1,5 @@
-// Package isupfront takes calls from callers on binary signalling. It is thin: it turns
-// messages into calls of package agent and outcomes into messages.
+// Package isupfront accepts calls over binary signalling. It only converts: messages into calls of package
+// agent, and outcomes into messages.
 package isupfront
 
 import (
@@ -14,20 +14,20 @@
 	"woodrouter/isup"
 )
 
-// Front serves callers; Serve and Close are its desk's.
+// Front serves callers on binary signalling; Serve and Close come from its Manager.
 type Front struct {
 	*connmgr.Manager
 	ready func() bool
 }
 
-// New returns a front that hands calls to core; ready answers tests.
+// New returns a front that passes calls to core; ready gives the result of callers' tests.
 func New(cfg connmgr.Config, core connmgr.Core, ready func() bool) *Front {
 	f := &Front{ready: ready}
 	f.Manager = connmgr.New(cfg, core, f, f.readMessages)
 	return f
 }
 
-// encode words a message; what can't be worded closes nothing and says nothing.
+// encode returns the encoded message; if it can't be encoded, the error is logged and nothing is sent.
 func (f *Front) encode(m isup.Message) []byte {
 	b, err := m.Append(nil)
 	if err != nil {
@@ -37,7 +37,7 @@
 }
 
 func newMessage(t isup.Type, id string) isup.Message {
-	n, _ := isup.ParseCallID(id) // the id came in by this front
+	n, _ := isup.ParseCallID(id) // valid: the id was parsed by this front
 	return isup.Message{Type: t, Call: n}
 }
 
@@ -45,12 +45,12 @@
 	return func(any) []byte { return f.encode(m) }
 }
 
-// Answered passes the setup server's description on, unchanged.
+// Answered sends the setup server's description unchanged.
 func (f *Front) Answered(c agent.Call, description []byte) {
 	f.SendAnswer(c.ID, f.encoder(newMessage(isup.Answer, c.ID).With(isup.Description, description)))
 }
 
-// Refused passes a refusal on, with when to return.
+// Refused sends a refusal, with the time after which to retry.
 func (f *Front) Refused(c agent.Call, retryAfter time.Duration) {
 	m := newMessage(isup.Release, c.ID).WithCause(isup.Congestion)
 	if retryAfter > 0 {
@@ -59,13 +59,13 @@
 	f.SendFinal(c.ID, f.encoder(m))
 }
 
-// Failed passes a failure on.
+// Failed sends a failure.
 func (f *Front) Failed(c agent.Call, _ error) {
 	f.SendFinal(c.ID, f.encoder(newMessage(isup.Release, c.ID).WithCause(isup.Unavailable)))
 }
 
-// Rejected ends the connection that used an id of another front's call, as any answer
-// would seem to be of that call; other rejections are failures.
+// Rejected closes the connection that used the id of another front's call, as any answer would seem to belong
+// to that call. Other rejections are sent as failures.
 func (f *Front) Rejected(c agent.Call, err error) {
 	if errors.Is(err, agent.ErrDuplicate) {
 		f.FailCall(c.ID, err)
@@ -75,10 +75,10 @@
 	f.Failed(c, err)
 }
 
-// Ended passes the end of a call that stood on.
+// Ended reports the end of a call that stood.
 func (f *Front) Ended(c agent.Call, err error) { f.SendEnd(c.ID, f.endMessage(c.ID, err)) }
 
-// UnknownEnded passes the end of a call from before a restart on.
+// UnknownEnded reports the end of a call from before a restart.
 func (f *Front) UnknownEnded(id string, err error) {
 	f.Manager.SendUnknownEnd(id, f.endMessage(id, err))
 }
@@ -91,7 +91,8 @@
 	return f.encode(newMessage(isup.Release, id).WithCause(cause))
 }
 
-// readMessages reads one connection. Idle ones end, but for those with a set-up open.
+// readMessages reads one connection until it ends. An idle connection is closed unless a set-up is open on
+// it.
 func (f *Front) readMessages(p *connmgr.Peer) error {
 	f.MarkReady(p)
 	for {
@@ -143,10 +144,10 @@
 	return nil
 }
 
-// maxTimeLeft bounds a caller's patience: more is no figure that anyone means.
+// maxTimeLeft bounds the time that a caller may give a call; a larger value is an error of the caller.
 const maxTimeLeft = 10 * time.Minute
 
-// parseCall reads a set-up. Of the figures the first choice and the width matter here.
+// parseCall reads a set-up. Of its figures only the first choice (dest) and the width are used.
 func parseCall(m isup.Message, now time.Time) (agent.Call, error) {
 	c := agent.Call{ID: m.Call.String(), Class: m.Text(isup.Class), Tenant: m.Text(isup.Tenant),
 		Number: m.Text(isup.Number), Pool: -1}
--- a/internal/front/isupfront/isupfront_test.go
+++ b/internal/front/isupfront/isupfront_test.go
@@ -22,7 +22,7 @@
 	return f, c, standin.Serve(t, f)
 }
 
-// TestOutcomes: a set-up is read whole, and each outcome is one message.
+// TestOutcomes checks that a set-up is parsed completely and that each outcome is sent as one message.
 func TestOutcomes(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -44,7 +44,7 @@
 			assert.Equal(t, []any{"voice", 2, "offer 0000000000000007"}, []any{call.Class, call.Pool, string(call.Description)})
 			assert.InDelta(t, 3, time.Until(call.Deadline).Seconds(), 2.9)
 			tc.do(f, call)
-			tc.do(f, call) // once is enough
+			tc.do(f, call) // a second outcome must not be sent
 			m := c.Await(t, isup.Release, 7)
 			cause, err := m.Cause()
 			require.NoError(t, err)
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestBusyCore: what the core can't take is refused at once, with when to return.
+// TestBusyCore checks that a call that the core can't accept is refused at once, with the time after which to
+// retry.
 func TestBusyCore(t *testing.T) {
 	_, core, addr := startFront(t, connmgr.Config{RetryAfter: 700 * time.Millisecond})
 	core.Busy = true
@@ -67,8 +68,8 @@
 	assert.Equal(t, "700", c.Await(t, isup.Release, 7).Text(isup.RetryAfter))
 }
 
-// TestStandingOutlivesConnection: the end of a call is told on its connection, else on
-// any of that caller's, else on the next; its release may come on any.
+// TestStandingOutlivesConnection checks that the end of a call is sent on its connection, else on any other
+// of its caller, else on the caller's next one, and that its release may come on any of them.
 func TestStandingOutlivesConnection(t *testing.T) {
 	f, core, addr := startFront(t, connmgr.Config{})
 	c := standin.NewCaller(t, addr)
@@ -86,7 +87,7 @@
 	c.SetUp(4, "voice", 3*time.Second, 2)
 	standin.Next(t, core.Offered)
 	c.Close()
-	assert.Equal(t, "0000000000000004", standin.Next(t, core.Withdrawn), "the set-up that was open on it, and no more")
+	assert.Equal(t, "0000000000000004", standin.Next(t, core.Withdrawn), "only the set-up that was open on it")
 	f.Ended(two, agent.ErrPanic)
 	other := standin.NewCaller(t, addr)
 	cause, _ = other.Await(t, isup.Release, 2).Cause()
@@ -98,8 +99,8 @@
 	other.Await(t, isup.TestResult, 9)
 }
 
-// TestUnknownEnded: the end of a call from before a restart goes to any caller, or to the next;
-// a caller's release of one is handed on.
+// TestUnknownEnded checks that the end of a call from before a restart is sent to any caller, or to the next
+// that connects, and that a caller's release of such a call is passed on.
 func TestUnknownEnded(t *testing.T) {
 	f, core, addr := startFront(t, connmgr.Config{})
 	f.UnknownEnded("0000000000000007", nil)
@@ -109,7 +110,7 @@
 	assert.Equal(t, "0000000000000008", standin.Next(t, core.Unknown))
 }
 
-// encodeSetUp words a set-up with odd figures.
+// encodeSetUp encodes a set-up with the given time and figures, which may be invalid.
 func encodeSetUp(t *testing.T, left, figures string) string {
 	b, err := isup.Message{Type: isup.SetUp, Call: 2}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, left).
 		WithText(isup.Figures, figures).Append(nil)
@@ -117,8 +118,8 @@
 	return string(b)
 }
 
-// TestFaults: a message that is malformed, oversized or out of order ends its connection
-// and the calls open on it, and no other.
+// TestFaults checks that a malformed, oversized or unexpected message ends its connection and the calls open
+// on it, and no other connection.
 func TestFaults(t *testing.T) {
 	setUp, err := isup.Message{Type: isup.SetUp, Call: 1}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, "3000").Append(nil)
 	require.NoError(t, err)
@@ -133,11 +134,11 @@
 		"bad figures":            "\x00\x18\x01\x00\x00\x00\x00\x00\x00\x00\x02\x11\x00\x011\x15\x00\x06dest:x\x00",
 		"first choice no number": encodeSetUp(t, "3000", "dest:nan;width:1;via:-1"),
 		"negative first choice":  encodeSetUp(t, "3000", "dest:-3"),
-		"no width":               encodeSetUp(t, "3000", "dest:0;width:0"),
+		"zero width":             encodeSetUp(t, "3000", "dest:0;width:0"),
 		"negative time":          encodeSetUp(t, "-5", "dest:0"),
-		"days":                   encodeSetUp(t, "864000000", "dest:0"),
+		"time of ten days":       encodeSetUp(t, "864000000", "dest:0"),
 		"id open already":        string(setUp),
-		"cut off":                "\x00\x30\x01",
+		"truncated":              "\x00\x30\x01",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, core, addr := startFront(t, connmgr.Config{MessageTimeout: 200 * time.Millisecond})
@@ -158,7 +159,7 @@
 	}
 }
 
-// TestIdle: a connection without a set-up is closed in time; one with a set-up is not.
+// TestIdle checks that an idle connection without a set-up is closed, and one with a set-up is not.
 func TestIdle(t *testing.T) {
 	f, core, addr := startFront(t, connmgr.Config{IdleTimeout: 500 * time.Millisecond})
 	busy := standin.NewCaller(t, addr)
@@ -171,8 +172,8 @@
 	busy.Await(t, isup.Answer, 1)
 }
 
-// TestSilent: who connects and says nothing, or half a message, is ended soon; who has asked
-// once may hold its connection.
+// TestSilent checks that a connection without a complete message is closed soon, and that one that has sent a
+// message may stay.
 func TestSilent(t *testing.T) {
 	_, core, addr := startFront(t, connmgr.Config{FirstMessageTimeout: 500 * time.Millisecond})
 	asked := standin.NewCaller(t, addr)
@@ -183,15 +184,15 @@
 		c.Write([]byte(half))
 		_, err := c.Next()
 		require.Error(t, err)
-		require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the agent ended it, not the test")
+		require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "closed by the agent, not by the test's deadline")
 	}
 	asked.Send(isup.Message{Type: isup.Test, Call: 9}.WithCause(0))
 	asked.Await(t, isup.TestResult, 9)
 }
 
-// TestTooManyConnections: each connection costs a descriptor. In a full house a newcomer takes the place
-// of one that never spoke, then of one without a call; one with a call stays, and in the end
-// the newcomer is closed.
+// TestTooManyConnections checks what happens at the limit of connections, each of which holds a descriptor: a
+// new one replaces one that never sent a message, then one without a call. A connection with a call stays,
+// and if all have calls the new one is closed.
 func TestTooManyConnections(t *testing.T) {
 	f, core, addr := startFront(t, connmgr.Config{MaxPeers: 3, FirstMessageTimeout: time.Hour, EvictAfter: time.Nanosecond})
 	say := func() *standin.Caller {
@@ -224,8 +225,8 @@
 	assert.Empty(t, core.Withdrawn, "no call was lost")
 }
 
-// TestRecentlyUsedStays: a connection that was used just now makes no room, as a set-up may be on its
-// way there; the newcomer is closed.
+// TestRecentlyUsedStays checks that a connection that was just used is not closed for a new one, as a set-up
+// may be on its way there; the new one is closed.
 func TestRecentlyUsedStays(t *testing.T) {
 	_, core, addr := startFront(t, connmgr.Config{MaxPeers: 1, EvictAfter: time.Hour})
 	c := standin.NewCaller(t, addr)
@@ -237,7 +238,7 @@
 	standin.Next(t, core.Offered)
 }
 
-// TestRetryMark: parameter 19 marks a caller's retry, which the module weighs less.
+// TestRetryMark checks that parameter 19 marks a caller's retry, which the module gives less weight.
 func TestRetryMark(t *testing.T) {
 	for mark, want := range map[string]bool{"": false, "1": true} {
 		m := isup.Message{Type: isup.SetUp, Call: 3}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, "3000")
@@ -252,8 +253,8 @@
 	assert.ErrorContains(t, err, "parameter 19")
 }
 
-// TestCloseCrossing: a set-up that crosses the end of its connection is not taken, and does not
-// reset it: its caller reads what was written before, and that the connection has ended.
+// TestCloseCrossing checks that a set-up that crosses the close of its connection is not accepted and does
+// not reset the connection: its caller can read what was written before, and the end of the connection.
 func TestCloseCrossing(t *testing.T) {
 	f, core, addr := startFront(t, connmgr.Config{LingerTimeout: standin.Patience})
 	c := standin.NewCaller(t, addr)
@@ -267,15 +268,15 @@
 	setUp := []byte(encodeSetUp(t, "3000", "dest:0"))
 	for range 3 {
 		_, err = c.Write(setUp)
-		require.NoError(t, err, "ended, not reset")
+		require.NoError(t, err, "closed, not reset")
 	}
 	c.Conn.Conn.(*net.TCPConn).CloseWrite()
 	standin.Next(t, closed)
 	assert.Empty(t, core.Offered)
 }
 
-// TestSlowSetUp: a caller may take 2 s over a set-up, and what the way adds, its first or a later one; its bytes are read
-// as they come.
+// TestSlowSetUp checks that a caller may take 2 s to send a set-up, plus the network's delay, be it its first
+// message or a later one.
 func TestSlowSetUp(t *testing.T) {
 	for name, first := range map[string]bool{"the first": true, "a later one": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/isupfront/leak_test.go
+++ b/internal/front/isupfront/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain: no goroutine outlives the tests: what is closed ends with all its connections.
+// TestMain checks that no goroutine outlives the tests: closing ends all connections' goroutines.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/front/ws/frame.go
+++ b/internal/front/ws/frame.go
@@ -1,5 +1,5 @@
-// Package ws is the server's side of WebSocket, RFC 6455, on bufio. It reads and words
-// frames and messages; who owns the connection decides when they are written.
+// Package ws implements the server's side of WebSocket, RFC 6455. It reads and encodes frames and messages;
+// the owner of the connection writes them.
 package ws
 
 import (
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// Opcode is a frame's kind.
+// Opcode is a frame's type.
 type Opcode byte
 
 // The opcodes of RFC 6455, section 5.2.
@@ -34,11 +34,11 @@
 	StatusTooBig      = 1009
 )
 
-// CloseError tells why a connection ends, with the status code that says so.
+// CloseError is the reason why a connection ends, with its status code.
 type CloseError struct {
 	Code   int
 	Reason string
-	Peer   bool // the peer closed it
+	Peer   bool // the peer sent the close frame
 }
 
 func (e *CloseError) Error() string { return fmt.Sprintf("closed with %d: %s", e.Code, e.Reason) }
@@ -56,7 +56,7 @@
 
 func (o Opcode) control() bool { return o >= CloseFrame }
 
-// header is a frame's head as it stands on the wire.
+// header is a decoded frame header.
 type header struct {
 	final  bool
 	opcode Opcode
@@ -100,7 +100,8 @@
 	return h, noEOFInside(err)
 }
 
-// noEOFInside turns an end inside a frame into an error of its own.
+// noEOFInside turns io.EOF inside a frame into io.ErrUnexpectedEOF, to tell it from an end between two
+// frames.
 func noEOFInside(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -108,7 +109,7 @@
 	return err
 }
 
-// ReadFrame reads one frame of a client; a data frame may have at most most bytes.
+// ReadFrame reads one frame of a client; a data frame may have at most most bytes of payload.
 func ReadFrame(r io.Reader, maxPayload int) (Frame, error) {
 	h, err := readHeader(r)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return f, nil
 }
 
-// AppendFrame words a server's frame, which is whole and not masked.
+// AppendFrame appends a server's frame, which is unfragmented and unmasked.
 func AppendFrame(b []byte, op Opcode, payload []byte) []byte {
 	b = append(b, 0x80|byte(op))
 	switch n := len(payload); {
@@ -141,7 +142,7 @@
 	return append(b, payload...)
 }
 
-// AppendClose words a close frame.
+// AppendClose appends a close frame. A reason over 123 bytes, the limit of a control frame, is shortened.
 func AppendClose(b []byte, code int, reason string) []byte {
 	if code == StatusNoCode {
 		return AppendFrame(b, CloseFrame, nil)
@@ -153,7 +154,7 @@
 	return AppendFrame(b, CloseFrame, append(payload, reason...))
 }
 
-// parseClose reads a close frame's payload.
+// parseClose returns the error for a close frame's payload.
 func parseClose(p []byte) error {
 	e := &CloseError{Code: StatusNoCode, Peer: true}
 	if len(p) == 0 {
@@ -173,17 +174,17 @@
 	return e
 }
 
-// Reader puts frames together to messages.
+// Reader assembles frames into messages.
 type Reader struct {
 	In              *bufio.Reader
-	MaxMessageBytes int // bytes of a message
+	MaxMessageBytes int // maximum size of a message
 
-	op   Opcode // of the message under way; 0: none
+	op   Opcode // of the message being assembled; 0: none
 	data []byte
 }
 
-// Next reads one frame. It returns a whole message, or a ping or pong on its own;
-// otherwise ok is false and the next frame is due. A close frame is an error.
+// Next reads one frame. It returns a complete message, or a single ping or pong; otherwise ok is false and
+// the caller reads the next frame. A close frame is returned as a *CloseError.
 func (r *Reader) Next() (op Opcode, data []byte, ok bool, err error) {
 	f, err := ReadFrame(r.In, r.MaxMessageBytes-len(r.data))
 	switch {
--- a/internal/front/ws/upgrade.go
+++ b/internal/front/ws/upgrade.go
@@ -11,19 +11,19 @@
 	"strings"
 )
 
-// maxRequestBytes bounds the upgrade request.
+// maxRequestBytes bounds the size of the upgrade request.
 const maxRequestBytes = 16 << 10
 
-// Endpoint tells what a server upgrades.
+// Endpoint says which requests a server upgrades.
 type Endpoint struct {
 	Path        string
-	Subprotocol string   // confirmed when the client offers it
-	Origins     []string // of web pages that may connect; without the header anyone may
-	// Allow looks at the request; a non-zero status refuses it.
+	Subprotocol string   // confirmed if the client offers it
+	Origins     []string // origins of web pages that may connect; a request without the header is allowed
+	// Allow checks the request; a non-zero status refuses it.
 	Allow func(*http.Request) (status int)
 }
 
-// refusal is an upgrade that was not made.
+// refusal is the error of a refused upgrade.
 type refusal struct {
 	status int
 	reason string
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("upgrade refused with %d: %s", r.status, r.reason)
 }
 
-// Upgrade reads an upgrade request. It returns the response to write in any case, and
-// an error where the connection is to end after it; without a response it ends at once.
+// Upgrade reads an upgrade request. It always returns the response to write, and an error if the connection
+// must be closed after it.
 func (e Endpoint) Upgrade(in *bufio.Reader) (response []byte, err error) {
 	limited := bufio.NewReaderSize(&io.LimitedReader{R: byteReader{in}, N: maxRequestBytes}, 16)
 	req, err := http.ReadRequest(limited)
@@ -53,8 +53,8 @@
 	return []byte(r + "\r\n"), nil
 }
 
-// byteReader hands bytes out singly, so that the request's reader takes none of what
-// follows it: a client may send its first frames at once.
+// byteReader returns one byte per read, so that the request's buffered reader does not consume what follows
+// the request: a client may send its first frames with it.
 type byteReader struct{ in *bufio.Reader }
 
 func (b byteReader) Read(p []byte) (int, error) {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// hasToken looks for a token in a header's lists, in any letter case.
+// hasToken reports whether a header's lists contain a token, ignoring case.
 func hasToken(h http.Header, name, token string) bool {
 	for _, line := range h.Values(name) {
 		for part := range strings.SplitSeq(line, ",") {
--- a/internal/front/ws/ws_test.go
+++ b/internal/front/ws/ws_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clientFrame words a client's frame; its mask is not zero, so that it counts.
+// clientFrame encodes a client's frame, with a non-zero mask so that a missing unmasking is noticed.
 func clientFrame(first byte, payload string) string {
 	mask := []byte{1, 2, 3, 4}
 	b := []byte{first, 0x80 | byte(len(payload))}
@@ -29,7 +29,7 @@
 	long := strings.Repeat("y", 300)
 	for _, tc := range []struct {
 		name, in string
-		want     string // messages, each with its opcode in front
+		want     string // messages, each preceded by its opcode
 		code     int    // of the close error; 0: the input just ends
 	}{
 		{"text", clientFrame(0x81, "hello"), "1hello ", 0},
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestEndInsideAFrame: an end inside a frame is told from one between two.
+// TestEndInsideAFrame checks that an end inside a frame is distinguished from one between two frames.
 func TestEndInsideAFrame(t *testing.T) {
 	whole := clientFrame(0x81, strings.Repeat("z", 200))
 	for n := 1; n < len(whole); n++ {
@@ -124,13 +124,13 @@
 			assert.Contains(t, string(response), detail)
 			if assert.Equal(t, status == "101", err == nil) && err == nil {
 				rest, _ := io.ReadAll(in)
-				assert.Equal(t, "rest", string(rest), "what follows the request is left to the frames")
+				assert.Equal(t, "rest", string(rest), "what follows the request is left unread")
 			}
 		})
 	}
 }
 
-// FuzzNext: no bytes of a client may panic the reader.
+// FuzzNext checks that no input makes the reader panic.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte(clientFrame(0x01, "a") + clientFrame(0x89, "p") + clientFrame(0x80, "b")))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/isup/isup.go
+++ b/isup/isup.go
@@ -1,5 +1,5 @@
-// Package isup reads and writes the binary call signalling that callers, call agents
-// and setup servers speak. It is pure: it knows messages, not what they are for.
+// Package isup encodes and decodes the binary call signalling between callers, call agents and setup servers.
+// It deals with the format of messages only, not with their use.
 package isup
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// MaxMessageBytes is the most that may follow the length field.
+// MaxMessageBytes is the maximum value of a message's length field.
 const MaxMessageBytes = 16 << 10
 
 // Type is a message's type.
@@ -56,7 +56,7 @@
 // The causes.
 const (
 	NotPassed   Cause = 0
-	Passed      Cause = 1 // of a test: a report is asked for, or the test was passed
+	Passed      Cause = 1 // in a test: a report is requested; in its result: the test was passed
 	Normal      Cause = 16
 	UserBusy    Cause = 17
 	NoCircuit   Cause = 34
@@ -100,20 +100,19 @@
 	Values []Value
 }
 
-// What may be wrong with a message.
+// Errors for invalid messages.
 var (
 	ErrOversized = errors.New("message over 16 KiB")
 	ErrShort     = errors.New("message too short for its type and call")
 	ErrParameter = errors.New("parameter runs over the end of the message")
 )
 
-const minBodyBytes = 9 // type and call
+const minBodyBytes = 9 // type and call id
 
-// HeaderBytes is how many bytes of a message tell its length, type and call.
+// HeaderBytes is the size of a message's length, type and call id.
 const HeaderBytes = 2 + minBodyBytes
 
-// Read takes one message off r. The message owns its memory. io.EOF means that r
-// ended between two messages.
+// Read reads one message from r. The message owns its memory. io.EOF means that r ended between two messages.
 func Read(r io.Reader) (Message, error) {
 	var size [2]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
@@ -136,8 +135,8 @@
 	return parse(body)
 }
 
-// ParsePartial reads what has come of a message that stopped half-way: its type, and as much of its
-// call's text form as there is. ok is false where not even the type has come.
+// ParsePartial reads the beginning of a truncated message: its type, and as much of its call id's text form
+// as was received. ok is false if the type is missing.
 func ParsePartial(b []byte) (t Type, call string, ok bool) {
 	if len(b) < 3 {
 		return 0, "", false
@@ -158,7 +157,7 @@
 	return m, nil
 }
 
-// Get returns a parameter's value, the first where it is repeated.
+// Get returns a parameter's value, the first one if the parameter is repeated.
 func (m Message) Get(code Param) ([]byte, bool) {
 	for _, v := range m.Values {
 		if v.Code == code {
@@ -168,17 +167,17 @@
 	return nil, false
 }
 
-// Text returns a parameter's value as text, "" where it is missing.
+// Text returns a parameter's value as text, "" if it is missing.
 func (m Message) Text(code Param) string {
 	v, _ := m.Get(code)
 	return string(v)
 }
 
-// Millis reads a parameter that counts milliseconds.
+// Millis parses a parameter that is a number of milliseconds.
 func (m Message) Millis(code Param) (time.Duration, error) {
 	n, err := strconv.ParseInt(m.Text(code), 10, 32)
 	if err != nil || n < 0 {
-		return 0, fmt.Errorf("parameter %d: %q is no number of milliseconds", code, m.Text(code))
+		return 0, fmt.Errorf("parameter %d: %q is not a number of milliseconds", code, m.Text(code))
 	}
 	return time.Duration(n) * time.Millisecond, nil
 }
@@ -187,29 +186,29 @@
 func (m Message) Cause() (Cause, error) {
 	v, ok := m.Get(CauseCode)
 	if !ok || len(v) != 1 {
-		return 0, fmt.Errorf("parameter %d: %d bytes where one is due", CauseCode, len(v))
+		return 0, fmt.Errorf("parameter %d: %d bytes instead of one", CauseCode, len(v))
 	}
 	return Cause(v[0]), nil
 }
 
-// With adds a parameter.
+// With returns the message with a parameter added.
 func (m Message) With(code Param, data []byte) Message {
 	m.Values = append(m.Values[:len(m.Values):len(m.Values)], Value{code, data})
 	return m
 }
 
-// WithText adds a text parameter.
+// WithText returns the message with a text parameter added.
 func (m Message) WithText(code Param, text string) Message { return m.With(code, []byte(text)) }
 
-// WithMillis adds a parameter that counts milliseconds.
+// WithMillis returns the message with a parameter in milliseconds added.
 func (m Message) WithMillis(code Param, d time.Duration) Message {
 	return m.WithText(code, strconv.FormatInt(d.Milliseconds(), 10))
 }
 
-// WithCause adds a cause.
+// WithCause returns the message with a cause added.
 func (m Message) WithCause(c Cause) Message { return m.With(CauseCode, []byte{byte(c)}) }
 
-// Append writes the message behind b, or tells that it is too large.
+// Append appends the encoded message to b, or fails if the message is too large.
 func (m Message) Append(b []byte) ([]byte, error) {
 	n := minBodyBytes
 	for _, v := range m.Values {
@@ -229,7 +228,7 @@
 	return b, nil
 }
 
-// EachField walks over a text such as "x0:12;x1:40". A part without a colon is malformed.
+// EachField calls each for the fields of a text such as "x0:12;x1:40". A field without a colon is an error.
 func EachField(text string, each func(name, value string)) error {
 	for part := range strings.SplitSeq(text, ";") {
 		if part == "" {
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frame frames a body with its length.
+// frame puts a body's length in front of it.
 func frame(body string) string { return string([]byte{byte(len(body) >> 8), byte(len(body))}) + body }
 
 const id = "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"
@@ -46,7 +46,7 @@
 			assert.Equal(t, tc.want, got)
 			back, err := got.Append(nil)
 			require.NoError(t, err)
-			assert.Equal(t, tc.in, string(back), "written as it was read")
+			assert.Equal(t, tc.in, string(back), "encodes to the bytes that were read")
 		})
 	}
 }
@@ -90,7 +90,8 @@
 	}
 }
 
-// FuzzRead: no input may panic the reader, and what it takes it can write again.
+// FuzzRead checks that no input makes the reader panic, and that a message that was read encodes to the same
+// bytes.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(frame("\x01" + id + "\x10\x00\x05voice")))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -104,7 +105,7 @@
 	})
 }
 
-// TestParsePartial: what stopped half-way tells its type and the part of its call that has come.
+// TestParsePartial checks that a truncated message yields its type and the received part of its call id.
 func TestParsePartial(t *testing.T) {
 	whole, err := Message{Type: Release, Call: 0x1122334455667788}.WithCause(Normal).Append(nil)
 	require.NoError(t, err)
