--- a/internal/front/isupfront/isupfront_test.go
+++ b/internal/front/isupfront/isupfront_test.go
@@ -136,9 +136,9 @@
 		"negative first choice":  encodeSetUp(t, "3000", "dest:-3"),
 		"zero width":             encodeSetUp(t, "3000", "dest:0;width:0"),
 		"negative time":          encodeSetUp(t, "-5", "dest:0"),
-		"time of ten days":       encodeSetUp(t, "864000000", "dest:0"),
+		"days":                   encodeSetUp(t, "864000000", "dest:0"),
 		"id open already":        string(setUp),
-		"truncated":              "\x00\x30\x01",
+		"truncated message":      "\x00\x30\x01",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, core, addr := startFront(t, connmgr.Config{MessageTimeout: 200 * time.Millisecond})
