--- a/agent/agent.go
+++ b/agent/agent.go
@@ -454,24 +454,24 @@
 // unusable parameters with an error, or closes the connection and thereby ends other calls' set-ups.
 func (a *Agent) check(c Call) error {
 	class, ok := a.classes[c.Class]
-	bad := func(format string, args ...any) error {
+	unusable := func(format string, args ...any) error {
 		return fmt.Errorf("%w: "+format, append([]any{ErrUnusableCall}, args...)...)
 	}
 	switch {
 	case !ok:
 		return ErrUnknownClass
 	case strings.Trim(c.ID, "0") == "":
-		return bad("no id")
+		return unusable("no id")
 	case len(a.tenants) > 0 && !a.tenants[c.Tenant]:
-		return bad("unknown tenant %.40q", c.Tenant)
+		return unusable("unknown tenant %.40q", c.Tenant)
 	case c.Number == "" || len(c.Number) > maxNumberBytes:
-		return bad("number %.40q", c.Number)
+		return unusable("number %.40q", c.Number)
 	case len(c.Description) == 0:
-		return bad("no description")
+		return unusable("no description")
 	case c.Pool < -1 || c.Pool >= 0 && class.Pools != nil && !slices.Contains(class.Pools, c.Pool):
-		return bad("first choice %d", c.Pool)
+		return unusable("first choice %d", c.Pool)
 	case c.Width != 0 && class.LinesPerCall != 0 && c.Width != class.LinesPerCall:
-		return bad("width %d", c.Width)
+		return unusable("width %d", c.Width)
 	}
 	return nil
 }
@@ -559,18 +559,18 @@
 	}
 	for i, s := range list {
 		maps.DeleteFunc(a.serverByAddress, func(at string, h Server) bool { return h.ID == s.ID && at != s.Address })
-		h, held := a.serverByAddress[s.Address]
+		holder, held := a.serverByAddress[s.Address]
 		switch {
 		case s.State == policy.Gone || s.Address == "":
-			if held && h.ID == s.ID {
+			if held && holder.ID == s.ID {
 				delete(a.serverByAddress, s.Address)
 			}
-		case held && h.ID != s.ID && h.ReadyAt > s.ReadyAt:
+		case held && holder.ID != s.ID && holder.ReadyAt > s.ReadyAt:
 			list[i].State = policy.Gone
-		case held && h.ID != s.ID:
-			a.cfg.Log.Info("setup server replaced by another at the same address", "address", s.Address, "old", h.ID, "new", s.ID)
-			h.State = policy.Gone
-			list = append(list, h)
+		case held && holder.ID != s.ID:
+			a.cfg.Log.Info("setup server replaced by another at the same address", "address", s.Address, "old", holder.ID, "new", s.ID)
+			holder.State = policy.Gone
+			list = append(list, holder)
 			a.serverByAddress[s.Address] = s
 		default:
 			a.serverByAddress[s.Address] = s
@@ -581,13 +581,13 @@
 
 func (a *Agent) servers(list []Server, whole bool) {
 	list = a.dropReplaced(list, whole)
-	news := policy.ServerList{Whole: whole}
+	update := policy.ServerList{Whole: whole}
 	for _, s := range list {
-		news.Servers = append(news.Servers, s.Server)
+		update.Servers = append(update.Servers, s.Server)
 	}
 	a.observations.recordList(list, whole)
 	a.backend.Servers(list, whole) // first: the backend must know the servers to which the module sends next
-	a.act(a.controller.Handle(a.now(), news))
+	a.act(a.controller.Handle(a.now(), update))
 }
 
 // currentAttempt returns the call if n is its latest attempt and that attempt is still out.
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -40,51 +40,54 @@
 	panics     bool
 }
 
-func (s *fakeSides) note(to *[]string, format string, args ...any) {
+func (s *fakeSides) record(to *[]string, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*to = append(*to, fmt.Sprintf(format, args...))
 }
 
-func (s *fakeSides) say(format string, args ...any) { s.note(&s.toCaller, format, args...) }
+func (s *fakeSides) recordCaller(format string, args ...any) { s.record(&s.toCaller, format, args...) }
 
-func (s *fakeSides) read(from *[]string) []string {
+func (s *fakeSides) copyLog(from *[]string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), *from...)
 }
 
-func (s *fakeSides) callerLog() []string { return s.read(&s.toCaller) }
-func (s *fakeSides) serverLog() []string { return s.read(&s.toServers) }
+func (s *fakeSides) callerLog() []string { return s.copyLog(&s.toCaller) }
+func (s *fakeSides) serverLog() []string { return s.copyLog(&s.toServers) }
 
 func (s *fakeSides) Answered(c Call, d []byte) {
 	if s.panics {
 		panic("front")
 	}
-	s.say("answered %s %s", c.ID, d)
+	s.recordCaller("answered %s %s", c.ID, d)
+}
+func (s *fakeSides) Refused(c Call, d time.Duration) {
+	s.retryAfter = d
+	s.recordCaller("refused %s", c.ID)
 }
-func (s *fakeSides) Refused(c Call, d time.Duration) { s.retryAfter = d; s.say("refused %s", c.ID) }
 func (s *fakeSides) Failed(c Call, err error) {
 	var f *Failure
 	if errors.As(err, &f) {
-		s.say("failed %s %v", c.ID, f.Stage)
+		s.recordCaller("failed %s %v", c.ID, f.Stage)
 		return
 	}
-	s.say("failed %s", c.ID)
+	s.recordCaller("failed %s", c.ID)
 }
-func (s *fakeSides) Rejected(c Call, err error) { s.say("rejected %s: %v", c.ID, err) }
-func (s *fakeSides) Ended(c Call, err error)    { s.say("ended %s %v", c.ID, err == nil) }
+func (s *fakeSides) Rejected(c Call, err error) { s.recordCaller("rejected %s: %v", c.ID, err) }
+func (s *fakeSides) Ended(c Call, err error)    { s.recordCaller("ended %s %v", c.ID, err == nil) }
 
 func (s *fakeSides) Servers([]Server, bool) {}
 func (s *fakeSides) Probe(string)           {}
 func (s *fakeSides) ReleaseUnknown(id string) {
-	s.note(&s.toServers, "release %s somewhere", id)
+	s.record(&s.toServers, "release %s somewhere", id)
 }
 func (s *fakeSides) SetUp(a Attempt) {
-	s.note(&s.toServers, "set up %s.%d at %s", a.ID, a.Index, a.Server)
+	s.record(&s.toServers, "set up %s.%d at %s", a.ID, a.Index, a.Server)
 }
 func (s *fakeSides) GiveUp(server, id string, n int, why policy.Result) {
-	s.note(&s.toServers, "give up %s.%d at %s", id, n, server)
+	s.record(&s.toServers, "give up %s.%d at %s", id, n, server)
 }
 
 // withAgent runs a test in a synctest bubble, with one setup server on the list.
--- a/agent/keeper.go
+++ b/agent/keeper.go
@@ -57,24 +57,24 @@
 // claim claims the call before the module is told of it, so that nothing is sent in the meantime.
 func (a *Agent) claim(c *call) {
 	c.storing = true
-	a.cfg.Promises.Claim(c.Call, a.cfg.Settings.Limits.MaxRetryAfter, func(k StoreResult) {
-		a.post(c.ID, func() { a.claimDone(c, k) })
+	a.cfg.Promises.Claim(c.Call, a.cfg.Settings.Limits.MaxRetryAfter, func(result StoreResult) {
+		a.post(c.ID, func() { a.claimDone(c, result) })
 	})
 }
 
-func (a *Agent) claimDone(c *call, k StoreResult) {
+func (a *Agent) claimDone(c *call, result StoreResult) {
 	c.storing = false
-	c.claimed = k.OK
+	c.claimed = result.OK
 	switch {
 	case a.calls[c.ID] != c || c.resolved: // the caller has left, or got the answer that the call is overdue
 		a.closeClaim(c, Promise{Outcome: Failed})
-	case k.Existing != nil:
+	case result.Existing != nil:
 		a.resolve(c)
-		a.adopt(c, *k.Existing)
+		a.adopt(c, *result.Existing)
 		a.forgetIfDone(c)
-	case !k.OK:
+	case !result.OK:
 		a.resolve(c)
-		a.refuse(c.front, c.Call, k.RetryAfter)
+		a.refuse(c.front, c.Call, result.RetryAfter)
 		a.forgetIfDone(c)
 	default:
 		a.notifyArrival(c)
@@ -96,11 +96,11 @@
 const closeClaimTimeout = 2 * time.Second
 
 // storeAndAnswer gives a call its final answer. If the call is claimed, the answer is stored first; meanwhile
-// the call counts as unresolved and nothing is sent for it. tell passes the answer to the front.
-func (a *Agent) storeAndAnswer(c *call, p Promise, tell func()) {
+// the call counts as unresolved and nothing is sent for it. deliver passes the answer to the front.
+func (a *Agent) storeAndAnswer(c *call, p Promise, deliver func()) {
 	if !c.claimed {
 		a.resolve(c)
-		tell()
+		deliver()
 		a.forgetIfDone(c)
 		return
 	}
@@ -110,8 +110,8 @@
 	if p.Outcome != Served { // nothing is lost if it is not stored; a prompt answer matters more
 		until = time.Now().Add(refusalStoreTimeout)
 	}
-	a.cfg.Promises.Resolve(c.ID, p, until, func(k StoreResult) {
-		a.post(c.ID, func() { a.answerStored(c, p, k, tell) })
+	a.cfg.Promises.Resolve(c.ID, p, until, func(result StoreResult) {
+		a.post(c.ID, func() { a.answerStored(c, p, result, deliver) })
 	})
 }
 
@@ -120,10 +120,10 @@
 const refusalStoreTimeout = 100 * time.Millisecond
 
 // answerStored passes a final answer to the front once it is stored, or the answer that exists in its place.
-func (a *Agent) answerStored(c *call, p Promise, k StoreResult, tell func()) {
+func (a *Agent) answerStored(c *call, p Promise, result StoreResult, deliver func()) {
 	c.storing = false
 	gone := a.calls[c.ID] != c || c.resolved
-	if gone || p.Outcome == Served && !k.OK {
+	if gone || p.Outcome == Served && !result.OK {
 		a.cfg.Promises.MarkEnded(c.ID) // a served promise may be stored, but the call does not stand
 	}
 	if gone {
@@ -131,16 +131,16 @@
 	}
 	a.resolve(c)
 	switch {
-	case k.OK:
-		tell()
-	case k.Existing != nil:
-		a.adopt(c, *k.Existing)
+	case result.OK:
+		deliver()
+	case result.Existing != nil:
+		a.adopt(c, *result.Existing)
 	case p.Outcome == Served:
-		a.refuse(c.front, c.Call, k.RetryAfter)
+		a.refuse(c.front, c.Call, result.RetryAfter)
 	default:
-		tell() // not promised: docs/replication.md says what that can lose
+		deliver() // not promised: docs/replication.md says what that can lose
 	}
-	if p.Outcome == Served && !k.OK { // the call stands at the server, but its caller got another answer
+	if p.Outcome == Served && !result.OK { // the call stands at the server, but its caller got another answer
 		a.endAtServer(c)
 		return
 	}
--- a/agent/keeper_test.go
+++ b/agent/keeper_test.go
@@ -27,14 +27,14 @@
 	go done(*with)
 }
 func (k *fakeStore) Claim(c Call, _ time.Duration, done func(StoreResult)) {
-	k.note(&k.toServers, "claim %s", c.ID)
+	k.record(&k.toServers, "claim %s", c.ID)
 	k.answer(k.claim, done)
 }
 func (k *fakeStore) Resolve(id string, p Promise, _ time.Time, done func(StoreResult)) {
-	k.note(&k.toServers, "resolve %s %d", id, p.Outcome)
+	k.record(&k.toServers, "resolve %s %d", id, p.Outcome)
 	k.answer(k.resolve, done)
 }
-func (k *fakeStore) MarkEnded(id string) { k.note(&k.toServers, "over %s", id) }
+func (k *fakeStore) MarkEnded(id string) { k.record(&k.toServers, "over %s", id) }
 
 // TestPromiseStore checks the order of claims, set-ups and answers: nothing is sent before the claim is
 // stored, and no answer is given before it is stored. An answer that exists elsewhere is given in its place,
--- a/internal/front/connmgr/desk.go
+++ b/internal/front/connmgr/desk.go
@@ -94,9 +94,9 @@
 }
 
 // New returns a Manager; handler reads one connection until it ends.
-func New(cfg Config, core Core, front agent.Front, converse func(*Peer) error) *Manager {
+func New(cfg Config, core Core, front agent.Front, handler func(*Peer) error) *Manager {
 	cfg.setDefaults()
-	m := &Manager{Config: cfg, core: core, front: front, handler: converse,
+	m := &Manager{Config: cfg, core: core, front: front, handler: handler,
 		peers: map[*Peer]struct{}{}, calls: map[string]*callEntry{}}
 	m.connClosed.L = &m.mu
 	return m
@@ -160,17 +160,17 @@
 // only connect must not shut out callers with calls. A connection used within EvictAfter stays, as a message
 // may be on its way. So does one with a standing call, as it may be the only way to report the call's end.
 func (m *Manager) evictOne() bool {
-	var least *Peer
+	var candidate *Peer
 	for p := range m.peers {
-		if p.calls == 0 && p.sinceUsed() >= m.EvictAfter && (least == nil || p.evictBefore(least)) {
-			least = p
+		if p.calls == 0 && p.sinceUsed() >= m.EvictAfter && (candidate == nil || p.evictBefore(candidate)) {
+			candidate = p
 		}
 	}
-	if least == nil {
+	if candidate == nil {
 		return false
 	}
-	m.Log.Warn("caller's connection ended for a new one", "most", m.MaxPeers, "caller", least.conn.RemoteAddr())
-	m.startClosing(least, false)
+	m.Log.Warn("caller's connection ended for a new one", "most", m.MaxPeers, "caller", candidate.conn.RemoteAddr())
+	m.startClosing(candidate, false)
 	return true
 }
 
@@ -201,11 +201,11 @@
 }
 
 // CloseIdle closes the connections that are not in use, and returns how many are left.
-func (m *Manager) CloseIdle(spare Exempt) int {
+func (m *Manager) CloseIdle(exempt Exempt) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for p := range m.peers {
-		used := p.openSetUps > 0 || p.midMessage.Load() || p.sinceUsed() < spare.Used || spare.New && !p.gotMessage.Load() || spare.Standing && p.calls > 0
+		used := p.openSetUps > 0 || p.midMessage.Load() || p.sinceUsed() < exempt.Used || exempt.New && !p.gotMessage.Load() || exempt.Standing && p.calls > 0
 		if !used {
 			m.startClosing(p, true)
 		}
@@ -249,12 +249,12 @@
 	defer m.mu.Unlock()
 	p.ready.Store(true)
 	var kept []pendingEnd
-	for _, o := range m.pendingEnds {
+	for _, end := range m.pendingEnds {
 		switch {
-		case time.Since(o.since) > pendingEndLifetime:
-		case (o.host == p.host || o.host == "") && p.Send(o.message):
+		case time.Since(end.since) > pendingEndLifetime:
+		case (end.host == p.host || end.host == "") && p.Send(end.message):
 		default:
-			kept = append(kept, o)
+			kept = append(kept, end)
 		}
 	}
 	m.pendingEnds = kept
@@ -415,18 +415,18 @@
 }
 
 // deliverEnd tries the caller's connections in turn, and keeps the message for later if none accepts it.
-func (m *Manager) deliverEnd(o pendingEnd, first *Peer) {
+func (m *Manager) deliverEnd(end pendingEnd, first *Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, up := m.peers[first]; up && first.Send(o.message) {
+	if _, up := m.peers[first]; up && first.Send(end.message) {
 		return
 	}
 	for p := range m.peers {
-		if p.ready.Load() && (p.host == o.host || o.host == "") && p.Send(o.message) {
+		if p.ready.Load() && (p.host == end.host || end.host == "") && p.Send(end.message) {
 			return
 		}
 	}
 	if len(m.pendingEnds) < maxPendingEnds {
-		m.pendingEnds = append(m.pendingEnds, o)
+		m.pendingEnds = append(m.pendingEnds, end)
 	}
 }
--- a/internal/front/connmgr/peer.go
+++ b/internal/front/connmgr/peer.go
@@ -82,21 +82,21 @@
 // messages are there completely once they have begun.
 type deadlineReader struct{ p *Peer }
 
-func (a deadlineReader) Read(b []byte) (int, error) {
-	if !a.p.deadlineSet {
-		a.p.conn.SetReadDeadline(a.p.readDeadline)
-		a.p.deadlineSet = true
+func (r deadlineReader) Read(b []byte) (int, error) {
+	if !r.p.deadlineSet {
+		r.p.conn.SetReadDeadline(r.p.readDeadline)
+		r.p.deadlineSet = true
 	}
-	n, err := a.p.conn.Read(b)
+	n, err := r.p.conn.Read(b)
 	if n > 0 {
-		a.p.touch()
+		r.p.touch()
 	}
 	return n, err
 }
 
 // Send queues a message. A caller that is too slow to take its messages is disconnected.
-func (p *Peer) Send(i Message) bool {
-	if p.queue.Offer(i) {
+func (p *Peer) Send(message Message) bool {
+	if p.queue.Offer(message) {
 		return true
 	}
 	p.conn.Close()
@@ -151,7 +151,7 @@
 }
 
 // setReadDeadline sets the deadline for the bytes that are read from now on.
-func (p *Peer) setReadDeadline(due time.Time) { p.readDeadline, p.deadlineSet = due, false }
+func (p *Peer) setReadDeadline(deadline time.Time) { p.readDeadline, p.deadlineSet = deadline, false }
 
 // MessageRead records that a complete message was read.
 func (p *Peer) MessageRead() {
@@ -198,32 +198,32 @@
 func (p *Peer) writeAll() {
 	defer p.manager.closePeer(p)
 	for {
-		i, ok := p.queue.Take()
+		message, ok := p.queue.Take()
 		if !ok {
 			p.closeWrite()
 			return
 		}
 		p.conn.SetWriteDeadline(time.Now().Add(p.manager.WriteTimeout))
-		if _, err := p.conn.Write(i.Data); err != nil {
+		if _, err := p.conn.Write(message.Data); err != nil {
 			p.conn.Close()
-			p.handleUnsent(i)
+			p.handleUnsent(message)
 		}
 	}
 }
 
-func (p *Peer) handleUnsent(i Message) {
-	switch i.Kind {
+func (p *Peer) handleUnsent(message Message) {
+	switch message.Kind {
 	case KindAnswer:
-		p.manager.releaseUndelivered(i.ID)
+		p.manager.releaseUndelivered(message.ID)
 	case KindEnd:
-		p.manager.deliverEnd(pendingEnd{i, p.host, time.Now()}, nil)
+		p.manager.deliverEnd(pendingEnd{message, p.host, time.Now()}, nil)
 	}
 }
 
 // closeWrite signals the end of the stream and gives the caller the time to see it.
 func (p *Peer) closeWrite() {
-	half, ok := p.conn.(interface{ CloseWrite() error })
-	if !ok || !p.linger.Load() || half.CloseWrite() != nil {
+	halfCloser, ok := p.conn.(interface{ CloseWrite() error })
+	if !ok || !p.linger.Load() || halfCloser.CloseWrite() != nil {
 		return
 	}
 	select {
--- a/internal/front/ws/frame.go
+++ b/internal/front/ws/frame.go
@@ -89,7 +89,7 @@
 	}
 	if size > 0 {
 		if _, err = io.ReadFull(r, b[8-size:]); err != nil {
-			return h, noEOFInside(err)
+			return h, unexpectedEOF(err)
 		}
 		clear(b[:8-size])
 		if h.length = binary.BigEndian.Uint64(b[:]); h.length < minLength || h.length>>63 != 0 {
@@ -97,12 +97,12 @@
 		}
 	}
 	_, err = io.ReadFull(r, h.mask[:])
-	return h, noEOFInside(err)
+	return h, unexpectedEOF(err)
 }
 
-// noEOFInside turns io.EOF inside a frame into io.ErrUnexpectedEOF, to tell it from an end between two
+// unexpectedEOF turns io.EOF inside a frame into io.ErrUnexpectedEOF, to tell it from an end between two
 // frames.
-func noEOFInside(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -120,7 +120,7 @@
 	}
 	f := Frame{h.final, h.opcode, make([]byte, h.length)}
 	if _, err := io.ReadFull(r, f.Payload); err != nil {
-		return Frame{}, noEOFInside(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	for i := range f.Payload {
 		f.Payload[i] ^= h.mask[i%4]
