--- a/agent/agent.go
+++ b/agent/agent.go
@@ -37,7 +37,7 @@
 	Seed         uint64
 	AnswerSlack  time.Duration // a final answer still counts this long after the deadline
 	MailboxSize  int           // maximum number of queued events; 0: 8192
-	MaxOpenCalls int           // maximum number of calls without a final answer, as each holds memory; 0: 4096
+	MaxOpenCalls int           // maximum number of calls without an answer, as each holds memory; 0: 4096
 	MaxCallBytes int64         // approximate maximum memory of these and the queued calls in bytes; 0: 16 MiB
 	Log          *slog.Logger
 	// OnUnknownEnded is called when a setup server ends a call that is unknown to this agent: the call stood
@@ -305,7 +305,7 @@
 	return &Tally{}
 }
 
-// These methods pass a final answer to the front and count it.
+// answer, refuse, fail and reject pass a final answer to the front and count it.
 func (a *Agent) answer(f Front, c Call, description []byte) {
 	a.tally(c).Served.Add(1)
 	f.Answered(c, description)
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -143,10 +143,10 @@
 		a.Ended("c", 0, &Failure{Stage: Written, Result: policy.Cancelled}, policy.EmptyReport())
 	}
 	for _, tc := range []struct {
-		name  string
-		steps []func(*Agent, *fakeSides)
-		said  []string
-		asked []string // after the set-up
+		name      string
+		steps     []func(*Agent, *fakeSides)
+		toCaller  []string
+		toServers []string // after the set-up
 	}{
 		{"answer, end", []func(*Agent, *fakeSides){stands, done}, []string{"answered c d", "ended c true"}, nil},
 		{"answer, cut", []func(*Agent, *fakeSides){stands, cut}, []string{"answered c d", "ended c false"}, nil},
@@ -173,8 +173,8 @@
 					synctest.Wait()
 				}
 				sleep(4 * time.Second) // the overdue timer must not answer a second time
-				assert.Equal(t, tc.said, s.callerLog())
-				assert.Equal(t, append([]string{"set up c.0 at s"}, tc.asked...), s.serverLog())
+				assert.Equal(t, tc.toCaller, s.callerLog())
+				assert.Equal(t, append([]string{"set up c.0 at s"}, tc.toServers...), s.serverLog())
 				assert.Empty(t, a.calls, "the call is removed from the table")
 				assert.Zero(t, a.openCalls)
 			})
@@ -279,8 +279,8 @@
 			spoil(&c)
 			a.Offer(s, c)
 			synctest.Wait()
-			said := s.callerLog()
-			assert.Contains(t, said[len(said)-1], "rejected "+c.ID+": "+ErrUnusableCall.Error())
+			toCaller := s.callerLog()
+			assert.Contains(t, toCaller[len(toCaller)-1], "rejected "+c.ID+": "+ErrUnusableCall.Error())
 		}
 		assert.Empty(t, s.serverLog())
 		assert.Empty(t, a.calls)
--- a/agent/keeper_test.go
+++ b/agent/promises_test.go
@@ -52,10 +52,10 @@
 	}
 	const claim, sent = "claim 1", "set up 1.0 at s"
 	cases := []struct {
-		name           string
-		claim, resolve *StoreResult
-		do             []func(*Agent, *fakeStore)
-		said, asked    string
+		name                string
+		claim, resolve      *StoreResult
+		do                  []func(*Agent, *fakeStore)
+		toCaller, toServers string
 	}{
 		{"stored throughout", ok, ok, []func(*Agent, *fakeStore){stood, ended}, "answered 1 room,ended 1 true",
 			claim + "," + sent + ",resolve 1 0,over 1"},
@@ -96,8 +96,8 @@
 					do(a, k)
 					synctest.Wait()
 				}
-				require.Equal(t, c.said, strings.Join(k.callerLog(), ","))
-				require.Equal(t, c.asked, strings.Join(k.serverLog(), ","))
+				require.Equal(t, c.toCaller, strings.Join(k.callerLog(), ","))
+				require.Equal(t, c.toServers, strings.Join(k.serverLog(), ","))
 				if c.name != "stored throughout" {
 					require.Zero(t, a.openCalls)
 				}
--- a/internal/front/connmgr/desk.go
+++ b/internal/front/connmgr/manager.go
@@ -30,7 +30,7 @@
 	WriteTimeout        time.Duration // a caller that takes no data for this long is disconnected
 	FirstMessageTimeout time.Duration // a new connection's first message must be complete within this
 	MessageTimeout      time.Duration // a later message must be complete this long after its first byte
-	EvictAfter          time.Duration // at MaxPeers, a connection without a call, unused this long, may be closed
+	EvictAfter          time.Duration // at MaxPeers, a connection unused this long, without a call, may close
 	IdleTimeout         time.Duration // AwaitMessage returns ErrIdle after this long without a message
 	LingerTimeout       time.Duration // time for a caller to notice that its connection is closing
 	RetryAfter          time.Duration // sent when the agent is too busy; 0: callers ignore it, none is sent
