--- a/agent/agent.go
+++ b/agent/agent.go
@@ -146,6 +146,7 @@
 	count int
 }
 
+// allow counts one event and reports whether it is within the limit per second.
 func (l *rateLimiter) allow(now time.Time, limit int) bool {
 	if now.Sub(l.since) >= time.Second {
 		*l = rateLimiter{since: now}
@@ -271,8 +272,10 @@
 	a.gauges.avoided.Store(int64(avoided))
 }
 
+// post queues work for the actor even if the mailbox is full, as events about open calls must not be lost.
 func (a *Agent) post(id string, do func()) { a.mailbox.Post(event{id, do}) }
 
+// now returns the module's time.
 func (a *Agent) now() policy.Time { return a.origin + time.Since(a.start) }
 
 // Offer passes a call to the agent. It returns false if the agent is too busy; the front then refuses the
@@ -476,6 +479,7 @@
 	return nil
 }
 
+// withdraw ends a call whose caller has left, here and at its setup server.
 func (a *Agent) withdraw(f Front, id string) {
 	c := a.calls[id]
 	if c == nil {
@@ -515,6 +519,7 @@
 	}
 }
 
+// giveUp has the backend end the call's current attempt, once.
 func (a *Agent) giveUp(c *call, why policy.Result) {
 	if c.attemptOut && !c.givenUp {
 		c.givenUp = true
@@ -532,6 +537,7 @@
 	a.notifyIfIdle()
 }
 
+// notifyIfIdle calls the idle callbacks if no call waits for its final answer.
 func (a *Agent) notifyIfIdle() {
 	if a.openCalls > 0 {
 		return
@@ -558,7 +564,7 @@
 		clear(a.serverByAddress)
 	}
 	for i, s := range list {
-		maps.DeleteFunc(a.serverByAddress, func(at string, h Server) bool { return h.ID == s.ID && at != s.Address })
+		maps.DeleteFunc(a.serverByAddress, func(address string, holder Server) bool { return holder.ID == s.ID && address != s.Address })
 		holder, held := a.serverByAddress[s.Address]
 		switch {
 		case s.State == policy.Gone || s.Address == "":
@@ -579,6 +585,7 @@
 	return list
 }
 
+// servers passes an updated server list to the backend and to the module.
 func (a *Agent) servers(list []Server, whole bool) {
 	list = a.dropReplaced(list, whole)
 	update := policy.ServerList{Whole: whole}
@@ -598,6 +605,7 @@
 	return nil
 }
 
+// handleStands handles the answer to an attempt: the call stands, and its caller gets the answer.
 func (a *Agent) handleStands(id string, n int, description []byte) {
 	c := a.currentAttempt(id, n)
 	// An answer after the give-up is too late: the backend releases the call at the server.
@@ -616,6 +624,7 @@
 		Delay: a.now() - c.sentAt}))
 }
 
+// handleEnded handles the end of an attempt or of the call that stood on it.
 func (a *Agent) handleEnded(id string, n int, err *Failure, r policy.Report) {
 	c := a.currentAttempt(id, n)
 	if c == nil {
@@ -696,6 +705,7 @@
 	}
 }
 
+// send starts an attempt that the module decided on, with a timer that gives it up.
 func (a *Agent) send(d policy.Send) {
 	c := a.calls[d.ID]
 	if c == nil || c.resolved || c.attemptOut || c.storing {
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -265,7 +265,7 @@
 // stored.
 func TestUnusableCalls(t *testing.T) {
 	withAgent(t, func(a *Agent, s *fakeSides) {
-		for _, spoil := range []func(*Call){
+		for _, invalidate := range []func(*Call){
 			func(c *Call) { c.ID = "0000000000000000" },
 			func(c *Call) { c.Tenant = "nobody" },
 			func(c *Call) { c.Number = "" },
@@ -276,7 +276,7 @@
 			func(c *Call) { c.Width = 400 },
 		} {
 			c := callFor("x", 3*time.Second)
-			spoil(&c)
+			invalidate(&c)
 			a.Offer(s, c)
 			synctest.Wait()
 			toCaller := s.callerLog()
@@ -392,8 +392,8 @@
 // that ends pass again in the next second.
 func TestUnknownEndedFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := 0
-		a, err := New(Config{Settings: settings(), OnUnknownEnded: func(string, error) { told++ }})
+		reported := 0
+		a, err := New(Config{Settings: settings(), OnUnknownEnded: func(string, error) { reported++ }})
 		require.NoError(t, err)
 		go a.Run()
 		defer a.Stop()
@@ -401,11 +401,11 @@
 			a.UnknownEnded(fmt.Sprint(i), nil)
 		}
 		synctest.Wait()
-		require.Equal(t, unknownEndsPerSecond, told)
+		require.Equal(t, unknownEndsPerSecond, reported)
 		sleep(time.Second)
 		a.UnknownEnded("later", nil)
 		synctest.Wait()
-		require.Equal(t, unknownEndsPerSecond+1, told)
+		require.Equal(t, unknownEndsPerSecond+1, reported)
 	})
 }
 
--- a/agent/observations.go
+++ b/agent/observations.go
@@ -106,6 +106,7 @@
 	return zones, offered
 }
 
+// down reports whether the server counts as down.
 func (s *serverObservation) down() bool {
 	return s.failuresInRow >= downAfterFailures && time.Since(s.lastFailure) < downPeriod
 }
@@ -122,6 +123,7 @@
 	}
 }
 
+// recordAlive records whether the server was reached.
 func (s *serverObservation) recordAlive(alive bool) {
 	if alive {
 		s.failuresInRow = 0
@@ -171,7 +173,7 @@
 
 // recordAttempt records what an attempt showed of its server. A time-out counts like a refused connection, as
 // a server that is cut off sends nothing.
-func (o *Observations) recordAttempt(server string, r policy.Result, wait time.Duration, report policy.Report) {
+func (o *Observations) recordAttempt(server string, r policy.Result, delay time.Duration, report policy.Report) {
 	if o == nil {
 		return
 	}
@@ -189,7 +191,7 @@
 	case policy.Cancelled, policy.NotSent:
 	default:
 		s.recordAlive(true)
-		s.lastDelay = wait
+		s.lastDelay = delay
 	}
 	if r == policy.Full || r == policy.NoLines {
 		s.full++
@@ -211,6 +213,7 @@
 	}
 }
 
+// recordLines stores the number of lines in a report; reports without a plausible number are ignored.
 func (s *serverObservation) recordLines(r policy.Report) {
 	if r.TotalLines > 0 && r.TotalLines < 1e9 {
 		s.lines = r.TotalLines
--- a/agent/promises.go
+++ b/agent/promises.go
@@ -62,6 +62,7 @@
 	})
 }
 
+// claimDone continues a call once the result of its claim is known.
 func (a *Agent) claimDone(c *call, result StoreResult) {
 	c.storing = false
 	c.claimed = result.OK
--- a/callrpc/client.go
+++ b/callrpc/client.go
@@ -114,6 +114,7 @@
 	return true
 }
 
+// unregister removes a call, unless its id already belongs to a newer one.
 func (c *Client) unregister(s *Standing) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,6 +123,7 @@
 	}
 }
 
+// handleEnd delivers the end of a call to its Standing.
 func (c *Client) handleEnd(e End) {
 	c.mu.Lock()
 	s := c.calls[e.ID]
--- a/internal/front/callapi/callapi_test.go
+++ b/internal/front/callapi/callapi_test.go
@@ -315,11 +315,11 @@
 func TestSilent(t *testing.T) {
 	_, _, url := startFront(t, connmgr.Config{FirstMessageTimeout: 100 * time.Millisecond})
 	idle := dial(t, url)
-	for _, half := range []string{"", "GET /calls HTTP/1.1\r\n"} {
+	for _, partial := range []string{"", "GET /calls HTTP/1.1\r\n"} {
 		conn, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(url, "ws://"), "/calls"))
 		require.NoError(t, err)
 		defer conn.Close()
-		conn.Write([]byte(half))
+		conn.Write([]byte(partial))
 		conn.SetReadDeadline(time.Now().Add(standin.Patience))
 		_, err = io.ReadAll(conn)
 		require.NoError(t, err, "closed by the agent, not by the test's deadline")
--- a/internal/front/callapi/front.go
+++ b/internal/front/callapi/front.go
@@ -51,7 +51,8 @@
 	pending map[string]bool
 }
 
-func (s *session) begin(id json.RawMessage) bool {
+// addPending records a request id, and returns false if the id is in use.
+func (s *session) addPending(id json.RawMessage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending[string(id)] {
@@ -61,7 +62,8 @@
 	return true
 }
 
-func (s *session) finish(id json.RawMessage) {
+// removePending frees a request id.
+func (s *session) removePending(id json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, string(id))
@@ -81,11 +83,12 @@
 func replyWith(text func(id json.RawMessage) []byte) func(any) []byte {
 	return func(tag any) []byte {
 		t := tag.(pendingRequest)
-		t.session.finish(t.id)
+		t.session.removePending(t.id)
 		return frame(text(t.id))
 	}
 }
 
+// replyError returns the encoder of an error as the answer to a call's request.
 func replyError(e *callproto.Error) func(any) []byte {
 	return replyWith(func(id json.RawMessage) []byte { return encodeError(id, e) })
 }
@@ -193,20 +196,20 @@
 
 // handle answers one message. An invalid request gets an error, and the connection and its calls continue.
 func (f *Front) handle(s *session, text []byte) {
-	r, bad := parseRequest(text)
-	if bad == nil && len(r.ID) > 0 && !s.begin(r.ID) {
-		r.ID, bad = nil, &callproto.Error{Code: callproto.CodeInvalid, Message: fmt.Sprintf("request id %s is in use", r.ID)}
+	r, rpcErr := parseRequest(text)
+	if rpcErr == nil && len(r.ID) > 0 && !s.addPending(r.ID) {
+		r.ID, rpcErr = nil, &callproto.Error{Code: callproto.CodeInvalid, Message: fmt.Sprintf("request id %s is in use", r.ID)}
 	}
-	if bad != nil {
-		f.Log.Warn("bad request", "method", r.Method, "error", bad)
-		s.send(encodeError(r.ID, bad))
+	if rpcErr != nil {
+		f.Log.Warn("bad request", "method", r.Method, "error", rpcErr)
+		s.send(encodeError(r.ID, rpcErr))
 		return
 	}
 	result, e := f.dispatch(s, r)
 	if result == nil && e == nil || len(r.ID) == 0 { // answered later, or a notification
 		return
 	}
-	s.finish(r.ID)
+	s.removePending(r.ID)
 	if e != nil {
 		s.send(encodeError(r.ID, e))
 		return
@@ -214,6 +217,7 @@
 	s.send(encodeResult(r.ID, result))
 }
 
+// dispatch runs a request's method. Without a result and an error, the request is answered later.
 func (f *Front) dispatch(s *session, r request) (any, *callproto.Error) {
 	switch r.Method {
 	case callproto.SetUp:
@@ -224,14 +228,15 @@
 	return nil, &callproto.Error{Code: callproto.CodeNoMethod, Message: "no method " + r.Method}
 }
 
+// setUp passes a call to the core; the outcome answers the request later.
 func (f *Front) setUp(s *session, r request) *callproto.Error {
 	if len(r.ID) == 0 {
 		f.Log.Warn("set-up without a request id ignored: its outcome could not be reported")
 		return nil
 	}
-	c, bad := parseCall(r.Params, time.Now())
-	if bad != nil {
-		return bad
+	c, rpcErr := parseCall(r.Params, time.Now())
+	if rpcErr != nil {
+		return rpcErr
 	}
 	if err := f.Offer(s.peer, c, pendingRequest{s, r.ID}); err != nil {
 		return &callproto.Error{Code: callproto.CodeDuplicate, Message: err.Error(), Data: &callproto.ErrorData{ID: c.ID}}
@@ -243,8 +248,8 @@
 // request has no answer yet, it is answered too.
 func (f *Front) withdraw(r request) (any, *callproto.Error) {
 	var p callproto.Name
-	if bad := parseParams(r.Params, &p); bad != nil {
-		return nil, bad
+	if rpcErr := parseParams(r.Params, &p); rpcErr != nil {
+		return nil, rpcErr
 	}
 	known, by, tag := f.Withdraw(p.ID)
 	if !known {
--- a/internal/front/callapi/message.go
+++ b/internal/front/callapi/message.go
@@ -65,8 +65,8 @@
 // parameter.
 func parseCall(params json.RawMessage, now time.Time) (agent.Call, *callproto.Error) {
 	var p callproto.Call
-	if bad := parseParams(params, &p); bad != nil {
-		return agent.Call{}, bad
+	if rpcErr := parseParams(params, &p); rpcErr != nil {
+		return agent.Call{}, rpcErr
 	}
 	id, err := isup.ParseCallID(p.ID)
 	switch {
--- a/internal/front/connmgr/evict_test.go
+++ b/internal/front/connmgr/evict_test.go
@@ -23,9 +23,9 @@
 	}
 	m := New(Config{MaxPeers: len(kinds)}, nullCore{}, nil, nil)
 	var peers []*Peer
-	for _, is := range kinds {
+	for _, setUp := range kinds {
 		p := addPeer(t, m)
-		is(p)
+		setUp(p)
 		peers = append(peers, p)
 	}
 	for i := range peers {
@@ -41,10 +41,10 @@
 // TestBytesCountAsUse checks that received bytes count as use before the message is complete.
 func TestBytesCountAsUse(t *testing.T) {
 	m := New(Config{}, nullCore{}, nil, nil)
-	ours, theirs := net.Pipe()
-	p := newPeer(m, ours)
+	local, remote := net.Pipe()
+	p := newPeer(m, local)
 	p.lastUsed.Store(0)
-	go theirs.Write([]byte{1})
+	go remote.Write([]byte{1})
 	p.In.ReadByte()
 	assert.Less(t, p.sinceUsed(), time.Minute)
 }
@@ -54,27 +54,27 @@
 func TestClosingBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(Config{MaxPeers: 8, LingerTimeout: time.Hour}, nullCore{}, nil, func(p *Peer) error { _, err := p.In.ReadByte(); return err })
-		var theirs []net.Conn
-		enter := func() {
-			ours, their := net.Pipe()
-			theirs = append(theirs, their)
-			m.admit(ours)
+		var remoteConns []net.Conn
+		admit := func() {
+			local, remote := net.Pipe()
+			remoteConns = append(remoteConns, remote)
+			m.admit(local)
 		}
 		for range 8 {
-			enter()
+			admit()
 		}
-		stuck := 0
+		closing := 0
 		for p := range m.peers { // their callers don't read the queued message
 			p.Send(Message{Data: []byte("x")})
 			m.mu.Lock()
 			m.startClosing(p, false)
 			m.mu.Unlock()
-			if stuck++; stuck == 2 {
+			if closing++; closing == 2 {
 				break
 			}
 		}
 		entered := make(chan struct{})
-		go func() { enter(); close(entered) }()
+		go func() { admit(); close(entered) }()
 		synctest.Wait()
 		select {
 		case <-entered:
@@ -88,7 +88,7 @@
 		assert.Equal(t, 7, m.openConns)
 		m.mu.Unlock()
 		go m.Close()
-		for _, c := range theirs {
+		for _, c := range remoteConns {
 			c.Close()
 		}
 		m.Close()
--- a/internal/front/connmgr/manager.go
+++ b/internal/front/connmgr/manager.go
@@ -126,6 +126,8 @@
 // MaxPeers that are served. Each holds a descriptor until it is closed.
 const ClosingDivisor = 8
 
+// admit starts serving a connection, or closes it if there are too many. It waits while too many connections
+// are closing.
 func (m *Manager) admit(conn net.Conn) {
 	p := newPeer(m, conn)
 	m.mu.Lock()
@@ -224,14 +226,14 @@
 // maxWait.
 func (m *Manager) CloseExisting(maxWait time.Duration) {
 	m.mu.Lock()
-	var leaving []*Peer
+	var open []*Peer
 	for p := range m.peers {
-		leaving = append(leaving, p)
+		open = append(open, p)
 	}
 	m.mu.Unlock()
-	for last := time.Now().Add(maxWait); len(leaving) > 0; time.Sleep(20 * time.Millisecond) {
-		late := time.Now().After(last)
-		leaving = slices.DeleteFunc(leaving, func(p *Peer) bool {
+	for deadline := time.Now().Add(maxWait); len(open) > 0; time.Sleep(20 * time.Millisecond) {
+		late := time.Now().After(deadline)
+		open = slices.DeleteFunc(open, func(p *Peer) bool {
 			m.mu.Lock() // no set-up may be added between the check and the close
 			defer m.mu.Unlock()
 			if !late && (p.openSetUps > 0 || p.midMessage.Load()) {
@@ -248,16 +250,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.ready.Store(true)
-	var kept []pendingEnd
+	var remaining []pendingEnd
 	for _, end := range m.pendingEnds {
 		switch {
 		case time.Since(end.since) > pendingEndLifetime:
 		case (end.host == p.host || end.host == "") && p.Send(end.message):
 		default:
-			kept = append(kept, end)
+			remaining = append(remaining, end)
 		}
 	}
-	m.pendingEnds = kept
+	m.pendingEnds = remaining
 }
 
 // Close closes all connections once their queued messages are written. A set-up that is read from now on is
@@ -277,9 +279,9 @@
 // the core is too busy to accept the call, the front refuses it.
 func (m *Manager) Offer(p *Peer, c agent.Call, tag any) error {
 	m.mu.Lock()
-	_, up := m.peers[p]
-	twice := m.calls[c.ID] != nil
-	if up && !twice {
+	_, registered := m.peers[p]
+	duplicate := m.calls[c.ID] != nil
+	if registered && !duplicate {
 		entry := &callEntry{peer: p, tag: tag}
 		c.CallerContext, entry.cancelCaller = context.WithCancel(context.Background())
 		m.calls[c.ID] = entry
@@ -288,9 +290,9 @@
 	}
 	m.mu.Unlock()
 	switch {
-	case !up:
+	case !registered:
 		return errClosing
-	case twice:
+	case duplicate:
 		return agent.ErrDuplicate
 	}
 	if !m.core.Offer(m.front, c) {
@@ -313,6 +315,7 @@
 	return true, entry.peer, entry.tag
 }
 
+// removeCall removes a call from the table and returns its entry; nil if it is unknown.
 func (m *Manager) removeCall(id string) *callEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -346,15 +349,15 @@
 func (m *Manager) removePeer(p *Peer) {
 	m.mu.Lock()
 	delete(m.peers, p)
-	var gone []string
+	var unanswered []string
 	for id, entry := range m.calls {
 		if entry.peer == p && !entry.answered {
 			m.removeLocked(id, entry)
-			gone = append(gone, id)
+			unanswered = append(unanswered, id)
 		}
 	}
 	m.mu.Unlock()
-	for _, id := range gone {
+	for _, id := range unanswered {
 		m.core.Withdraw(m.front, id)
 	}
 }
@@ -418,7 +421,7 @@
 func (m *Manager) deliverEnd(end pendingEnd, first *Peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, up := m.peers[first]; up && first.Send(end.message) {
+	if _, registered := m.peers[first]; registered && first.Send(end.message) {
 		return
 	}
 	for p := range m.peers {
--- a/internal/front/connmgr/manager_test.go
+++ b/internal/front/connmgr/manager_test.go
@@ -21,9 +21,9 @@
 // addPeer registers a connection without a reader or a writer, so that only the manager's decisions affect
 // it.
 func addPeer(t *testing.T, m *Manager) *Peer {
-	ours, theirs := net.Pipe()
-	t.Cleanup(func() { ours.Close(); theirs.Close() })
-	p := newPeer(m, ours)
+	local, remote := net.Pipe()
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	p := newPeer(m, local)
 	m.peers[p] = struct{}{}
 	return p
 }
@@ -34,10 +34,10 @@
 // elsewhere.
 func TestCloseIdle(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		spare Exempt
-		is    func(*Peer)
-		kept  bool
+		name   string
+		exempt Exempt
+		is     func(*Peer)
+		open   bool
 	}{
 		{"unused for long", Exempt{Used: time.Minute, New: true, Standing: true}, func(p *Peer) { p.gotMessage.Store(true); p.lastUsed.Store(0) }, false},
 		{"a set-up is open", Exempt{}, func(p *Peer) { p.openSetUps, p.calls = 1, 1 }, true},
@@ -51,8 +51,8 @@
 		m := New(Config{}, nullCore{}, nil, nil)
 		p := addPeer(t, m)
 		tc.is(p)
-		assert.Equal(t, tc.kept, m.CloseIdle(tc.spare) == 1, tc.name)
-		if err := m.Offer(p, agent.Call{ID: "1"}, nil); tc.kept {
+		assert.Equal(t, tc.open, m.CloseIdle(tc.exempt) == 1, tc.name)
+		if err := m.Offer(p, agent.Call{ID: "1"}, nil); tc.open {
 			assert.NoError(t, err, tc.name)
 		} else {
 			assert.ErrorIs(t, err, errClosing, tc.name)
--- a/internal/front/connmgr/peer.go
+++ b/internal/front/connmgr/peer.go
@@ -160,6 +160,7 @@
 	p.touch()
 }
 
+// touch records that the connection was used now.
 func (p *Peer) touch() { p.lastUsed.Store(time.Now().UnixNano()) }
 
 // sinceUsed returns how long the connection has been unused.
@@ -170,6 +171,7 @@
 // Busy reports whether a set-up is open on the connection.
 func (p *Peer) Busy() bool { return p.manager.busy(p) }
 
+// readAll runs the handler until the connection ends, then removes the connection.
 func (p *Peer) readAll() {
 	defer close(p.readDone)
 	err := p.runHandler()
@@ -195,6 +197,7 @@
 	return p.manager.handler(p)
 }
 
+// writeAll writes the queued messages until the queue is closed, then closes the connection.
 func (p *Peer) writeAll() {
 	defer p.manager.closePeer(p)
 	for {
@@ -211,6 +214,8 @@
 	}
 }
 
+// handleUnsent releases the call of an answer that was not written, and sends the end of a call on another
+// connection.
 func (p *Peer) handleUnsent(message Message) {
 	switch message.Kind {
 	case KindAnswer:
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -36,11 +36,13 @@
 	return b
 }
 
+// newMessage returns a message about a call.
 func newMessage(t isup.Type, id string) isup.Message {
 	n, _ := isup.ParseCallID(id) // valid: the id was parsed by this front
 	return isup.Message{Type: t, Call: n}
 }
 
+// encoder returns a function that encodes the message, as the Manager calls it.
 func (f *Front) encoder(m isup.Message) func(any) []byte {
 	return func(any) []byte { return f.encode(m) }
 }
@@ -83,6 +85,7 @@
 	f.Manager.SendUnknownEnd(id, f.endMessage(id, err))
 }
 
+// endMessage encodes the release that reports the end of a call that stood.
 func (f *Front) endMessage(id string, err error) []byte {
 	cause := isup.Normal
 	if err != nil {
@@ -116,6 +119,7 @@
 	}
 }
 
+// handle processes one message; an error ends the connection.
 func (f *Front) handle(p *connmgr.Peer, m isup.Message) error {
 	switch m.Type {
 	case isup.SetUp:
@@ -167,7 +171,7 @@
 		return c, fmt.Errorf("parameter %d: %.40q is not 1", isup.Retry, mark)
 	}
 	c.Description, _ = m.Get(isup.Description)
-	var bad error
+	var invalid error
 	err = isup.EachField(m.Text(isup.Figures), func(name, value string) {
 		target, minimum := &c.Pool, 0
 		switch name {
@@ -178,10 +182,10 @@
 			return
 		}
 		if x, err := strconv.Atoi(value); err != nil || x < minimum {
-			bad = errors.Join(bad, fmt.Errorf("figure %s: %.40q", name, value))
+			invalid = errors.Join(invalid, fmt.Errorf("figure %s: %.40q", name, value))
 		} else {
 			*target = x
 		}
 	})
-	return c, errors.Join(err, bad)
+	return c, errors.Join(err, invalid)
 }
--- a/internal/front/isupfront/isupfront_test.go
+++ b/internal/front/isupfront/isupfront_test.go
@@ -123,7 +123,7 @@
 func TestFaults(t *testing.T) {
 	setUp, err := isup.Message{Type: isup.SetUp, Call: 1}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, "3000").Append(nil)
 	require.NoError(t, err)
-	for name, bad := range map[string]string{
+	for name, input := range map[string]string{
 		"oversized":              "\xff\xff",
 		"too short":              "\x00\x01\x01",
 		"parameter over end":     "\x00\x0c\x01\x00\x00\x00\x00\x00\x00\x00\x02\x10\x00\x09",
@@ -146,7 +146,7 @@
 			good.SetUp(5, "voice", 3*time.Second, 2)
 			standin.Next(t, core.Offered)
 			c := standin.NewCaller(t, addr)
-			_, err := c.Write(append(setUp[:len(setUp):len(setUp)], bad...))
+			_, err := c.Write(append(setUp[:len(setUp):len(setUp)], input...))
 			require.NoError(t, err)
 			standin.Next(t, core.Offered)
 			_, err = c.Next()
@@ -179,9 +179,9 @@
 	asked := standin.NewCaller(t, addr)
 	asked.SetUp(1, "voice", 3*time.Second, 2)
 	standin.Next(t, core.Offered)
-	for _, half := range []string{"", "\x00\x30\x01"} {
+	for _, partial := range []string{"", "\x00\x30\x01"} {
 		c := standin.NewCaller(t, addr)
-		c.Write([]byte(half))
+		c.Write([]byte(partial))
 		_, err := c.Next()
 		require.Error(t, err)
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "closed by the agent, not by the test's deadline")
@@ -195,7 +195,7 @@
 // and if all have calls the new one is closed.
 func TestTooManyConnections(t *testing.T) {
 	f, core, addr := startFront(t, connmgr.Config{MaxPeers: 3, FirstMessageTimeout: time.Hour, EvictAfter: time.Nanosecond})
-	say := func() *standin.Caller {
+	connect := func() *standin.Caller {
 		c := standin.NewCaller(t, addr)
 		c.Send(isup.Message{Type: isup.Test, Call: 9}.WithCause(0))
 		c.Await(t, isup.TestResult, 9)
@@ -207,15 +207,15 @@
 		require.Error(t, err)
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	}
-	standing, idle := say(), say()
+	standing, idle := connect(), connect()
 	standing.SetUp(1, "voice", 3*time.Second, 2)
 	call := standin.Next(t, core.Offered)
 	f.Answered(call, nil)
 	standing.Await(t, isup.Answer, 1)
 	silent := standin.NewCaller(t, addr)
-	for i, least := range []*standin.Caller{silent, idle} {
-		c := say()
-		ended(least)
+	for i, replaced := range []*standin.Caller{silent, idle} {
+		c := connect()
+		ended(replaced)
 		c.SetUp(isup.CallID(2+i), "voice", 3*time.Second, 2)
 		standin.Next(t, core.Offered)
 	}
--- a/internal/front/ws/frame.go
+++ b/internal/front/ws/frame.go
@@ -64,6 +64,7 @@
 	mask   [4]byte
 }
 
+// readHeader reads and checks the header of a client's frame.
 func readHeader(r io.Reader) (h header, err error) {
 	var b [8]byte
 	if _, err = io.ReadFull(r, b[:2]); err != nil {
--- a/internal/front/ws/upgrade.go
+++ b/internal/front/ws/upgrade.go
@@ -69,6 +69,7 @@
 	return 1, nil
 }
 
+// check returns why a request is not upgraded; nil if it is.
 func (e Endpoint) check(req *http.Request) *refusal {
 	key, err := base64.StdEncoding.DecodeString(req.Header.Get("Sec-Websocket-Key"))
 	origin := req.Header.Get("Origin")
@@ -108,6 +109,7 @@
 	return false
 }
 
+// respond returns an HTTP response without a body that closes the connection.
 func respond(status int) []byte {
 	extra := ""
 	switch status {
--- a/internal/front/ws/ws_test.go
+++ b/internal/front/ws/ws_test.go
@@ -83,9 +83,9 @@
 
 // TestEndInsideAFrame checks that an end inside a frame is distinguished from one between two frames.
 func TestEndInsideAFrame(t *testing.T) {
-	whole := clientFrame(0x81, strings.Repeat("z", 200))
-	for n := 1; n < len(whole); n++ {
-		_, err := ReadFrame(strings.NewReader(whole[:n]), 1000)
+	complete := clientFrame(0x81, strings.Repeat("z", 200))
+	for n := 1; n < len(complete); n++ {
+		_, err := ReadFrame(strings.NewReader(complete[:n]), 1000)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "%d bytes", n)
 	}
 }
--- a/isup/isup.go
+++ b/isup/isup.go
@@ -144,6 +144,7 @@
 	return Type(b[2]), hex.EncodeToString(b[3:min(len(b), HeaderBytes)]), true
 }
 
+// parse decodes a message without its length field.
 func parse(body []byte) (Message, error) {
 	m := Message{Type: Type(body[0]), Call: CallID(binary.BigEndian.Uint64(body[1:]))}
 	for rest := body[minBodyBytes:]; len(rest) > 0; {
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -60,9 +60,9 @@
 	d, err := m.Millis(RetryAfter)
 	require.NoError(t, err)
 	assert.Equal(t, 1500*time.Millisecond, d)
-	for _, bad := range []string{"", "-1", "soon", "99999999999"} {
-		_, err := Message{}.WithText(TimeLeft, bad).Millis(TimeLeft)
-		assert.Error(t, err, "%q", bad)
+	for _, invalid := range []string{"", "-1", "soon", "99999999999"} {
+		_, err := Message{}.WithText(TimeLeft, invalid).Millis(TimeLeft)
+		assert.Error(t, err, "%q", invalid)
 	}
 	_, err = Message{}.With(CauseCode, []byte{1, 2}).Cause()
 	assert.Error(t, err, "a cause is one byte")
@@ -107,10 +107,10 @@
 
 // TestParsePartial checks that a truncated message yields its type and the received part of its call id.
 func TestParsePartial(t *testing.T) {
-	whole, err := Message{Type: Release, Call: 0x1122334455667788}.WithCause(Normal).Append(nil)
+	complete, err := Message{Type: Release, Call: 0x1122334455667788}.WithCause(Normal).Append(nil)
 	require.NoError(t, err)
 	for n, want := range map[int]string{0: "", 2: "", 3: "", 4: "11", 10: "11223344556677", 11: "1122334455667788", 15: "1122334455667788"} {
-		kind, call, ok := ParsePartial(whole[:n])
+		kind, call, ok := ParsePartial(complete[:n])
 		assert.Equal(t, n > 2, ok, n)
 		assert.Equal(t, want, call, n)
 		if ok {
