--- /dev/null
+++ b/internal/front/connmgr/manager.go
@@ -0,0 +1,435 @@
+// Package connmgr manages callers' connections for the fronts, independent of the wire protocol: a reading
+// goroutine and a writing actor per connection, and the table of callers' calls. A call that stands is not
+// bound to the connection that set it up.
+package connmgr
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"woodrouter/agent"
+)
+
+// Core is what a front needs of the agent; *agent.Agent implements it.
+type Core interface {
+	Offer(f agent.Front, c agent.Call) bool
+	Withdraw(f agent.Front, id string)
+	ReleaseUnknown(id string)
+}
+
+// Config configures a Manager; zero values get defaults.
+type Config struct {
+	MaxPeers            int           // maximum number of connections
+	MaxQueued           int           // maximum number of messages queued for one slow caller
+	WriteTimeout        time.Duration // a caller that takes no data for this long is disconnected
+	FirstMessageTimeout time.Duration // a new connection's first message must be complete within this
+	MessageTimeout      time.Duration // a later message must be complete this long after its first byte
+	EvictAfter          time.Duration // at MaxPeers, a connection unused this long, without a call, may close
+	IdleTimeout         time.Duration // AwaitMessage returns ErrIdle after this long without a message
+	LingerTimeout       time.Duration // time for a caller to notice that its connection is closing
+	RetryAfter          time.Duration // sent when the agent is too busy; 0: callers ignore it, none is sent
+	CloseMessage        []byte        // sent last on a connection that the manager closes
+	Log                 *slog.Logger
+}
+
+func (c *Config) setDefaults() {
+	c.MaxPeers = cmp.Or(c.MaxPeers, 512)
+	c.MaxQueued = cmp.Or(c.MaxQueued, 1024)
+	c.WriteTimeout = cmp.Or(c.WriteTimeout, 500*time.Millisecond)
+	// By the platform's pages callers may take 2 s to send a set-up, and a connection without a complete
+	// message must be closed within 3 s.
+	c.FirstMessageTimeout = cmp.Or(c.FirstMessageTimeout, 2500*time.Millisecond)
+	c.MessageTimeout = cmp.Or(c.MessageTimeout, 2500*time.Millisecond)
+	c.EvictAfter = cmp.Or(c.EvictAfter, 250*time.Millisecond)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, 2*time.Minute)
+	// by the protocol, a set-up may cross the close for 50 ms
+	c.LingerTimeout = cmp.Or(c.LingerTimeout, 100*time.Millisecond)
+	if c.Log == nil {
+		c.Log = slog.New(slog.DiscardHandler)
+	}
+}
+
+// callEntry is the caller's side of a call that is open or stands.
+type callEntry struct {
+	peer         *Peer
+	tag          any // for the front's use
+	answered     bool
+	cancelCaller context.CancelFunc // ends the call's CallerContext
+}
+
+// pendingEnd is the end of a call that could not be sent on any connection of its caller.
+type pendingEnd struct {
+	message Message
+	host    string // "": any host
+	since   time.Time
+}
+
+// Bounds on how long, and how many, ends are kept that could not be sent.
+const (
+	pendingEndLifetime = 10 * time.Second
+	maxPendingEnds     = 4096
+)
+
+// Manager serves the callers of one front.
+type Manager struct {
+	Config
+	core    Core
+	front   agent.Front
+	handler func(*Peer) error
+
+	mu          sync.Mutex
+	peers       map[*Peer]struct{}
+	openConns   int       // connections not closed yet, including those that are closing
+	connClosed  sync.Cond // signals that a connection was closed
+	calls       map[string]*callEntry
+	pendingEnds []pendingEnd
+	closed      bool
+	goroutines  sync.WaitGroup
+}
+
+// New returns a Manager; handler reads one connection until it ends.
+func New(cfg Config, core Core, front agent.Front, handler func(*Peer) error) *Manager {
+	cfg.setDefaults()
+	m := &Manager{Config: cfg, core: core, front: front, handler: handler,
+		peers: map[*Peer]struct{}{}, calls: map[string]*callEntry{}}
+	m.connClosed.L = &m.mu
+	return m
+}
+
+// errClosing reports a call on a connection that is being closed. The call is not passed on, so its caller
+// may treat the end of the connection as the end of the call.
+var errClosing = errors.New("the connection is being ended")
+
+// Serve accepts callers until the listener is closed.
+func (m *Manager) Serve(ln net.Listener) error {
+	for {
+		conn, err := ln.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return nil
+		}
+		if err != nil { // out of descriptors, or the caller left the accept queue; others may wait
+			m.Log.Warn("accept failed", "error", err)
+			time.Sleep(10 * time.Millisecond)
+			continue
+		}
+		m.admit(conn)
+	}
+}
+
+// ClosingDivisor bounds the connections that are closing: MaxPeers/ClosingDivisor may be, in addition to the
+// MaxPeers that are served. Each holds a descriptor until it is closed.
+const ClosingDivisor = 8
+
+// admit starts serving a connection, or closes it if there are too many. It waits while too many connections
+// are closing.
+func (m *Manager) admit(conn net.Conn) {
+	p := newPeer(m, conn)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	// each is closed soon, at the latest after WriteTimeout
+	for !m.closed && m.openConns-len(m.peers) > m.MaxPeers/ClosingDivisor {
+		m.connClosed.Wait()
+	}
+	if m.closed || len(m.peers) >= m.MaxPeers && !m.evictOne() {
+		m.Log.Warn("caller turned away: too many connections", "most", m.MaxPeers)
+		conn.Close()
+		return
+	}
+	p.idleTimeout = m.IdleTimeout
+	m.peers[p] = struct{}{}
+	m.openConns++
+	m.goroutines.Go(p.readAll)
+	m.goroutines.Go(p.writeAll)
+}
+
+// closePeer closes a connection and reduces the count of open ones.
+func (m *Manager) closePeer(p *Peer) {
+	p.conn.Close()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.openConns--
+	m.connClosed.Broadcast()
+}
+
+// evictOne closes one connection without a call, and reports whether there was one. Connections that never
+// sent a complete message go first, then the one unused for the longest time: hundreds of connections that
+// only connect must not shut out callers with calls. A connection used within EvictAfter stays, as a message
+// may be on its way. So does one with a standing call, as it may be the only way to report the call's end.
+func (m *Manager) evictOne() bool {
+	var candidate *Peer
+	for p := range m.peers {
+		if p.calls == 0 && p.sinceUsed() >= m.EvictAfter && (candidate == nil || p.evictBefore(candidate)) {
+			candidate = p
+		}
+	}
+	if candidate == nil {
+		return false
+	}
+	m.Log.Warn("caller's connection ended for a new one", "most", m.MaxPeers, "caller", candidate.conn.RemoteAddr())
+	m.startClosing(candidate, false)
+	return true
+}
+
+// startClosing closes a connection on which no set-up is open. A set-up that crosses the close is not
+// accepted, so its caller may send it again elsewhere.
+func (m *Manager) startClosing(p *Peer, linger bool) {
+	delete(m.peers, p)
+	p.startClosing(linger)
+}
+
+// BusyPeers returns how many connections have an unanswered set-up, or a partly received message.
+func (m *Manager) BusyPeers() (n int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for p := range m.peers {
+		if p.openSetUps > 0 || p.midMessage.Load() {
+			n++
+		}
+	}
+	return n
+}
+
+// Exempt says which connections without an open set-up CloseIdle leaves open.
+type Exempt struct {
+	Used     time.Duration // those used within this period
+	New      bool          // those whose first message may be on its way
+	Standing bool          // those with a standing call, whose end is reported there
+}
+
+// CloseIdle closes the connections that are not in use, and returns how many are left.
+func (m *Manager) CloseIdle(exempt Exempt) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for p := range m.peers {
+		used := p.openSetUps > 0 || p.midMessage.Load() || p.sinceUsed() < exempt.Used || exempt.New && !p.gotMessage.Load() || exempt.Standing && p.calls > 0
+		if !used {
+			m.startClosing(p, true)
+		}
+	}
+	return len(m.peers)
+}
+
+// SetLimits sets the limits for connections that are accepted from now on.
+func (m *Manager) SetLimits(maxPeers int, idle time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.MaxPeers, m.IdleTimeout = maxPeers, idle
+}
+
+// CloseExisting closes the present connections, each once no set-up is open on it, at the latest after
+// maxWait.
+func (m *Manager) CloseExisting(maxWait time.Duration) {
+	m.mu.Lock()
+	var open []*Peer
+	for p := range m.peers {
+		open = append(open, p)
+	}
+	m.mu.Unlock()
+	for deadline := time.Now().Add(maxWait); len(open) > 0; time.Sleep(20 * time.Millisecond) {
+		late := time.Now().After(deadline)
+		open = slices.DeleteFunc(open, func(p *Peer) bool {
+			m.mu.Lock() // no set-up may be added between the check and the close
+			defer m.mu.Unlock()
+			if !late && (p.openSetUps > 0 || p.midMessage.Load()) {
+				return false
+			}
+			m.startClosing(p, true)
+			return true
+		})
+	}
+}
+
+// MarkReady records that a connection can receive messages, and sends it the pending ends for its host.
+func (m *Manager) MarkReady(p *Peer) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p.ready.Store(true)
+	var remaining []pendingEnd
+	for _, end := range m.pendingEnds {
+		switch {
+		case time.Since(end.since) > pendingEndLifetime:
+		case (end.host == p.host || end.host == "") && p.Send(end.message):
+		default:
+			remaining = append(remaining, end)
+		}
+	}
+	m.pendingEnds = remaining
+}
+
+// Close closes all connections once their queued messages are written. A set-up that is read from now on is
+// not accepted, as its caller could not be answered.
+func (m *Manager) Close() {
+	m.mu.Lock()
+	m.closed = true
+	m.connClosed.Broadcast()
+	for p := range m.peers {
+		m.startClosing(p, true)
+	}
+	m.mu.Unlock()
+	m.goroutines.Wait()
+}
+
+// Offer records a call and passes it to the core. It fails if a call with this id is open at this front. If
+// the core is too busy to accept the call, the front refuses it.
+func (m *Manager) Offer(p *Peer, c agent.Call, tag any) error {
+	m.mu.Lock()
+	_, registered := m.peers[p]
+	duplicate := m.calls[c.ID] != nil
+	if registered && !duplicate {
+		entry := &callEntry{peer: p, tag: tag}
+		c.CallerContext, entry.cancelCaller = context.WithCancel(context.Background())
+		m.calls[c.ID] = entry
+		p.openSetUps++
+		p.calls++
+	}
+	m.mu.Unlock()
+	switch {
+	case !registered:
+		return errClosing
+	case duplicate:
+		return agent.ErrDuplicate
+	}
+	if !m.core.Offer(m.front, c) {
+		m.front.Refused(c, m.RetryAfter)
+	}
+	return nil
+}
+
+// Withdraw ends a call for its caller, on any connection. It reports whether the call was known, and the
+// front's tag and the connection if the call had no answer yet.
+func (m *Manager) Withdraw(id string) (known bool, by *Peer, tag any) {
+	entry := m.removeCall(id)
+	if entry == nil {
+		return false, nil, nil
+	}
+	m.core.Withdraw(m.front, id)
+	if entry.answered {
+		return true, nil, nil
+	}
+	return true, entry.peer, entry.tag
+}
+
+// removeCall removes a call from the table and returns its entry; nil if it is unknown.
+func (m *Manager) removeCall(id string) *callEntry {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	entry := m.calls[id]
+	if entry != nil {
+		m.removeLocked(id, entry)
+	}
+	return entry
+}
+
+// removeLocked removes a call from the table and from its connection's counts. The caller holds m.mu.
+func (m *Manager) removeLocked(id string, entry *callEntry) {
+	delete(m.calls, id)
+	entry.cancelCaller()
+	entry.peer.calls--
+	if !entry.answered {
+		entry.peer.openSetUps--
+		entry.peer.touch()
+	}
+}
+
+// busy reports whether a connection waits for a final answer.
+func (m *Manager) busy(p *Peer) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return p.openSetUps > 0
+}
+
+// removePeer removes a connection. Its unanswered calls are withdrawn, as they have no caller any more. Its
+// standing calls continue.
+func (m *Manager) removePeer(p *Peer) {
+	m.mu.Lock()
+	delete(m.peers, p)
+	var unanswered []string
+	for id, entry := range m.calls {
+		if entry.peer == p && !entry.answered {
+			m.removeLocked(id, entry)
+			unanswered = append(unanswered, id)
+		}
+	}
+	m.mu.Unlock()
+	for _, id := range unanswered {
+		m.core.Withdraw(m.front, id)
+	}
+}
+
+// SendAnswer sends an answer. If the caller can't be reached, the call is withdrawn.
+func (m *Manager) SendAnswer(id string, data func(tag any) []byte) {
+	m.mu.Lock()
+	entry := m.calls[id]
+	if entry != nil && !entry.answered {
+		entry.answered = true
+		entry.peer.openSetUps--
+		entry.peer.touch()
+	}
+	m.mu.Unlock()
+	if entry == nil { // the caller has just left; its withdrawal is on the way
+		return
+	}
+	if !entry.peer.Send(Message{ID: id, Kind: KindAnswer, Data: data(entry.tag)}) {
+		m.releaseUndelivered(id)
+	}
+}
+
+// releaseUndelivered ends a call whose answer could not be written.
+func (m *Manager) releaseUndelivered(id string) {
+	if m.removeCall(id) != nil {
+		m.Log.Info("answer not delivered: call released", "call", id)
+		m.core.Withdraw(m.front, id)
+	}
+}
+
+// SendFinal sends the final message of a call that did not come to stand.
+func (m *Manager) SendFinal(id string, data func(tag any) []byte) {
+	if entry := m.removeCall(id); entry != nil {
+		entry.peer.Send(Message{ID: id, Data: data(entry.tag)})
+	}
+}
+
+// SendEnd reports the end of a call that stood, on the call's connection or another one of its caller.
+func (m *Manager) SendEnd(id string, data []byte) {
+	if entry := m.removeCall(id); entry != nil {
+		m.deliverEnd(pendingEnd{Message{ID: id, Kind: KindEnd, Data: data}, entry.peer.host, time.Now()}, entry.peer)
+	}
+}
+
+// SendUnknownEnd reports the end of a call that this manager does not know, to any caller.
+func (m *Manager) SendUnknownEnd(id string, data []byte) {
+	m.deliverEnd(pendingEnd{Message{ID: id, Kind: KindEnd, Data: data}, "", time.Now()}, nil)
+}
+
+// ReleaseUnknown passes on the release of a call that this manager does not know.
+func (m *Manager) ReleaseUnknown(id string) { m.core.ReleaseUnknown(id) }
+
+// FailCall closes the connection of a call, if the call is known.
+func (m *Manager) FailCall(id string, err error) {
+	if entry := m.removeCall(id); entry != nil {
+		entry.peer.Fail(err)
+	}
+}
+
+// deliverEnd tries the caller's connections in turn, and keeps the message for later if none accepts it.
+func (m *Manager) deliverEnd(end pendingEnd, first *Peer) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if _, registered := m.peers[first]; registered && first.Send(end.message) {
+		return
+	}
+	for p := range m.peers {
+		if p.ready.Load() && (p.host == end.host || end.host == "") && p.Send(end.message) {
+			return
+		}
+	}
+	if len(m.pendingEnds) < maxPendingEnds {
+		m.pendingEnds = append(m.pendingEnds, end)
+	}
+}
--- a/internal/front/ws/frame.go
+++ b/internal/front/ws/frame.go
@@ -1,5 +1,5 @@
-// Package ws is the server's side of WebSocket, RFC 6455, on bufio. It reads and words
-// frames and messages; who owns the connection decides when they are written.
+// Package ws implements the server's side of WebSocket, RFC 6455. It reads and encodes frames and messages;
+// the owner of the connection writes them.
 package ws
 
 import (
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// Opcode is a frame's kind.
+// Opcode is a frame's type.
 type Opcode byte
 
 // The opcodes of RFC 6455, section 5.2.
@@ -34,11 +34,11 @@
 	StatusTooBig      = 1009
 )
 
-// CloseError tells why a connection ends, with the status code that says so.
+// CloseError is the reason why a connection ends, with its status code.
 type CloseError struct {
 	Code   int
 	Reason string
-	Peer   bool // the peer closed it
+	Peer   bool // the peer sent the close frame
 }
 
 func (e *CloseError) Error() string { return fmt.Sprintf("closed with %d: %s", e.Code, e.Reason) }
@@ -56,7 +56,7 @@
 
 func (o Opcode) control() bool { return o >= CloseFrame }
 
-// header is a frame's head as it stands on the wire.
+// header is a decoded frame header.
 type header struct {
 	final  bool
 	opcode Opcode
@@ -64,6 +64,7 @@
 	mask   [4]byte
 }
 
+// readHeader reads and checks the header of a client's frame.
 func readHeader(r io.Reader) (h header, err error) {
 	var b [8]byte
 	if _, err = io.ReadFull(r, b[:2]); err != nil {
@@ -89,7 +90,7 @@
 	}
 	if size > 0 {
 		if _, err = io.ReadFull(r, b[8-size:]); err != nil {
-			return h, noEOFInside(err)
+			return h, unexpectedEOF(err)
 		}
 		clear(b[:8-size])
 		if h.length = binary.BigEndian.Uint64(b[:]); h.length < minLength || h.length>>63 != 0 {
@@ -97,18 +98,19 @@
 		}
 	}
 	_, err = io.ReadFull(r, h.mask[:])
-	return h, noEOFInside(err)
+	return h, unexpectedEOF(err)
 }
 
-// noEOFInside turns an end inside a frame into an error of its own.
-func noEOFInside(err error) error {
+// unexpectedEOF turns io.EOF inside a frame into io.ErrUnexpectedEOF, to tell it from an end between two
+// frames.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// ReadFrame reads one frame of a client; a data frame may have at most most bytes.
+// ReadFrame reads one frame of a client; a data frame may have at most most bytes of payload.
 func ReadFrame(r io.Reader, maxPayload int) (Frame, error) {
 	h, err := readHeader(r)
 	if err != nil {
@@ -119,7 +121,7 @@
 	}
 	f := Frame{h.final, h.opcode, make([]byte, h.length)}
 	if _, err := io.ReadFull(r, f.Payload); err != nil {
-		return Frame{}, noEOFInside(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	for i := range f.Payload {
 		f.Payload[i] ^= h.mask[i%4]
@@ -127,7 +129,7 @@
 	return f, nil
 }
 
-// AppendFrame words a server's frame, which is whole and not masked.
+// AppendFrame appends a server's frame, which is unfragmented and unmasked.
 func AppendFrame(b []byte, op Opcode, payload []byte) []byte {
 	b = append(b, 0x80|byte(op))
 	switch n := len(payload); {
@@ -141,7 +143,7 @@
 	return append(b, payload...)
 }
 
-// AppendClose words a close frame.
+// AppendClose appends a close frame. A reason over 123 bytes, the limit of a control frame, is shortened.
 func AppendClose(b []byte, code int, reason string) []byte {
 	if code == StatusNoCode {
 		return AppendFrame(b, CloseFrame, nil)
@@ -153,7 +155,7 @@
 	return AppendFrame(b, CloseFrame, append(payload, reason...))
 }
 
-// parseClose reads a close frame's payload.
+// parseClose returns the error for a close frame's payload.
 func parseClose(p []byte) error {
 	e := &CloseError{Code: StatusNoCode, Peer: true}
 	if len(p) == 0 {
@@ -173,17 +175,17 @@
 	return e
 }
 
-// Reader puts frames together to messages.
+// Reader assembles frames into messages.
 type Reader struct {
 	In              *bufio.Reader
-	MaxMessageBytes int // bytes of a message
+	MaxMessageBytes int // maximum size of a message
 
-	op   Opcode // of the message under way; 0: none
+	op   Opcode // of the message being assembled; 0: none
 	data []byte
 }
 
-// Next reads one frame. It returns a whole message, or a ping or pong on its own;
-// otherwise ok is false and the next frame is due. A close frame is an error.
+// Next reads one frame. It returns a complete message, or a single ping or pong; otherwise ok is false and
+// the caller reads the next frame. A close frame is returned as a *CloseError.
 func (r *Reader) Next() (op Opcode, data []byte, ok bool, err error) {
 	f, err := ReadFrame(r.In, r.MaxMessageBytes-len(r.data))
 	switch {
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frame frames a body with its length.
+// frame puts a body's length in front of it.
 func frame(body string) string { return string([]byte{byte(len(body) >> 8), byte(len(body))}) + body }
 
 const id = "\x7f\x3a\x9c\x21\xe0\xb4\xd6\x55"
@@ -46,7 +46,7 @@
 			assert.Equal(t, tc.want, got)
 			back, err := got.Append(nil)
 			require.NoError(t, err)
-			assert.Equal(t, tc.in, string(back), "written as it was read")
+			assert.Equal(t, tc.in, string(back), "encodes to the bytes that were read")
 		})
 	}
 }
@@ -60,9 +60,9 @@
 	d, err := m.Millis(RetryAfter)
 	require.NoError(t, err)
 	assert.Equal(t, 1500*time.Millisecond, d)
-	for _, bad := range []string{"", "-1", "soon", "99999999999"} {
-		_, err := Message{}.WithText(TimeLeft, bad).Millis(TimeLeft)
-		assert.Error(t, err, "%q", bad)
+	for _, invalid := range []string{"", "-1", "soon", "99999999999"} {
+		_, err := Message{}.WithText(TimeLeft, invalid).Millis(TimeLeft)
+		assert.Error(t, err, "%q", invalid)
 	}
 	_, err = Message{}.With(CauseCode, []byte{1, 2}).Cause()
 	assert.Error(t, err, "a cause is one byte")
@@ -90,7 +90,8 @@
 	}
 }
 
-// FuzzRead: no input may panic the reader, and what it takes it can write again.
+// FuzzRead checks that no input makes the reader panic, and that a message that was read encodes to the same
+// bytes.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(frame("\x01" + id + "\x10\x00\x05voice")))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -104,12 +105,12 @@
 	})
 }
 
-// TestParsePartial: what stopped half-way tells its type and the part of its call that has come.
+// TestParsePartial checks that a truncated message yields its type and the received part of its call id.
 func TestParsePartial(t *testing.T) {
-	whole, err := Message{Type: Release, Call: 0x1122334455667788}.WithCause(Normal).Append(nil)
+	complete, err := Message{Type: Release, Call: 0x1122334455667788}.WithCause(Normal).Append(nil)
 	require.NoError(t, err)
 	for n, want := range map[int]string{0: "", 2: "", 3: "", 4: "11", 10: "11223344556677", 11: "1122334455667788", 15: "1122334455667788"} {
-		kind, call, ok := ParsePartial(whole[:n])
+		kind, call, ok := ParsePartial(complete[:n])
 		assert.Equal(t, n > 2, ok, n)
 		assert.Equal(t, want, call, n)
 		if ok {
