--- a/failover/bench_test.go
+++ b/failover/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// testSummaries are those of n agents in five zones, each of which sees all five.
+// testSummaries returns the summaries of n agents in five zones, each with observations of all five.
 func testSummaries(n int) (Topology, []Summary) {
 	t := Topology{Zones: []Zone{{"z0", "a"}, {"z1", "a"}, {"z2", "b"}, {"z3", "b"}, {"z4", "b"}}}
 	var all []Summary
@@ -21,7 +21,7 @@
 	return t, all
 }
 
-// BenchmarkDecide puts the summaries of n agents together and decides for five zones.
+// BenchmarkDecide aggregates the summaries of n agents and decides for five zones.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 27, 100, 300, 730, 1460} {
 		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
--- a/failover/choose.go
+++ b/failover/choose.go
@@ -2,11 +2,11 @@
 
 import "hash/fnv"
 
-// ChooseZone is the zone whose setup servers a call of a class may use, for an agent in a zone. A
-// call's place on the line from 0 to 1 follows from its id alone: where a plan sends more away
-// than the one before, the calls that stay are those that stayed, and a call asked of another
-// agent of the zone goes to the same zone. Without a plan, or for a zone that it does not
-// name, it is the agent's own.
+// ChooseZone returns the zone whose setup servers an agent in the given zone uses for a call. Without a plan,
+// or for a zone that the plan does not list, this is the agent's own zone.
+//
+// The choice depends only on the plan, the zone, the class and a hash of the call id. Thus all agents of a
+// zone send the same call to the same zone, and a larger share moves only the additional calls.
 func (p Plan) ChooseZone(zone, class, call string) string {
 	place, ok := p.Zones[zone]
 	if !ok {
@@ -27,12 +27,12 @@
 	return zone
 }
 
-// hashFraction is a call's place in [0, 1).
+// hashFraction maps a call id to a number in [0, 1), uniformly.
 func hashFraction(call string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(call))
 	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64's finalizer, as in package shard
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64's finalizer, as in shard.rendezvousWeight
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return float64((x^x>>31)>>11) / (1 << 53)
 }
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -8,33 +8,33 @@
 	"slices"
 )
 
-// Mode words where a zone's calls go.
+// Mode summarizes where a zone's calls go.
 type Mode string
 
-// The modes, from the calmest on.
+// The modes, in order of increasing severity.
 const (
-	ModeLocal    Mode = "local"    // all at home
-	ModeSpill    Mode = "spill"    // what home can't carry goes to zones of the region
-	ModeEvacuate Mode = "evacuate" // home is lost: all of it goes to zones of the region
-	ModeRegion   Mode = "region"   // the region's zones can't carry its load: some leaves the region
+	ModeLocal    Mode = "local"    // all calls stay in their own zone
+	ModeSpill    Mode = "spill"    // the excess over the zone's capacity goes to other zones of its region
+	ModeEvacuate Mode = "evacuate" // the zone is lost; all its calls go to other zones of its region
+	ModeRegion   Mode = "region"   // the region can't carry its load; some calls leave it
 )
 
-// Share is a part of a zone's calls, in (0, 1], that goes to another zone.
+// Share is the part of a zone's calls, in (0, 1], that goes to another zone.
 type Share struct {
 	Zone string  `json:"zone"`
 	Part float64 `json:"part"`
 }
 
-// Placement is where a zone's calls go: the shares, and the rest at home.
+// Placement says where a zone's calls go: the listed shares to other zones, the rest to its own servers.
 type Placement struct {
 	Mode   Mode    `json:"mode"`
 	Shares []Share `json:"shares,omitempty"` // nearest first
-	// Caps bound the part of a class's calls that may leave the zone, where its budget is less
-	// than what the shares would send.
+	// Caps limit the part of a class's calls that may leave the zone. Only classes whose budget is below the
+	// sum of the shares are listed.
 	Caps map[string]float64 `json:"caps,omitempty"`
 }
 
-// awayShare is the part of the zone's calls that leaves it, before caps.
+// awayShare returns the part of the zone's calls that leaves it, before Caps apply.
 func (p Placement) awayShare() (sum float64) {
 	for _, s := range p.Shares {
 		sum += s.Part
@@ -42,36 +42,36 @@
 	return min(sum, 1)
 }
 
-// State is what a plan remembers of a zone from one decision to the next.
+// State is the health history of a zone that one decision passes on to the next.
 type State struct {
-	Lost bool `json:"lost,omitempty"` // until it has been healthy for the dwell
-	// HealthyUs is since when it is seen healthy; 0 while it is not.
+	Lost bool `json:"lost,omitempty"` // stays set until the zone has been healthy for Settings.DwellUs
+	// HealthyUs is the time since which the zone has been healthy; 0 while it is not.
 	HealthyUs int64 `json:"healthy_us,omitempty"`
-	// BackUs is when it was last taken back; its capacity ramps up from there. 0: never lost.
+	// BackUs is when the zone last recovered, from which time its capacity ramps up; 0: it was never lost.
 	BackUs int64 `json:"back_us,omitempty"`
 }
 
-// Trade is service given up for something else, in calls a second that stay where they will
-// mostly be turned away.
+// Trade reports calls that a plan leaves in a zone which can't carry them, so that most of them will be
+// refused.
 type Trade struct {
 	Zone      string  `json:"zone"`
-	For       string  `json:"for"` // "budget" (with Class), or "capacity": no zone has room
+	For       string  `json:"for"` // reason: "budget" (of Class) or "capacity" (no zone has any left)
 	Class     string  `json:"class,omitempty"`
-	PerSecond float64 `json:"per_second"`
+	PerSecond float64 `json:"per_second"` // calls per second
 }
 
-// Plan is one decision, in force for all agents from its epoch on.
+// Plan is the result of one decision. All agents follow the plan with the highest epoch.
 type Plan struct {
 	Epoch  uint64               `json:"epoch"`
-	AtUs   int64                `json:"at_us"` // on the decider's clock
-	By     string               `json:"by"`    // the decider
+	AtUs   int64                `json:"at_us"` // time of the decision, on the decider's clock
+	By     string               `json:"by"`    // name of the decider
 	Zones  map[string]Placement `json:"zones"`
 	States map[string]State     `json:"states"`
 	Trades []Trade              `json:"trades,omitempty"`
 }
 
-// Decide gives the plan that follows prev; changed is false where prev stays in force. Equal
-// arguments give equal plans, whoever decides.
+// Decide returns the plan that follows prev, or prev itself and changed = false if nothing has to change.
+// Equal arguments give equal plans, whichever machine decides.
 func Decide(prev Plan, t Topology, s Settings, v View, nowUs int64, by string) (next Plan, changed bool) {
 	d := decision{topology: t, settings: s, view: v, nowUs: nowUs, states: map[string]State{}, freeCapacity: map[string]float64{}}
 	for _, z := range t.Zones {
@@ -88,25 +88,25 @@
 	}
 	next.Trades = d.trades(next.Zones)
 	if reflect.DeepEqual(next.Zones, prev.Zones) && maps.Equal(next.States, prev.States) {
-		return prev, false // trades alone drift with the load: the figures tell them, no epoch
+		return prev, false // Trades vary with the load; a change of them alone needs no new epoch
 	}
 	next.Epoch, next.AtUs, next.By = prev.Epoch+1, nowUs, by
 	return next, true
 }
 
-// decision is one run of Decide.
+// decision holds the inputs and intermediate results of one call of Decide.
 type decision struct {
 	topology     Topology
 	settings     Settings
 	view         View
 	nowUs        int64
 	states       map[string]State
-	freeCapacity map[string]float64 // calls a second that a zone still takes
-	unplaced     map[string]float64 // calls a second of a zone that found no room
+	freeCapacity map[string]float64 // by zone: calls per second that it can still take
+	unplaced     map[string]float64 // by zone: calls per second for which no zone has capacity
 }
 
-// nextState follows a zone's health. Without news of it the state stays: silence of its viewers
-// is no proof against a zone.
+// nextState returns a zone's state after the current observations. Without any, the state stays as it was:
+// missing reports do not prove that a zone has failed.
 func (d *decision) nextState(zone string, was State) State {
 	h, seen := d.view.bestHealth(zone)
 	if !seen {
@@ -124,8 +124,8 @@
 	return was
 }
 
-// usableCapacity is the calls a second that a zone may be planned to take, with the margin left free.
-// An unknown capacity is no bound, unless tries there meet "full": then what it takes now is.
+// usableCapacity returns the calls per second that a plan may send to a zone, without the margin. A zone of
+// unknown capacity has no limit unless its servers answer "full"; then the limit is the load it carries now.
 func (d *decision) usableCapacity(zone string) float64 {
 	if d.states[zone].Lost {
 		return 0
@@ -145,8 +145,8 @@
 	return room
 }
 
-// reaches tells whether agents of a zone reach another's servers. A zone whose agents say
-// nothing of the other is taken to reach what is healthy.
+// reaches reports whether the agents of one zone can reach the servers of another. Without a report from
+// those agents, any zone that is not lost counts as reachable.
 func (d *decision) reaches(from, to string) bool {
 	if d.states[to].Lost {
 		return false
@@ -157,15 +157,15 @@
 	return true
 }
 
-// zonePair is room that one zone has for another's calls.
+// zonePair is a possible transfer of calls from one zone to another.
 type zonePair struct {
 	from, to       string
 	cost           float64
 	regionsCrossed int
 }
 
-// placeAll fills each zone with its own calls, then moves what is left over, nearest first over
-// all zones alike: within regions, and across only what the regions could not take.
+// placeAll first gives each zone its own calls. It then moves the excess, the cheapest pair of zones first:
+// within regions, and across regions only what the regions could not take.
 func (d *decision) placeAll() map[string]Placement {
 	zones := map[string]Placement{}
 	left, kept := map[string]float64{}, map[string]float64{}
@@ -194,13 +194,14 @@
 	return zones
 }
 
-// minDemandPerS is the load of a zone that has none: it is placed, so that a next call has a way.
+// minDemandPerS is the load assumed for an idle zone, so that its next call has a placement too.
 const minDemandPerS = 1e-6
 
+// demand returns the calls per second of a zone, at least minDemandPerS.
 func (d *decision) demand(zone string) float64 { return max(d.view.totalLoad(zone), minDemandPerS) }
 
-// zonePairs are the pairs of zones in the order in which room is given: near ones before far ones,
-// so that no zone's calls go past another's on the way out.
+// zonePairs returns the pairs of zones in the order in which capacity is assigned. Near pairs come before far
+// ones, so that the capacity of a zone goes to the calls of nearer zones first.
 func (d *decision) zonePairs() (out []zonePair) {
 	for _, a := range d.topology.Zones {
 		for _, b := range d.topology.Zones {
@@ -215,9 +216,9 @@
 	return out
 }
 
-// placement words what became of a zone's calls. What found no room stays at home, where the
-// module turns away what can't be carried; with home lost it goes to the nearest zone that can
-// be reached, for the module there.
+// placement builds the Placement of a zone. Calls for which no zone has capacity stay in their own zone,
+// where package policy refuses the excess. If that zone is lost, they go to the nearest reachable zone and
+// are refused there.
 func (d *decision) placement(zone string, kept float64, sent []Share) Placement {
 	home := d.reaches(zone, zone)
 	p := Placement{Mode: ModeLocal, Shares: sent}
@@ -243,7 +244,7 @@
 	return p
 }
 
-// sendRemainder has the rest of a lost zone's calls go to its nearest reachable zone too.
+// sendRemainder adds the unplaced calls of a lost zone to the share of its nearest reachable zone.
 func (d *decision) sendRemainder(zone string, sent []Share) []Share {
 	rest := 1 - Placement{Shares: sent}.awayShare()
 	if rest <= 1e-9 {
@@ -261,11 +262,11 @@
 		}
 		return append([]Share{{to, rest}}, sent...)
 	}
-	return sent // nothing can be reached: home it is, and the module refuses
+	return sent // no zone is reachable: the calls stay in their own zone, where package policy refuses them
 }
 
-// similar tells whether a placement is near enough to the former one to leave that in force.
-// Another mode or zone never is: a share that ends must end.
+// similar reports whether a placement differs so little from the previous one that the previous one can stay.
+// A different mode, zone or cap always counts as a change, so that a share that has ended is removed.
 func (s Settings) similar(was, now Placement) bool {
 	if was.Mode != now.Mode || len(was.Shares) != len(now.Shares) || !maps.Equal(was.Caps, now.Caps) {
 		return false
@@ -278,8 +279,8 @@
 	return true
 }
 
-// trades says plainly what is given up: calls that the budget keeps in a zone which can't
-// carry them, and calls that no zone has room for.
+// trades lists the calls that a class's budget keeps in a zone that can't carry them, and the calls for which
+// no zone has capacity.
 func (d *decision) trades(zones map[string]Placement) (out []Trade) {
 	for _, z := range d.topology.Zones {
 		p := zones[z.Name]
@@ -295,5 +296,5 @@
 	return out
 }
 
-// round keeps a figure readable; trades are told, not computed with.
+// round rounds to three decimals for display. Trades are only reported, never used in calculations.
 func round(n float64) float64 { return math.Round(n*1000) / 1000 }
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -1,12 +1,13 @@
-// Package failover decides where each zone's calls go: to its own setup servers while they
-// carry its load with a margin, to the nearest healthy zones for what they do not, away from a
-// zone that is lost, and to another region only when the zones of its own can't carry the load.
-// It is a pure function of what agents see, the topology, the settings and the decision before
-// it: no clock, no I/O. Whoever holds the lead of the control group calls it, and the result is
-// one entry of the replicated log, so that one decision holds for all agents (docs/failover.md).
+// Package failover decides which zone's setup servers handle each zone's calls. Calls stay in their own
+// zone while it can carry them with a safety margin. The excess goes to the nearest healthy zones, all calls
+// leave a zone that is lost, and calls leave their region only when its zones can't carry the load.
 //
-// It decides zones only. Which server of an allowed zone takes a call, whether it is tried
-// again and what is turned away stay with package policy.
+// Decide is a pure function of the agents' observations, the topology, the settings and the previous plan;
+// it uses no clock and no I/O. The leader of the control group calls it and writes the result to the
+// replicated log as one entry, so that all agents follow the same plan (docs/failover.md).
+//
+// The package chooses zones only. Package policy chooses the server within a zone, retries calls and
+// refuses them.
 package failover
 
 import (
@@ -17,46 +18,47 @@
 	"slices"
 )
 
-// Zone is a place whose setup servers fail together.
+// Zone is a failure domain: its setup servers can fail together.
 type Zone struct {
 	Name   string `yaml:"name" json:"name"`
 	Region string `yaml:"region" json:"region"`
 }
 
-// Distance is what sending from one zone to another costs, either way: a round trip in
-// milliseconds, say, or a price. Only the order matters.
+// Distance is the cost of sending calls between two zones, the same in both directions. The unit is free, for
+// example a round-trip time in milliseconds or a price, because costs are only compared with each other.
 type Distance struct {
 	Between [2]string `yaml:"between"`
 	Cost    float64   `yaml:"cost"`
 }
 
-// Topology is the zones, their regions and how far apart they lie.
+// Topology lists the zones with their regions and the distances between them.
 type Topology struct {
 	Zones     []Zone     `yaml:"zones"`
-	Distances []Distance `yaml:"distances"` // of pairs not named: 1 within a region, 10 across
+	Distances []Distance `yaml:"distances"` // unlisted pairs cost 1 within a region, 10 across regions
 }
 
-// Settings are the operators' figures; Defaults gives those of deploy/failover.yaml.
+// Settings are the parameters that operators can change; Defaults has the values of deploy/failover.yaml.
 type Settings struct {
-	Margin float64 // share of a zone's capacity that local calls leave free, in [0, 0.9]
-	// LostAt: a zone is lost where under this share of its servers is seen up, or where of the
-	// agents with tries there less than this share meets anything alive.
+	Margin float64 // share of a zone's capacity that plans leave unused, in [0, 0.9]
+	// LostAt is the threshold below which a zone counts as lost. It applies to the share of its servers that
+	// are up and to the share of agents, of those with recent attempts there, whose attempts mostly reach a
+	// live server.
 	LostAt   float64
-	FullAt   float64 // a zone is full where more than this share of tries meets "full"
-	DwellUs  int64   // a zone that was lost takes calls again once seen healthy for so long
-	RampUs   int64   // its capacity then counts from RampFrom to whole over this
-	RampFrom float64
-	Step     float64 // shares that differ by less stay as they are
-	// Budget is the most of a class's calls, as a share, that may cross zones; classes not
-	// named have none. Service is traded for it, and the plan says how much.
+	FullAt   float64 // a zone is full when more than this share of attempts is answered "full"
+	DwellUs  int64   // how long a lost zone must be healthy before it gets calls again, in microseconds
+	RampUs   int64   // time over which its usable capacity then rises from RampFrom to 1, in microseconds
+	RampFrom float64 // share of its capacity that a recovered zone starts with, in [0.01, 1]
+	Step     float64 // smallest change of a share that leads to a new plan
+	// Budget is the largest share of a class's calls that may leave their zone. Classes without an entry have
+	// no limit. Calls held back by it may be refused; the plan's Trades report how many.
 	Budget map[string]float64
 }
 
-// Defaults are the settings of a fleet on one campus.
+// Defaults are suitable for a fleet on a single campus.
 var Defaults = Settings{Margin: 0.1, LostAt: 0.5, FullAt: 0.5, DwellUs: 10_000_000, RampUs: 14_000_000,
 	RampFrom: 0.25, Step: 0.05}
 
-// Check names each field that can't be used.
+// Check returns one error for each invalid field.
 func (t Topology) Check() (refused []error) {
 	zones := map[string]bool{}
 	for i, z := range t.Zones {
@@ -82,7 +84,7 @@
 	return refused
 }
 
-// Check names each field that can't be used.
+// Check returns one error for each invalid field.
 func (s Settings) Check() (refused []error) {
 	in := func(name string, v, low, high float64) {
 		if !(v >= low && v <= high) {
@@ -102,7 +104,7 @@
 	return refused
 }
 
-// Region is a zone's; "" for one not in the topology.
+// Region returns the region of a zone, or "" if the zone is not in the topology.
 func (t Topology) Region(zone string) string {
 	for _, z := range t.Zones {
 		if z.Name == zone {
@@ -112,7 +114,7 @@
 	return ""
 }
 
-// cost is the cost between two zones.
+// cost returns the cost of sending calls between two zones.
 func (t Topology) cost(a, b string) float64 {
 	for _, d := range t.Distances {
 		if d.Between == [2]string{a, b} || d.Between == [2]string{b, a} {
@@ -128,7 +130,7 @@
 	return 10
 }
 
-// Nearest is the other zones from the nearest on, those of the same region first; ties by name.
+// Nearest returns the other zones, those of the same region first, each group sorted by cost and then name.
 func (t Topology) Nearest(zone string) []string {
 	var out []string
 	for _, z := range t.Zones {
@@ -142,6 +144,7 @@
 	return out
 }
 
+// regionsCrossed returns 0 for two zones of the same region and 1 otherwise.
 func (t Topology) regionsCrossed(a, b string) int {
 	if t.Region(a) == t.Region(b) {
 		return 0
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -10,11 +10,12 @@
 
 const secondUs = 1_000_000
 
-// testTopology zones in two regions; a1 and a2 are near each other, as are b1 and b2.
+// testTopology has four zones in two regions: a1 and a2 in region a, b1 and b2 in region b.
 var testTopology = Topology{Zones: []Zone{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}},
 	Distances: []Distance{{[2]string{"a1", "b2"}, 5}, {[2]string{"a2", "b1"}, 7}}}
 
-// testView words a view: each zone's load and capacity, all servers up but in the zones named.
+// testView returns a view with the given load and capacity of each zone. All servers are up except in the
+// zones of down.
 func testView(load, capacity map[string]float64, down ...string) View {
 	var all []Summary
 	for _, z := range testTopology.Zones {
@@ -30,6 +31,7 @@
 	return Aggregate(all, 0, secondUs)
 }
 
+// allZones returns the same value for each zone.
 func allZones(n float64) map[string]float64 {
 	return map[string]float64{"a1": n, "a2": n, "b1": n, "b2": n}
 }
@@ -43,19 +45,19 @@
 		name string
 		s    Settings
 		v    View
-		want string // a1's placement
-		for_ string // what is traded
+		want string // placement of a1
+		for_ string // Plan.Trades
 	}{
-		{"calm: all at home", Defaults, testView(allZones(80), allZones(100)), "local []", ""},
-		{"capacity not known: all at home", Defaults, testView(allZones(80), allZones(0)), "local []", ""},
-		{"over the margin: the rest to the region's other zone", Defaults, testView(withZone(allZones(50), "a1", 100), allZones(100)), "spill [{a2 0.1}]", ""},
-		{"the region is full: the rest to the nearest of the other", Defaults, testView(map[string]float64{"a1": 150, "a2": 80, "b1": 0, "b2": 0}, allZones(100)),
+		{"normal load: all calls stay", Defaults, testView(allZones(80), allZones(100)), "local []", ""},
+		{"unknown capacity: all calls stay", Defaults, testView(allZones(80), allZones(0)), "local []", ""},
+		{"above the margin: the excess goes to the region's other zone", Defaults, testView(withZone(allZones(50), "a1", 100), allZones(100)), "spill [{a2 0.1}]", ""},
+		{"region full: the excess goes to the nearest zone of the other region", Defaults, testView(map[string]float64{"a1": 150, "a2": 80, "b1": 0, "b2": 0}, allZones(100)),
 			"region [{a2 0.067} {b2 0.333}]", ""},
-		{"home lost: all of it to the region's other zone", Defaults, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}]", ""},
-		{"region lost: all of it to the nearest", Defaults, testView(allZones(40), allZones(100), "a1", "a2"), "region [{b2 1}]", ""},
-		{"everything lost: home, and the module refuses", Defaults, testView(allZones(40), allZones(100), "a1", "a2", "b1", "b2"), "local []", "[{a1 capacity  40} {a2 capacity  40} {b1 capacity  40} {b2 capacity  40}]"},
-		{"everything full: home", Defaults, testView(allZones(100), allZones(100)), "local []", "[{a1 capacity  10} {a2 capacity  10} {b1 capacity  10} {b2 capacity  10}]"},
-		{"the budget keeps calls in a lost zone, and says so", tight, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}] map[voice:0.1]", "[{a1 budget voice 36}]"},
+		{"zone lost: all calls go to the region's other zone", Defaults, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}]", ""},
+		{"region lost: all calls go to the nearest zone", Defaults, testView(allZones(40), allZones(100), "a1", "a2"), "region [{b2 1}]", ""},
+		{"all zones lost: calls stay and are refused", Defaults, testView(allZones(40), allZones(100), "a1", "a2", "b1", "b2"), "local []", "[{a1 capacity  40} {a2 capacity  40} {b1 capacity  40} {b2 capacity  40}]"},
+		{"all zones full: calls stay", Defaults, testView(allZones(100), allZones(100)), "local []", "[{a1 capacity  10} {a2 capacity  10} {b1 capacity  10} {b2 capacity  10}]"},
+		{"the budget keeps calls in a lost zone and reports them", tight, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}] map[voice:0.1]", "[{a1 budget voice 36}]"},
 	}
 	for _, c := range cases {
 		p, changed := Decide(Plan{}, testTopology, c.s, c.v, secondUs, "d")
@@ -77,8 +79,8 @@
 	}
 }
 
-// TestDwell: a zone that flaps faster than the dwell gets nothing back; one that stays healthy
-// does after it, and its capacity ramps up.
+// TestDwell checks that a zone that fails and recovers faster than the dwell time gets no calls back (they
+// would be lost at its next failure), and that one that stays healthy gets them back gradually.
 func TestDwell(t *testing.T) {
 	load, caps := allZones(40), allZones(100)
 	up, down := testView(load, caps), testView(load, caps, "a1")
@@ -90,7 +92,7 @@
 		for i := range int64(8) {
 			p, _ = Decide(p, testTopology, Defaults, up, now+(3+i)*secondUs, "d")
 			if p.Zones["a1"].Mode != ModeEvacuate {
-				t.Fatalf("at %d s a flapping zone has calls again: %+v", now/secondUs+3+i, p.Zones["a1"])
+				t.Fatalf("at %d s a flapping zone has calls again before its dwell time has passed: %+v", now/secondUs+3+i, p.Zones["a1"])
 			}
 		}
 		now += 10 * secondUs
@@ -99,19 +101,20 @@
 		t.Errorf("%d epochs for five flaps", p.Epoch-epochs)
 	}
 	back, _ := Decide(p, testTopology, Defaults, up, now+3*secondUs, "d")
-	if a := back.Zones["a1"].awayShare(); round(a) != 0.438 { // 22.5 of 40 at home: a quarter of 90
-		t.Errorf("taken back at once for all but %.2f of its calls", a)
+	if a := back.Zones["a1"].awayShare(); round(a) != 0.438 { // it keeps 22.5 of 40 calls: a quarter of 90
+		t.Errorf("just recovered, it sends %.2f of its calls away, want 0.438", a)
 	}
 	warm, _ := Decide(back, testTopology, Defaults, up, now+30*secondUs, "d")
 	if warm.Zones["a1"].Mode != ModeLocal {
-		t.Errorf("warm and not local: %+v", warm.Zones["a1"])
+		t.Errorf("not local after the ramp: %+v", warm.Zones["a1"])
 	}
 }
 
-// TestDecideInvariants: what holds for every view. Equal arguments give equal plans; a plan decided
-// again on the same view stays; nothing goes to a zone that is lost or not reached; a zone's
-// planned load stays within its room unless nowhere has any; and no call leaves its region
-// while the region has room.
+// TestDecideInvariants checks what must hold for every view:
+//   - equal arguments give equal plans, and a second decision on the same view changes nothing;
+//   - no share goes to a lost zone;
+//   - planned load exceeds a zone's usable capacity only by what Trades reports;
+//   - no call leaves its region while a zone of the region has capacity.
 func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		load, caps := map[string]float64{}, map[string]float64{}
@@ -130,7 +133,7 @@
 			t.Fatal("two decisions on one view differ")
 		}
 		if _, changed := Decide(p, testTopology, Defaults, v, secondUs, "e"); changed {
-			t.Fatalf("decided anew without news: %+v", p)
+			t.Fatalf("new plan from an unchanged view: %+v", p)
 		}
 		into := map[string]float64{}
 		for zone, place := range p.Zones {
@@ -159,20 +162,20 @@
 			total += n
 		}
 		if over > total+0.01 {
-			t.Fatalf("%.1f a second planned over capacity, %.1f said to be short: %+v", over, total, p)
+			t.Fatalf("%.1f calls per second planned over capacity, %.1f reported in Trades: %+v", over, total, p)
 		}
 		for _, z := range testTopology.Zones {
 			for _, o := range testTopology.Zones {
 				if z.Region == o.Region && p.Zones[z.Name].Mode == ModeRegion && !p.States[o.Name].Lost && into[o.Name] < caps[o.Name]*0.9-0.01 {
-					t.Fatalf("%s leaves its region while %s has room: %+v", z.Name, o.Name, p)
+					t.Fatalf("calls of %s leave the region while %s has capacity: %+v", z.Name, o.Name, p)
 				}
 			}
 		}
 	})
 }
 
-// TestAggregate: the median of a zone's viewers stands, whatever one of them says, and old words
-// do not count.
+// TestAggregate checks that a single agent with a broken connection can't make a zone count as lost, and that
+// outdated summaries are ignored.
 func TestAggregate(t *testing.T) {
 	see := func(agent string, up int, at int64) Summary {
 		return Summary{Agent: agent, Zone: "a1", AtUs: at, Offered: map[string]float64{"voice": 2}, Seen: map[string]Sight{"a1": {Listed: 4, Up: up, Capacity: 50, Tries: 4, Full: 1}}}
@@ -180,10 +183,11 @@
 	failing := func(agent string, dead float64) Summary {
 		return Summary{Agent: agent, Zone: "a1", AtUs: 9 * secondUs, Seen: map[string]Sight{"a1": {Listed: 4, Up: 4, Tries: 3, Dead: dead}}}
 	}
+	// One of three agents reaches no live server, then two do.
 	for _, c := range []struct {
 		dead [3]float64
 		lost bool
-	}{{[3]float64{3, 0, 0}, false}, {[3]float64{3, 2, 0}, true}} { // one deaf agent, and two of three that meet nothing alive
+	}{{[3]float64{3, 0, 0}, false}, {[3]float64{3, 2, 0}, true}} {
 		var all []Summary
 		for i, d := range c.dead {
 			all = append(all, failing(fmt.Sprint(i), d))
@@ -199,8 +203,8 @@
 	}
 }
 
-// TestChooseZone: calls are shared as planned, a class's cap holds, and a larger share moves only
-// the calls it adds.
+// TestChooseZone checks that calls are divided as planned, that a class's cap holds, and that a larger share
+// moves only additional calls: otherwise every new plan would also bring moved calls back.
 func TestChooseZone(t *testing.T) {
 	plan := func(part float64) Plan {
 		return Plan{Zones: map[string]Placement{"a1": {Mode: ModeSpill, Shares: []Share{{"a2", part}}, Caps: map[string]float64{"group": 0.05}}}}
@@ -212,7 +216,7 @@
 		if small == "a2" {
 			n++
 			if big != "a2" {
-				t.Fatalf("call %s came home as more were sent away", call)
+				t.Fatalf("call %s returned to its zone when the share grew", call)
 			}
 		}
 		if plan(0.2).ChooseZone("a1", "group", call) == "a2" {
@@ -220,10 +224,10 @@
 		}
 	}
 	if n < 3800 || n > 4200 || capped < 900 || capped > 1100 {
-		t.Errorf("%d of 20000 sent away, %d of the capped class", n, capped)
+		t.Errorf("%d of 20000 calls sent away, want about 4000; %d of the capped class, want about 1000", n, capped)
 	}
 	if z := plan(1).ChooseZone("b1", "voice", "x"); z != "b1" {
-		t.Errorf("a zone without placement sends to %s", z)
+		t.Errorf("a zone that is not in the plan sends its calls to %s", z)
 	}
 }
 
--- a/failover/view.go
+++ b/failover/view.go
@@ -5,58 +5,59 @@
 	"slices"
 )
 
-// Summary is what one agent sees, as it tells the others about once a second.
+// Summary is one agent's observations, which it sends to the other agents about once per second.
 type Summary struct {
 	Agent string `json:"a"`
 	Zone  string `json:"z"`
-	// Life and Seq tell a later summary of an agent from an earlier one: Seq rises within a life.
-	Life int64  `json:"i"` // when its process started, in microseconds of its clock
+	// Life and Seq order the summaries of an agent: Seq increases within a life.
+	Life int64  `json:"i"` // start time of the agent's process, in microseconds on its clock
 	Seq  uint64 `json:"q"`
-	// AtUs is when it was heard, on the hearer's clock: agents' clocks need not agree.
+	// AtUs is the time of receipt on the receiver's clock, as the agents' clocks need not agree.
 	AtUs int64 `json:"-"`
-	// Offered is the calls a second that callers hand it, by class.
+	// Offered is the number of calls per second that the agent gets from callers, by class.
 	Offered map[string]float64 `json:"o,omitempty"`
-	// Seen is what it sees of the setup servers, by their zone.
+	// Seen has the agent's observations of the setup servers, by the servers' zone.
 	Seen map[string]Sight `json:"s,omitempty"`
 }
 
-// After tells whether a summary is later than another of the same agent.
+// After reports whether a summary is newer than another one of the same agent.
 func (s Summary) After(o Summary) bool {
 	return cmp.Or(cmp.Compare(s.Life, o.Life), cmp.Compare(s.Seq, o.Seq)) > 0
 }
 
-// Sight is what an agent sees of one zone's setup servers.
+// Sight is one agent's observation of the setup servers of one zone.
 type Sight struct {
-	Listed   int     `json:"l"`           // on the list, draining ones not counted
-	Up       int     `json:"u"`           // of these, the ones that can be reached and answer
-	Capacity float64 `json:"c,omitempty"` // calls a second that they take from all agents; 0: not known
-	Tries    float64 `json:"n,omitempty"` // set-ups of this agent that ended there, a second
-	Dead     float64 `json:"d,omitempty"` // of these, met nothing alive: refused, cut or timed out
-	Full     float64 `json:"f,omitempty"` // of these, answered "full"
-	WaitMs   float64 `json:"w,omitempty"` // usual wait for an answer
+	Listed   int     `json:"l"`           // servers on the list, without draining ones
+	Up       int     `json:"u"`           // those of Listed that are reachable and answer
+	Capacity float64 `json:"c,omitempty"` // calls per second that they can take from all agents; 0: unknown
+	Tries    float64 `json:"n,omitempty"` // this agent's finished attempts there, per second
+	Dead     float64 `json:"d,omitempty"` // those of Tries that were refused, cut or timed out, per second
+	Full     float64 `json:"f,omitempty"` // those of Tries that were answered "full", per second
+	WaitMs   float64 `json:"w,omitempty"` // typical time until an answer, in milliseconds
 }
 
-// Health is a zone as the agents of one zone see it.
+// Health is the state of a zone as observed by the agents of one zone.
 type Health struct {
-	Up       float64 // share of its servers seen up, the median agent's; 0 where none is listed
-	Capacity float64 // calls a second, the median agent's; 0: not known
-	Full     float64 // share of all tries there that met "full"
-	// Failing is the share of the agents with tries there, of which most met nothing alive. It
-	// shows a zone's loss before any one agent has met enough of its servers; an agent that
-	// alone is deaf does not move it past the others.
+	Up       float64 // share of its servers that are up, median over the agents; 0 if none is listed
+	Capacity float64 // calls per second, median over the agents; 0: unknown
+	Full     float64 // share of all attempts there that were answered "full"
+	// Failing is the share of the agents with attempts there for which most of them reached no live server.
+	// It shows the loss of a zone before a single agent has tried enough of its servers, and one agent with a
+	// broken connection does not outweigh the others.
 	Failing float64
-	Seen    bool // somebody sees it
+	Seen    bool // at least one agent reported on the zone
 }
 
-// View is what all agents see together.
+// View combines the observations of all agents.
 type View struct {
-	Load   map[string]map[string]float64 // calls a second by callers' zone and class
-	Health map[string]map[string]Health  // by the seeing agents' zone, then the zone seen
-	Agents map[string]int                // that tell of themselves, by zone
+	Load   map[string]map[string]float64 // calls per second, by the agents' zone and the class
+	Health map[string]map[string]Health  // by the zone of the observing agents, then the observed zone
+	Agents map[string]int                // number of agents with a current summary, by zone
 }
 
-// Aggregate puts summaries together. A zone's health is the median of its viewers: one agent that
-// is deaf, or wrong, moves nothing. Summaries older than freshUs before nowUs do not count.
+// Aggregate combines summaries into a View and ignores those received more than freshUs before nowUs. The
+// health of a zone is the median over its observers, so that a single agent with a broken connection or wrong
+// figures has no effect.
 func Aggregate(all []Summary, nowUs, freshUs int64) View {
 	v := View{Load: map[string]map[string]float64{}, Health: map[string]map[string]Health{}, Agents: map[string]int{}}
 	type key struct{ by, of string }
@@ -85,6 +86,7 @@
 	return v
 }
 
+// aggregateHealth combines the observations of one zone by the agents of another.
 func aggregateHealth(list []Sight) Health {
 	var up, capacity []float64
 	tries, full, trying, failing := 0.0, 0.0, 0, 0
@@ -116,7 +118,7 @@
 	return h
 }
 
-// median is the lower middle of a list; 0 for none.
+// median returns the lower median of a list, or 0 for an empty one. It sorts the list.
 func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -125,7 +127,7 @@
 	return list[(len(list)-1)/2]
 }
 
-// totalLoad is a zone's calls a second, all classes.
+// totalLoad returns the calls per second of a zone over all classes.
 func (v View) totalLoad(zone string) (sum float64) {
 	for _, n := range v.Load[zone] {
 		sum += n
@@ -133,14 +135,14 @@
 	return sum
 }
 
-// healthSeenBy is how agents of one zone see another; ok tells whether any does.
+// healthSeenBy returns the health of zone of as observed by the agents of zone by, if any reports on it.
 func (v View) healthSeenBy(by, of string) (Health, bool) {
 	h, ok := v.Health[by][of]
 	return h, ok && h.Seen
 }
 
-// bestHealth is a zone's health as its own agents see it, or, where none of them tells, as the zone
-// that sees it best: a zone without live agents may still have servers for others' calls.
+// bestHealth returns the health of a zone as observed by its own agents. If none of them reports, it returns
+// the best health that another zone observes: a zone without live agents may still have working servers.
 func (v View) bestHealth(zone string) (Health, bool) {
 	if h, ok := v.healthSeenBy(zone, zone); ok {
 		return h, true
--- a/promise/ages.go
+++ b/promise/ages.go
@@ -1,20 +1,21 @@
 package promise
 
-// ageIndex finds records by age without looking at the young ones: calls by the second of their
-// time. A call stands in it once for each time it had (its claim's, its resolution's), so
-// what is found must be looked up again. Half a million records of ten minutes cost an
-// expiry of the oldest ten seconds a walk over those ten seconds alone.
+// ageIndex lists call ids by the second of their record's time, so that expiring old records does not visit
+// the newer ones. With half a million records from ten minutes, expiring the oldest ten seconds visits only
+// the records of those seconds. A call is listed once for its claim and once for its resolution, so users
+// have to look up the current record of each call.
 type ageIndex map[int64][]string
 
 const secondUs = 1_000_000
 
+// add lists a call under the time of its claim or resolution.
 func (a ageIndex) add(atUs int64, call string) {
 	at := floorSecond(atUs)
 	a[at] = append(a[at], call)
 }
 
-// forEachOlder hands over each call of the seconds that begin before a time, and forgets those that
-// lie wholly before it. A second that the time cuts is looked at again by a later call.
+// forEachOlder calls each for every call listed under a second that begins before the given time. It removes
+// the seconds that end by then; a second that contains the time stays listed for a later expiry.
 func (a ageIndex) forEachOlder(us int64, each func(call string)) {
 	for at, calls := range a {
 		if at*secondUs >= us {
@@ -29,7 +30,7 @@
 	}
 }
 
-// floorSecond is the second a time lies in, also for times before 0.
+// floorSecond converts microseconds to seconds, rounding down also for negative times.
 func floorSecond(us int64) int64 {
 	at := us / secondUs
 	if us%secondUs < 0 {
--- a/promise/bench_test.go
+++ b/promise/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// claimAndResolve is a call's claim and its resolution as the log holds them.
+// claimAndResolve returns the log entries of a call's claim and resolution.
 func claimAndResolve(i int) (claim, resolve []byte) {
 	call, token := fmt.Sprintf("%016x", i), fmt.Sprintf("agent%d/1/%d", i%300, i)
 	at := int64(i) * 1000
@@ -15,7 +15,8 @@
 			Description: make([]byte, 200)})
 }
 
-// BenchmarkCall applies a call's claim and resolution, on top of so many calls that are held.
+// BenchmarkCall applies a call's claim and resolution to a state that already holds the given number of
+// calls.
 func BenchmarkCall(b *testing.B) {
 	for _, held := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
@@ -46,7 +47,7 @@
 			for i := range b.N {
 				apply(claims[i%1024])
 				apply(resolves[i%1024])
-				if i%1024 == 1023 { // as many are held as before
+				if i%1024 == 1023 { // restore the number of held calls
 					b.StopTimer()
 					for j := range 1024 {
 						s.forget(fmt.Sprintf("%016x", held+j))
@@ -61,7 +62,7 @@
 	}
 }
 
-// forget takes a call out again, for a benchmark that goes round.
+// forget removes a call, so that a benchmark can repeat it.
 func (s *State) forget(call string) {
 	delete(s.claims, call)
 	delete(s.calls, call)
--- a/promise/promise.go
+++ b/promise/promise.go
@@ -1,26 +1,25 @@
-// Package promise is the state that call agents replicate for one another: what an agent has
-// promised its callers and its operators, so that the loss of its machine and disk loses none
-// of it. It is a deterministic state machine with no clock and no I/O: the log's entries come
-// in as bytes in log order, each is applied once, and every replica that has applied the same
-// prefix holds the same state (the replicated state machine of Schneider, "Implementing
-// fault-tolerant services using the state machine approach", ACM Computing Surveys 22(4), 1990).
+// Package promise is the replicated state machine of the call agents. It stores what an agent has promised
+// its callers and operators, so that nothing is lost with the agent's machine and disk. It is deterministic
+// and uses no clock and no I/O: entries come in as bytes in log order, each is applied once, and every
+// replica that has applied the same prefix holds the same state (Schneider, "Implementing fault-tolerant
+// services using the state machine approach", ACM Computing Surveys 22(4), 1990).
 //
-// What is promised (docs/replication.md):
-//   - a call's claim: one agent alone sends its set-ups. A second agent that is asked for a
-//     claimed call closes it (refused, with when to come back) and sends nothing, so there is
-//     never a second copy, whether the first agent is dead, cut off or only slow;
-//   - a call's resolution: its final answer with the setup server's description, the server
-//     that took the set-up, and for a refusal the time to come back. The first resolution of
-//     a call stands; a later one for the same call is answered with the first, so a caller
-//     who asks again hears the same answer from any replica;
+// A replica stores (docs/replication.md):
+//   - the claim of a call: only the claiming agent sends its set-ups. A second agent that is asked for a
+//     claimed call closes it (refused, with a time to come back) and sends nothing. So there is never a
+//     second copy, whether the first agent is dead, cut off or only slow;
+//   - the resolution of a call: its final answer with the setup server's description, the server that took
+//     the set-up, and for a refusal the time to come back. The first resolution of a call is final. A later
+//     one is answered with the first, so a caller who asks again gets the same answer from any replica;
 //   - that a call which stood is over;
 //   - drain and undrain orders by setup server or agent;
 //   - the versions of the applied plan, settings and routes file;
-//   - circuit states by CIC.
+//   - circuit states by CIC;
+//   - the plan of zone failover (package failover).
 //
-// Times are microseconds on the proposer's clock, carried as data: the machine never reads
-// a clock. Records are forgotten only by an Expire entry, which the leader proposes.
-// The order of claims needs no clock either: a claim is never taken over by time, only closed.
+// Times are data, in microseconds on the proposer's clock. Records are removed only by an OpExpire entry,
+// which the leader proposes. Claims need no clock either: a claim never times out and is never taken over,
+// only closed.
 package promise
 
 import (
@@ -31,34 +30,35 @@
 	"slices"
 )
 
-// Op names what an entry does.
+// Op is the operation of an entry.
 type Op string
 
+// The operations.
 const (
-	OpClaim   Op = "claim"   // one agent alone may send a call's set-ups
-	OpResolve Op = "resolve" // a call's final answer
-	OpEnd     Op = "end"     // a call that stood is over
-	OpDrain   Op = "drain"   // a setup server takes no new calls
-	OpUndrain Op = "undrain" // it takes them again
-	OpVersion Op = "version" // a plan, settings or routes file was applied
-	OpCircuit Op = "circuit" // a circuit's state by CIC
-	OpExpire  Op = "expire"  // forget claims and resolutions from before a time
-	OpFence   Op = "fence"   // refuse claims made by an older ring than Ring
-	OpPlan    Op = "zones"   // where each zone's calls go from an epoch on (package failover)
+	OpClaim   Op = "claim"   // gives one agent the sole right to send a call's set-ups
+	OpResolve Op = "resolve" // sets a call's final answer
+	OpEnd     Op = "end"     // marks a call that stood as over
+	OpDrain   Op = "drain"   // stops new calls to a setup server or agent
+	OpUndrain Op = "undrain" // allows them again
+	OpVersion Op = "version" // records that a plan, settings or routes file was applied
+	OpCircuit Op = "circuit" // sets the state of a circuit, by CIC
+	OpExpire  Op = "expire"  // removes claims and resolutions from before a time
+	OpFence   Op = "fence"   // refuses claims made under rings older than Ring
+	OpPlan    Op = "zones"   // sets the plan of zone failover (package failover)
 )
 
-// Answers a call may end with; the wire's own words (WIRE page: outcome, not_now, abort).
+// The final answers of a call, as in the wire protocol (WIRE page: outcome, not_now, abort).
 const (
 	AnswerServed  = "served"
-	AnswerRefused = "refused" // with ComeBackUs where the settings allow telling when
+	AnswerRefused = "refused" // with ComeBackUs if the settings allow it to be sent
 	AnswerFailed  = "failed"
 )
 
-// MaxDescriptionBytes bounds a served call's description: a message of the platform's protocol
-// holds 16 KiB at most.
+// MaxDescriptionBytes limits the description of a served call. A message of the platform's protocol has at
+// most 16 KiB.
 const MaxDescriptionBytes = 16 << 10
 
-// MaxPlanBytes bounds a plan of zones: some hundred zones fit.
+// MaxPlanBytes limits a plan of zone failover. It is enough for some hundred zones.
 const MaxPlanBytes = 64 << 10
 
 // Entry is one log entry. Only the fields of its Op are read.
@@ -66,77 +66,82 @@
 	Op Op `json:"op"`
 	// OpClaim, OpResolve, OpEnd
 	Call string `json:"call,omitempty"`  // the call's id, unique per caller
-	AtUs int64  `json:"at_us,omitempty"` // when it was proposed, on the proposer's clock
+	AtUs int64  `json:"at_us,omitempty"` // time of the proposal, on the proposer's clock
 	// OpClaim, OpResolve
-	Token      string `json:"token,omitempty"`        // one offer of the call to one life of an agent; a resolution's must be its claim's
-	ComeBackUs int64  `json:"come_back_us,omitempty"` // a refusal's time to come back, 0: none told; a claim's: if it closes the call
+	// Token identifies one offer of the call to one life of an agent. A resolution has to have the token of
+	// the call's claim.
+	Token string `json:"token,omitempty"`
+	// ComeBackUs is how long after a refusal the caller should ask again, in microseconds; 0: not given. In a
+	// claim it is the value to use if the claim closes the call.
+	ComeBackUs int64 `json:"come_back_us,omitempty"`
 	// OpClaim, OpFence
-	Ring uint64 `json:"ring,omitempty"` // version of the ring (package shard) the proposer found the group by
+	Ring uint64 `json:"ring,omitempty"` // version of the proposer's ring (package shard)
 	// OpResolve
 	Answer      string `json:"answer,omitempty"`      // AnswerServed, AnswerRefused or AnswerFailed
-	Description []byte `json:"description,omitempty"` // a served call's, as the setup server gave it
-	Server      string `json:"server,omitempty"`      // who took the set-up; "" for none sent on
-	// OpDrain, OpUndrain; Server above, or "agent/NAME"
+	Description []byte `json:"description,omitempty"` // of a served call, as received from the setup server
+	Server      string `json:"server,omitempty"`      // server that took the set-up; "" if none was sent
+	// OpDrain, OpUndrain: Server above has the setup server's name, or "agent/NAME"
 	// OpVersion
 	Kind    string `json:"kind,omitempty"`    // "plan", "settings" or "routes"
-	Version string `json:"version,omitempty"` // a digest of what was applied
+	Version string `json:"version,omitempty"` // digest of the applied file
 	// OpCircuit
 	CIC   int    `json:"cic,omitempty"`
-	State string `json:"state,omitempty"` // as internal/circuit names it
-	// OpPlan: taken where Epoch follows the one in force, so that of two deciders one is late
+	State string `json:"state,omitempty"` // a state name of internal/circuit
+	// OpPlan: applied only if Epoch is the current one plus 1, so that of two concurrent plans only one is
+	// applied
 	Epoch uint64          `json:"epoch,omitempty"`
 	Plan  json.RawMessage `json:"plan,omitempty"`
-	// OpExpire: BeforeUs
-	BeforeUs int64 `json:"before_us,omitempty"`
+	// OpExpire
+	BeforeUs int64 `json:"before_us,omitempty"` // records with an earlier time are removed
 }
 
-// Resolution is a call's promised end.
+// Resolution is the final answer of a call.
 type Resolution struct {
 	Answer      string `json:"answer"`
 	Description []byte `json:"description,omitempty"`
 	Server      string `json:"server,omitempty"`
 	ComeBackUs  int64  `json:"come_back_us,omitempty"`
 	AtUs        int64  `json:"at_us"`
-	Index       uint64 `json:"index"`          // the log index that promised it
-	Over        bool   `json:"over,omitempty"` // it stood, and is over
+	Index       uint64 `json:"index"`          // log index of the entry that set it
+	Over        bool   `json:"over,omitempty"` // the call stood and is over
 }
 
-// Claim is who may send a call's set-ups until the call is resolved.
+// Claim is the sole right to send a call's set-ups until the call is resolved.
 type Claim struct {
 	Token string `json:"token"`
 	AtUs  int64  `json:"at_us"`
 }
 
-// Result is what applying an entry tells its proposer.
+// Result is the result of applying an entry, for its proposer.
 type Result struct {
-	// Resolution is the call's that stands, the first: for OpResolve always, for OpClaim
-	// where Resolved is set.
+	// Resolution is the first and final one of the call. It is set for OpResolve, and for OpClaim if Resolved
+	// is.
 	Resolution Resolution
-	First      bool // OpResolve, OpPlan: this entry made it; false: an earlier one stands
-	Claimed    bool // OpClaim: the proposer, and nobody else, may send the call's set-ups
-	Resolved   bool // OpClaim: the call has its final answer; nothing may be sent
-	Forgotten  int  // OpExpire: how many claims and resolutions were forgotten
+	First      bool // OpResolve, OpPlan: this entry took effect; false: an earlier one did
+	Claimed    bool // OpClaim: the proposer alone may send the call's set-ups
+	Resolved   bool // OpClaim: the call already has its final answer; no set-up may be sent
+	Forgotten  int  // OpExpire: number of claims and resolutions removed
 }
 
-// ErrEntry is an entry that can't be applied: malformed, or unknown. Applying it changes
-// nothing, and every replica refuses it alike.
+// ErrEntry is returned for an entry that can't be applied because it is malformed or unknown. It changes
+// nothing but the applied index, and every replica refuses it in the same way.
 var ErrEntry = errors.New("promise: entry")
 
-// ErrStale is a claim made by an older ring than the group's fence: the proposer must take the
-// newer ring before it may claim. It changes nothing.
+// ErrStale is returned for a claim made under an older ring than the group's fence. It changes nothing but
+// the applied index; the proposer has to load the newer ring before it can claim.
 var ErrStale = errors.New("promise: ring older than the fence")
 
-// State is the replicated state. The zero value is not ready; use New.
+// State is the replicated state. Use New to create one; the zero value is not usable.
 type State struct {
 	applied  uint64
 	fence    uint64
-	claims   map[string]Claim // of calls without a resolution
-	calls    map[string]Resolution
-	ages     ageIndex // of both
+	claims   map[string]Claim      // by call id, of calls without a resolution
+	calls    map[string]Resolution // by call id
+	ages     ageIndex              // of claims and calls
 	drained  map[string]bool
 	versions map[string]string
 	circuits map[int]string
-	epoch    uint64 // of the plan in force; 0: none yet
+	epoch    uint64 // of plan; 0: no plan yet
 	plan     []byte
 }
 
@@ -146,16 +151,16 @@
 		versions: map[string]string{}, circuits: map[int]string{}}
 }
 
-// Encode is an entry's bytes in the log.
+// Encode returns an entry's bytes in the log.
 func Encode(e Entry) []byte {
 	b, _ := json.Marshal(e) // a struct of strings and numbers always marshals
 	return b
 }
 
-// Apply applies the entry at index; entries must come in log order, each once. An index at
-// or below the last applied one is refused without change, so a replayed entry is harmless.
-// A malformed entry is refused with ErrEntry naming the byte or field, and the index still
-// counts as applied: the log holds it, and every replica must skip it the same way.
+// Apply applies the log entry at index. Entries must be applied in log order. An index at or below the last
+// applied one is refused without any change, so a replayed entry is harmless. A malformed entry is refused
+// with an ErrEntry that names the byte or field, but its index counts as applied: the entry is in the log,
+// and every replica has to skip it in the same way.
 func (s *State) Apply(index uint64, data []byte) (Result, error) {
 	if index <= s.applied {
 		return Result{}, fmt.Errorf("%w: index %d already applied (at %d)", ErrEntry, index, s.applied)
@@ -204,9 +209,9 @@
 	return Result{}, nil
 }
 
-// claim gives the call to its first claimant. The same token claims again without effect, so
-// a proposer that does not know whether its entry stands proposes it again. Another token
-// closes the call: whoever held it may have a set-up out, so nothing more may be sent.
+// claim gives the call to its first claimant. A repeated claim with the same token has no effect, so that a
+// proposer can retry when it does not know whether its entry was applied. A claim with a different token
+// closes the call: the first claimant may have sent a set-up already, so no further one may be sent.
 func (s *State) claim(index uint64, e Entry) (Result, error) {
 	if r, ok := s.calls[e.Call]; ok {
 		return Result{Resolution: r, Resolved: true}, nil
@@ -226,8 +231,8 @@
 	return Result{Claimed: true}, nil
 }
 
-// resolve gives the call its final answer, unless it has one. A claim that another holds, or
-// one that was closed, leaves the proposer with what stands.
+// resolve sets the call's final answer. If the call has one already, for example because its claim was
+// closed, the result has that one. A call that is claimed with a different token is refused.
 func (s *State) resolve(index uint64, e Entry) (Result, error) {
 	if r, ok := s.calls[e.Call]; ok {
 		return Result{Resolution: r}, nil
@@ -240,7 +245,7 @@
 	return Result{Resolution: r, First: true}, nil
 }
 
-// recordResolution enters a call's first resolution in place of its claim.
+// recordResolution replaces a call's claim by its first resolution.
 func (s *State) recordResolution(call string, r Resolution) Resolution {
 	delete(s.claims, call)
 	s.calls[call] = r
@@ -248,8 +253,7 @@
 	return r
 }
 
-// expire forgets what is older than a time: claims by when they were made, resolutions by
-// when they were.
+// expire removes the claims and resolutions that were made before a time and returns their number.
 func (s *State) expire(beforeUs int64) (n int) {
 	s.ages.forEachOlder(beforeUs, func(call string) {
 		if c, ok := s.claims[call]; ok && c.AtUs < beforeUs {
@@ -264,7 +268,7 @@
 	return n
 }
 
-// validate names the first field of an entry that can't be applied.
+// validate returns an error that names the first invalid field of an entry.
 func (e Entry) validate() error {
 	switch e.Op {
 	case OpClaim, OpResolve, OpEnd:
@@ -307,7 +311,7 @@
 	return nil
 }
 
-// describeJSONError words a JSON error with the byte it stands at.
+// describeJSONError returns the text of a JSON error with its byte offset if known.
 func describeJSONError(data []byte, err error) string {
 	var syn *json.SyntaxError
 	if errors.As(err, &syn) {
@@ -320,31 +324,31 @@
 	return err.Error()
 }
 
-// Applied is the index of the last entry applied.
+// Applied returns the index of the last applied entry.
 func (s *State) Applied() uint64 { return s.applied }
 
-// Resolution returns a call's promised end, if it has one.
+// Resolution returns a call's final answer, if it has one.
 func (s *State) Resolution(call string) (Resolution, bool) {
 	r, ok := s.calls[call]
 	return r, ok
 }
 
-// Claimed returns who may send a call's set-ups, if anyone.
+// Claimed returns a call's claim, if it has one and is not resolved.
 func (s *State) Claimed(call string) (Claim, bool) {
 	c, ok := s.claims[call]
 	return c, ok
 }
 
-// Fence is the oldest ring whose claims are taken.
+// Fence returns the version of the oldest ring whose claims are accepted.
 func (s *State) Fence() uint64 { return s.fence }
 
-// Claims is how many claims without a resolution are held.
+// Claims returns the number of stored claims.
 func (s *State) Claims() int { return len(s.claims) }
 
-// Drained tells whether a setup server or an agent ("agent/NAME") is under a drain order.
+// Drained reports whether a setup server or an agent ("agent/NAME") is drained.
 func (s *State) Drained(server string) bool { return s.drained[server] }
 
-// DrainedServers lists the servers under a drain order, in order.
+// DrainedServers returns the sorted names of the drained setup servers and agents.
 func (s *State) DrainedServers() []string {
 	out := make([]string, 0, len(s.drained))
 	for k := range s.drained {
@@ -354,17 +358,17 @@
 	return out
 }
 
-// Version is the digest last applied of a kind ("plan", "settings", "routes").
+// Version returns the digest of the last applied file of a kind ("plan", "settings", "routes").
 func (s *State) Version(kind string) string { return s.versions[kind] }
 
-// Plan is the plan of zones in force, as its decider worded it, and its epoch; 0 and nil: none.
+// Plan returns the current plan of zone failover, encoded as it was proposed, and its epoch; 0 and nil: none.
 func (s *State) Plan() (epoch uint64, plan []byte) { return s.epoch, s.plan }
 
-// Versions are the digests last applied, by kind.
+// Versions returns the digests of the last applied files, by kind.
 func (s *State) Versions() map[string]string { return maps.Clone(s.versions) }
 
-// Circuit is a circuit's state by CIC; "" where none was promised.
+// Circuit returns the state of the circuit with the given CIC, or "" if none is stored.
 func (s *State) Circuit(cic int) string { return s.circuits[cic] }
 
-// Calls is how many resolutions are held.
+// Calls returns the number of stored resolutions.
 func (s *State) Calls() int { return len(s.calls) }
--- a/promise/promise_test.go
+++ b/promise/promise_test.go
@@ -19,38 +19,38 @@
 		check   func(*State) bool
 		refused int
 	}{
-		{"first resolution stands", [][]byte{Encode(served),
+		{"the first resolution is final", [][]byte{Encode(served),
 			Encode(Entry{Op: OpResolve, Call: "c1", Answer: AnswerFailed, AtUs: 11})},
 			func(s *State) bool { r, _ := s.Resolution("c1"); return r.Answer == AnswerServed && r.Index == 1 }, 0},
 		{"drain then undrain", [][]byte{Encode(Entry{Op: OpDrain, Server: "s1"}), Encode(Entry{Op: OpDrain, Server: "s2"}),
 			Encode(Entry{Op: OpUndrain, Server: "s1"})},
 			func(s *State) bool { return !s.Drained("s1") && s.Drained("s2") }, 0},
-		{"expire forgets the old", [][]byte{Encode(served), Encode(Entry{Op: OpExpire, BeforeUs: 11})},
+		{"expire removes old records", [][]byte{Encode(served), Encode(Entry{Op: OpExpire, BeforeUs: 11})},
 			func(s *State) bool { return s.Calls() == 0 }, 0},
 		{"versions and circuits", [][]byte{Encode(Entry{Op: OpVersion, Kind: "routes", Version: "ab"}),
 			Encode(Entry{Op: OpCircuit, CIC: 7, State: "busy"})},
 			func(s *State) bool { return s.Version("routes") == "ab" && s.Circuit(7) == "busy" }, 0},
-		{"a claim is its token's alone, and claimed again by it", [][]byte{encodeClaim("a", 0), encodeClaim("a", 0)},
+		{"a repeated claim with the same token has no effect", [][]byte{encodeClaim("a", 0), encodeClaim("a", 0)},
 			func(s *State) bool { c, ok := s.Claimed("c1"); return ok && c.Token == "a" && s.Calls() == 0 }, 0},
-		{"a second claimant closes the call for both", [][]byte{encodeClaim("a", 0), encodeClaim("b", 0),
+		{"a second claimant closes the call for both agents", [][]byte{encodeClaim("a", 0), encodeClaim("b", 0),
 			Encode(Entry{Op: OpResolve, Call: "c1", Token: "a", Answer: AnswerServed, Server: "s1", AtUs: 12})},
 			func(s *State) bool {
 				r, _ := s.Resolution("c1")
 				return r.Answer == AnswerRefused && r.ComeBackUs == 7 && r.Index == 2 && s.Claims() == 0
 			}, 0},
-		{"another's claim is not resolved", [][]byte{encodeClaim("a", 0),
+		{"a resolution with a different token than the claim is refused", [][]byte{encodeClaim("a", 0),
 			Encode(Entry{Op: OpResolve, Call: "c1", Token: "b", Answer: AnswerFailed})},
 			func(s *State) bool { return s.Claims() == 1 && s.Calls() == 0 }, 1},
-		{"a resolved call is not claimed; its end is kept", [][]byte{Encode(served), encodeClaim("b", 0), Encode(Entry{Op: OpEnd, Call: "c1"})},
+		{"a resolved call can not be claimed; its end is recorded", [][]byte{Encode(served), encodeClaim("b", 0), Encode(Entry{Op: OpEnd, Call: "c1"})},
 			func(s *State) bool { r, _ := s.Resolution("c1"); return s.Claims() == 0 && r.Over && r.Server == "s1" }, 0},
-		{"a fence refuses older rings, and only rises", [][]byte{Encode(Entry{Op: OpFence, Ring: 3}),
+		{"a fence refuses older rings and never falls", [][]byte{Encode(Entry{Op: OpFence, Ring: 3}),
 			Encode(Entry{Op: OpFence, Ring: 2}), encodeClaim("a", 2), encodeClaim("b", 3)},
 			func(s *State) bool { c, _ := s.Claimed("c1"); return s.Fence() == 3 && c.Token == "b" }, 0},
-		{"expire forgets claims, and spares what is younger in the same second", [][]byte{encodeClaim("a", 0),
+		{"expire removes claims but keeps newer records of the same second", [][]byte{encodeClaim("a", 0),
 			Encode(Entry{Op: OpResolve, Call: "c2", Answer: AnswerFailed, AtUs: 900_000}), Encode(Entry{Op: OpExpire, BeforeUs: 500_000}),
 			Encode(Entry{Op: OpExpire, BeforeUs: 900_000})},
 			func(s *State) bool { return s.Claims() == 0 && s.Calls() == 1 }, 0},
-		{"of two deciders of one epoch the first stands", [][]byte{Encode(Entry{Op: OpPlan, Epoch: 1, Plan: []byte(`{"a":1}`)}),
+		{"of two plans for one epoch the first is applied", [][]byte{Encode(Entry{Op: OpPlan, Epoch: 1, Plan: []byte(`{"a":1}`)}),
 			Encode(Entry{Op: OpPlan, Epoch: 1, Plan: []byte(`{"b":1}`)}), Encode(Entry{Op: OpPlan, Epoch: 3, Plan: []byte(`{"c":1}`)}), Encode(Entry{Op: OpPlan, Epoch: 2})},
 			func(s *State) bool { n, p := s.Plan(); return n == 1 && string(p) == `{"a":1}` }, 1},
 		{"malformed entries change nothing", [][]byte{[]byte("{"), Encode(Entry{Op: "x"}),
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkExpire forgets the oldest ten seconds of half a million records.
+// BenchmarkExpire removes the oldest ten seconds of half a million records.
 func BenchmarkExpire(b *testing.B) {
 	s := New()
 	for i := range 500_000 {
--- a/promise/snapshot.go
+++ b/promise/snapshot.go
@@ -10,13 +10,13 @@
 	"maps"
 )
 
-// snapshotMagic begins every snapshot, so that a file of something else is named as such.
+// snapshotMagic starts every snapshot, so that a file of another kind is recognized.
 const snapshotMagic = "WRPROM1\n"
 
-// ErrSnapshot is a snapshot that can't be restored: not one, cut short, or corrupt. Restoring
-// it changes nothing.
+// ErrSnapshot is returned for data that is not a snapshot, is truncated or is corrupt.
 var ErrSnapshot = errors.New("promise: snapshot")
 
+// image is the JSON form of a State.
 type image struct {
 	Applied  uint64                `json:"applied"`
 	Fence    uint64                `json:"fence,omitempty"`
@@ -29,9 +29,9 @@
 	Plan     json.RawMessage       `json:"plan,omitempty"`
 }
 
-// Snapshot is the whole state as bytes: the magic, the JSON image (maps in key order, so
-// equal states give equal bytes), and a CRC-32C of the image, big-endian, in the last 4 bytes.
-// The log up to Applied may be dropped once a snapshot is kept.
+// Snapshot encodes the whole state: the magic, the JSON image (maps in key order, so that equal states give
+// equal bytes), and the image's CRC-32C, big-endian, in the last 4 bytes. Once a snapshot is stored, the log
+// up to Applied may be discarded.
 func (s *State) Snapshot() []byte {
 	return image{s.applied, s.fence, s.claims, s.calls, s.drained, s.versions, s.circuits, s.epoch, s.plan}.bytes()
 }
@@ -46,8 +46,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Restore returns the state a snapshot holds. A snapshot that is not one, is cut short or
-// whose checksum does not match is refused with ErrSnapshot naming the byte.
+// Restore decodes a snapshot. Data that is not a snapshot, is truncated or whose checksum does not match is
+// refused with an ErrSnapshot that names the byte.
 func Restore(data []byte) (*State, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
 		return nil, fmt.Errorf("%w: byte 0: no snapshot of promises (it begins %q)", ErrSnapshot, firstBytes(data))
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// Image is a state's copy that later entries do not change, so that a snapshot can be written
-// while the log goes on. Descriptions are shared: nothing writes into one.
+// Image is an immutable copy of a State, so that a snapshot can be written while further entries are applied.
+// Descriptions are shared with the State; they are never modified.
 type Image struct{ image image }
 
 // Image copies the state.
@@ -89,7 +89,8 @@
 		maps.Clone(s.drained), maps.Clone(s.versions), maps.Clone(s.circuits), s.epoch, s.plan}}
 }
 
-// Bytes is the snapshot of the copied state, as State.Snapshot words it.
+// Bytes returns the snapshot of the copied state, as State.Snapshot encodes it.
 func (i Image) Bytes() []byte { return i.image.bytes() }
 
+// firstBytes returns the first 8 bytes, for an error message.
 func firstBytes(b []byte) []byte { return b[:min(len(b), 8)] }
--- a/rollout/api.go
+++ b/rollout/api.go
@@ -1,17 +1,18 @@
-// Package rollout decides how changes of configuration reach a fleet of call agents: which
-// revision of which document an agent should have, by which stages a change goes, when it is
-// halted and the former text restored, and what an agent makes of what it is told. It has no
-// clock and no I/O: the log's entries come in as bytes in log order, reports and times as data.
+// Package rollout distributes configuration changes to a fleet of call agents in stages. It decides which
+// revision of which document an agent should have, when a change goes to the next stage, and when it is
+// halted and the previous text restored. It also has the agent's side: which of the received documents are in
+// force. The package uses no clock and no I/O: log entries come in as bytes in log order, reports and times
+// as data.
 //
-// A document is named by its kind (routes, failover, spread: what the agent's loaders know) and
-// its scope (all agents, a region, a zone, a service, one agent); of the documents of one kind
-// the one of the narrowest scope that holds an agent is in force there. Each change is a new
-// revision under a number that rises over all documents, and one number never stands for two
-// texts: what is taken back comes again under a number of its own.
+// A document is identified by its kind (routes, failover, spread: the kinds that the agent's loaders know)
+// and its scope (all agents, a region, a zone, a service, one agent). Of the documents of one kind, the one
+// with the narrowest scope that contains an agent is in force there. Each change is a new revision. Revision
+// numbers increase over all documents, and a number never stands for two texts: a restored text gets a new
+// number.
 //
-// The parts: State is the replicated state machine (state.go), Steward is the leader's decision
-// about stages (steward.go), Held is an agent's side (held.go), Coverage tells operators what is
-// in force where (coverage.go). docs/rollout.md weighs the ways.
+// State is the replicated state machine (state.go), StageController makes the leader's decisions about stages
+// (steward.go), DocumentSet is the agent's side (held.go), and Coverage tells operators where a revision is
+// in force (coverage.go). docs/rollout.md compares this design with others.
 package rollout
 
 import (
@@ -20,15 +21,15 @@
 	"strings"
 )
 
-// Bounds of what may be kept.
+// Limits of the stored documents.
 const (
-	MaxTextBytes       = 256 << 10 // bytes of a document
-	MaxDocuments       = 1024      // names, removed ones among them
-	MaxTotalBytes      = 32 << 20  // bytes of all texts that are kept, history among them
-	MaxFormerRevisions = 16        // former revisions kept of a document
+	MaxTextBytes       = 256 << 10 // bytes of a document's text
+	MaxDocuments       = 1024      // document names, including removed documents
+	MaxTotalBytes      = 32 << 20  // bytes of all stored texts, including former revisions
+	MaxFormerRevisions = 16        // former revisions stored per document
 )
 
-// Agent is who a call agent is, by its own configuration.
+// Agent identifies a call agent, as given by its own configuration.
 type Agent struct {
 	Name    string `json:"name"`
 	Service string `json:"service,omitempty"`
@@ -36,10 +37,10 @@
 	Region  string `json:"region,omitempty"`
 }
 
-// Level is how wide a scope is.
+// Level is the width of a scope.
 type Level string
 
-// The levels, the widest first: of two documents of a kind the narrower one is in force.
+// The levels, widest first. Of two documents of a kind the narrower one is in force.
 const (
 	LevelAll     Level = "all"
 	LevelRegion  Level = "region"
@@ -48,16 +49,16 @@
 	LevelAgent   Level = "agent"
 )
 
-// Levels are the levels in order, the widest first.
+// Levels lists the levels, widest first.
 var Levels = []Level{LevelAll, LevelRegion, LevelZone, LevelService, LevelAgent}
 
-// Scope is the part of the fleet that a document is for.
+// Scope is the part of the fleet to which a document applies.
 type Scope struct {
 	Level Level  `json:"level"`
-	Of    string `json:"of,omitempty"` // the region's, zone's, service's or agent's name; "" for All
+	Of    string `json:"of,omitempty"` // name of the region, zone, service or agent; "" for LevelAll
 }
 
-// Contains tells whether an agent is in the scope.
+// Contains reports whether an agent is in the scope.
 func (s Scope) Contains(a Agent) bool {
 	switch s.Level {
 	case LevelAll:
@@ -74,7 +75,7 @@
 	return false
 }
 
-// String words a scope as ParseName reads it: "all", "zone/z1".
+// String returns the scope in the form that ParseName reads: "all", "zone/z1".
 func (s Scope) String() string {
 	if s.Level == LevelAll {
 		return string(LevelAll)
@@ -82,22 +83,22 @@
 	return string(s.Level) + "/" + s.Of
 }
 
-// Name names a document.
+// Name identifies a document.
 type Name struct {
 	Kind  string `json:"kind"`
 	Scope Scope  `json:"scope"`
 }
 
-// String words a name as ParseName reads it: "routes@all", "failover@zone/z1".
+// String returns the name in the form that ParseName reads: "routes@all", "failover@zone/z1".
 func (n Name) String() string { return n.Kind + "@" + n.Scope.String() }
 
-// ErrName is a name that can't be read.
+// ErrName is returned for a document name that can't be parsed.
 var ErrName = errors.New("rollout: name of a document")
 
-// maxWordBytes bounds each word of a name.
+// maxWordBytes limits each part of a document name.
 const maxWordBytes = 128
 
-// ParseName reads KIND@SCOPE, SCOPE being all or LEVEL/OF. An error wraps ErrName.
+// ParseName parses KIND@SCOPE, where SCOPE is "all" or LEVEL/NAME. Its errors wrap ErrName.
 func ParseName(text string) (Name, error) {
 	kind, scope, ok := strings.Cut(text, "@")
 	if !ok || !isNamePart(kind) {
@@ -116,67 +117,68 @@
 	return Name{}, fmt.Errorf("%w: scope %.80q is none of all, region/NAME, zone/NAME, service/NAME, agent/NAME", ErrName, scope)
 }
 
-// isNamePart tells whether a text may be a part of a name: it goes through a line of the console.
+// isNamePart reports whether a text can be a part of a document name. Names are sent in console lines, so
+// blanks and control characters are not allowed.
 func isNamePart(s string) bool {
 	return s != "" && len(s) <= maxWordBytes && strings.IndexFunc(s, func(r rune) bool {
 		return r <= ' ' || r == '@' || r == 0x7f || r == '/'
 	}) < 0
 }
 
-// Document is one revision of a document, as an agent gets it.
+// Document is one revision of a document, as sent to agents.
 type Document struct {
 	Name     Name   `json:"name"`
-	Revision uint64 `json:"revision"` // its number, above 0
+	Revision uint64 `json:"revision"` // revision number, above 0
 	Text     []byte `json:"text,omitempty"`
 	Sum      uint64 `json:"sum"`               // xxhash64 of Text
-	Removed  bool   `json:"removed,omitempty"` // no text any more: a wider document or the agent's own file holds
+	Removed  bool   `json:"removed,omitempty"` // no text any more; a wider document or own file applies
 }
 
-// Stage is how far a revision has come.
+// Stage is the progress of a revision's rollout.
 type Stage string
 
 // The stages of a revision.
 const (
-	StageWaiting    Stage = "waiting"    // behind another of its document, or not begun
-	StageFirst      Stage = "first"      // at some agents of each service
-	StageEverywhere Stage = "everywhere" // for all agents of its scope
-	StageSuperseded Stage = "superseded" // a later one took its place before it began, or after
-	StageHalted     Stage = "halted"     // refused or worse at the first stage; the former text came back
+	StageWaiting    Stage = "waiting"    // not started, possibly behind another revision of the document
+	StageFirst      Stage = "first"      // at the first-stage agents of each service
+	StageEverywhere Stage = "everywhere" // at all agents of its scope
+	StageSuperseded Stage = "superseded" // replaced by a later revision, before or after its start
+	StageHalted     Stage = "halted"     // given up at the first stage; the previous text was restored
 )
 
-// Revision is a change, as operators see it.
+// Revision is a change of a document, with its author and its progress.
 type Revision struct {
 	Document
-	Base     uint64   `json:"base"` // the revision it was written against; 0: none
+	Base     uint64   `json:"base"` // the latest revision when it was written; 0: none
 	Author   string   `json:"author"`
-	AtUs     int64    `json:"at_us"` // put, by the clock of the machine that led then
+	AtUs     int64    `json:"at_us"` // time of the put, on the clock of the machine that was leader
 	Stage    Stage    `json:"stage"`
-	First    []string `json:"first,omitempty"`    // agents of its first stage
-	Why      string   `json:"why,omitempty"`      // it was halted
-	Restores uint64   `json:"restores,omitempty"` // the revision whose text it has again
+	First    []string `json:"first,omitempty"`    // agents of its first stage, sorted
+	Why      string   `json:"why,omitempty"`      // reason for a halt
+	Restores uint64   `json:"restores,omitempty"` // the revision whose text it restores; 0: none
 }
 
-// Op names what an entry of the log does.
+// Op is the operation of a log entry.
 type Op string
 
 // The operations.
 const (
-	OpPut     Op = "put"     // a new revision of a document, if Base is the latest there
-	OpStart   Op = "start"   // a waiting revision goes to the agents First
-	OpAdvance Op = "advance" // a revision at its first stage goes everywhere
-	OpHalt    Op = "halt"    // a revision at its first stage is given up; the former text comes under a new number
+	OpPut     Op = "put"     // adds a revision if Base is the document's latest one
+	OpStart   Op = "start"   // brings a waiting revision to the agents listed in First
+	OpAdvance Op = "advance" // brings a revision from its first stage to all agents of its scope
+	OpHalt    Op = "halt"    // gives up a first-stage revision and restores the previous text
 )
 
-// Entry is one entry of the log. Only the fields of its Op are read.
+// Entry is one log entry. Only the fields of its Op are read.
 type Entry struct {
 	Op   Op    `json:"op"`
-	AtUs int64 `json:"at_us,omitempty"` // by the proposer's clock
+	AtUs int64 `json:"at_us,omitempty"` // time of the proposal, on the proposer's clock
 	// OpPut
 	Name    Name   `json:"name"`
-	Base    uint64 `json:"base,omitempty"` // the latest revision the author knows; 0: the document is new
+	Base    uint64 `json:"base,omitempty"` // latest revision that the author knows; 0: new document
 	Text    []byte `json:"text,omitempty"`
 	Remove  bool   `json:"remove,omitempty"`
-	Restore uint64 `json:"restore,omitempty"` // take this former revision's text instead of Text
+	Restore uint64 `json:"restore,omitempty"` // use the text of this stored revision instead of Text
 	Author  string `json:"author,omitempty"`
 	// OpStart, OpAdvance, OpHalt
 	Revision uint64   `json:"revision,omitempty"`
@@ -184,69 +186,76 @@
 	Why      string   `json:"why,omitempty"`
 }
 
-// Result is what applying an entry tells its proposer.
+// Result is the result of applying an entry, for its proposer.
 type Result struct {
-	Revision uint64 // OpPut: its number; OpHalt: the number of the restored one
-	Changed  bool   // OpStart, OpAdvance, OpHalt: false where it had been done, or another came between
+	// Revision is the number of the revision that was put, started or advanced; for OpHalt, of the restored
+	// one.
+	Revision uint64
+	// Changed is false for an OpStart, OpAdvance or OpHalt that was already done or is obsolete.
+	Changed bool
 }
 
-// ErrEntry is an entry that can't be applied: malformed, too large, or unknown. It changes
-// nothing, and every replica refuses it alike.
+// ErrEntry is returned for an entry that can't be applied because it is malformed, too large or unknown. It
+// changes nothing but the applied index, and every replica refuses it in the same way.
 var ErrEntry = errors.New("rollout: entry")
 
-// ErrConflict is a put whose Base is not the document's latest revision: somebody else changed
-// it since the author looked. The error tells the latest revision and its author.
+// ErrConflict is returned for a put whose Base is not the document's latest revision, because someone else
+// has changed the document since. The error names the latest revision and its author.
 var ErrConflict = errors.New("rollout: changed by somebody else meanwhile")
 
 // Refusal is an agent's NACK of one revision.
 type Refusal struct {
 	Name     Name   `json:"name"`
 	Revision uint64 `json:"revision"`
-	Why      string `json:"why"` // the loader's words: file, line and field; MaxWhy bytes at most
+	Why      string `json:"why"` // the loader's error with file, line and field, at most MaxWhyBytes
 }
 
-// MaxWhyBytes bounds a refusal's words.
+// MaxWhyBytes limits Refusal.Why.
 const MaxWhyBytes = 400
 
-// Report is what an agent last said of itself, beside when a control machine heard it.
+// Report is an agent's latest report on itself, with the time at which a control machine received it.
 type Report struct {
-	Agent   Agent             `json:"agent"`
-	Life    int64             `json:"life"`              // when the agent's process started, Unix us: of two lives the later counts
-	Seq     uint64            `json:"seq"`               // rises within a life
-	Seen    map[string]uint64 `json:"seen,omitempty"`    // by Name.String(): the latest revision accepted there (ACK)
-	InForce map[string]uint64 `json:"force,omitempty"`   // by kind: the revision in force; 0: its own file, or none
-	Refused []Refusal         `json:"refused,omitempty"` // revisions it could not take (NACK)
-	Calls   uint64            `json:"calls"`             // ended since the process started
-	Failed  uint64            `json:"failed"`            // of them failed or refused
-	AtUs    int64             `json:"at_us"`             // heard, by the clock of the machine that holds the table
-	Machine string            `json:"machine,omitempty"` // the control machine it watches
-}
-
-// After tells whether a report is newer than another of the same agent.
+	Agent Agent `json:"agent"`
+	// Life is the start time of the agent's process in Unix microseconds. Of two lives the later one counts.
+	Life    int64             `json:"life"`
+	Seq     uint64            `json:"seq"`               // increases within a life
+	Seen    map[string]uint64 `json:"seen,omitempty"`    // latest accepted revision (ACK) by Name.String()
+	InForce map[string]uint64 `json:"force,omitempty"`   // revision in force by kind; 0: own file or none
+	Refused []Refusal         `json:"refused,omitempty"` // revisions that its loader refused (NACK)
+	Calls   uint64            `json:"calls"`             // calls that ended since the process started
+	Failed  uint64            `json:"failed"`            // those of Calls that failed or were refused
+	AtUs    int64             `json:"at_us"`             // time of receipt, on the receiver's clock
+	Machine string            `json:"machine,omitempty"` // the control machine that the agent watches
+}
+
+// After reports whether a report is newer than another one of the same agent.
 func (r Report) After(o Report) bool {
 	return r.Life > o.Life || r.Life == o.Life && r.Seq > o.Seq
 }
 
-// WatchArgs is an agent's question: it is answered when there is something new for it, or when
-// its patience ends.
+// WatchArgs is an agent's watch request (long poll). It is answered when there is something new for the agent
+// or when PatienceMs has passed.
 type WatchArgs struct {
-	Report     Report            // AtUs and Machine are the machine's to set
-	Have       map[string]uint64 // by Name.String(): the latest revision it was told of; empty: the whole set is sent
-	Version    uint64            // of the latest answer it took, from whichever machine
-	PatienceMs int64
+	Report     Report            // AtUs and Machine are set by the control machine
+	Have       map[string]uint64 // latest received revision by Name.String(); empty: send all documents
+	Version    uint64            // the highest version of an accepted reply from any machine
+	PatienceMs int64             // how long to wait for a change, in milliseconds
 }
 
-// WatchReply answers a watch.
+// WatchReply is the reply to a watch request.
 type WatchReply struct {
 	Machine string
-	// Version is the log index that this machine has applied: a machine whose Version is below
-	// the agent's own is behind it, and the agent goes to another.
+	// Version is the last log index that the machine has applied. If it is below the agent's own version, the
+	// machine is out of date and the agent turns to another one.
 	Version uint64
-	// Lagging: this machine has had no word of a leader for some time; what it knows is
-	// committed, but may be old. The agent serves on, and asks another.
+	// Lagging is set if the machine has had no contact with a leader for some time. What it sends is
+	// committed but may be out of date. The agent continues to serve and asks another machine.
 	Lagging bool
-	// Whole: Docs are all that the agent should have; otherwise those that have changed.
-	Whole   bool
-	Docs    []Document
-	AgainMs int64 // the patience to ask with next: short while the agent is in a first stage; 0: its own
+	// Whole is set if Docs has all documents that the agent should have; otherwise Docs has those that
+	// changed.
+	Whole bool
+	Docs  []Document
+	// AgainMs is the PatienceMs of the agent's next request, short during a first stage; 0: the agent's own
+	// setting.
+	AgainMs int64
 }
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// text4k is a document's text of 4 KiB.
+// text4k is a text of 4 KiB.
 var text4k = bytes.Repeat([]byte("0123456789abcde\n"), 256)
 
-// settledLog is a state of documents everywhere: one in ten for a1, the others each for one of other agents.
+// settledLog returns a state in which all documents are at StageEverywhere. One in ten applies to a1, each of
+// the others to a different agent.
 func settledLog(b *testing.B, documents int) *testLog {
 	l := &testLog{t: b, State: New()}
 	for i := range documents {
@@ -37,7 +38,7 @@
 	}
 }
 
-// testReports is the reports of agents in services of 30.
+// testReports returns reports of agents in services of 30 agents each.
 func testReports(agents int) []Report {
 	out := make([]Report, agents)
 	for i := range out {
@@ -98,9 +99,9 @@
 	}
 }
 
-// BenchmarkBytes tells sizes: a snapshot of documents of 4 KiB, what an agent keeps of four, a
-// watch that only asks on, its empty answer, and an answer with one document. The gob sizes are
-// of a second message: net/rpc sends the types once a connection.
+// BenchmarkBytes reports sizes: of a snapshot with documents of 4 KiB, of an agent's stored set of four
+// documents, of a watch request, and of replies without, with one and with four documents. The gob sizes are
+// those of a second message, because net/rpc sends the types only once per connection.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		l := settledLog(b, n)
--- a/rollout/coverage.go
+++ b/rollout/coverage.go
@@ -5,40 +5,40 @@
 	"slices"
 )
 
-// Coverage is where the latest revision of a document is in force, by what agents last said.
+// Coverage says where the latest revision of a document is in force, according to the agents' last reports.
 type Coverage struct {
 	Name     Name   `json:"name"`
-	Revision uint64 `json:"revision"` // the latest, a waiting one counted; 0: no such document
+	Revision uint64 `json:"revision"` // the latest, possibly waiting; 0: no such document
 	Stage    Stage  `json:"stage"`
-	// Agents are those in the scope that were heard, however long ago; InForce those of them
-	// that have the revision: they accepted it and, unless it is removed or a narrower
-	// document holds there, serve by it.
+	// Agents counts the agents of the scope with a report of any age. InForce counts those that have accepted
+	// the revision and use it; a removal, or a text hidden by a narrower document, only has to be accepted.
 	Agents  int `json:"agents"`
 	InForce int `json:"in_force"`
-	// Zones are the same by zone; agents without one are under "".
+	// Zones has the same counts by zone. Agents without a zone are listed under "".
 	Zones   map[string]ZoneCoverage `json:"zones,omitempty"`
-	Refused []AgentRefusal          `json:"refused,omitempty"` // of this revision, by agent
-	// Behind are the agents in reach that should have it now and neither have nor refuse it,
-	// OutOfReach those not heard lately, with those of its first stage never heard; by name.
+	Refused []AgentRefusal          `json:"refused,omitempty"` // refusals of this revision, sorted by agent
+	// Behind lists the reachable agents that should have the revision but have neither accepted nor refused
+	// it. OutOfReach lists the agents without a recent report, including first-stage agents that never
+	// reported. Both are sorted.
 	Behind     []string `json:"behind,omitempty"`
 	OutOfReach []string `json:"out_of_reach,omitempty"`
 }
 
-// ZoneCoverage is a zone's part of a coverage.
+// ZoneCoverage is the part of a Coverage for one zone.
 type ZoneCoverage struct {
 	InForce int `json:"in_force"`
 	Agents  int `json:"agents"`
 }
 
-// AgentRefusal is an agent's refusal.
+// AgentRefusal is a refusal with the agent that sent it.
 type AgentRefusal struct {
 	Agent string `json:"agent"`
 	Refusal
 }
 
-// ComputeCoverage tells where the latest revision of a document is in force, from the last report of each
-// agent in any order. An agent is in reach whose report is at most freshUs microseconds old, by
-// the clock of the reports' AtUs. The cost grows with the agents.
+// ComputeCoverage returns the coverage of a document's latest revision, given the last report of each agent
+// in any order. An agent counts as reachable if its report is at most freshUs microseconds old, by the clock
+// of the reports' AtUs. The cost is proportional to the number of agents.
 func ComputeCoverage(s *State, n Name, reports []Report, nowUs, freshUs int64) Coverage {
 	latest, _ := s.Latest(n)
 	c := Coverage{Name: n, Revision: latest.Revision, Stage: latest.Stage, Zones: map[string]ZoneCoverage{}}
@@ -87,7 +87,7 @@
 	return c
 }
 
-// isShadowed tells whether an agent has a narrower document of the kind, with a text.
+// isShadowed reports whether an agent has a document of the same kind with a narrower scope and a text.
 func (s *State) isShadowed(a Agent, n Name) bool {
 	scopes := a.scopes()
 	at := slices.Index(Levels, n.Scope.Level)
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -10,36 +10,37 @@
 	"unicode/utf8"
 )
 
-// documentSetMagic begins what an agent keeps on its disk.
+// documentSetMagic starts the file in which an agent stores its documents.
 const documentSetMagic = "WRHELD1\n"
 
-// ErrDocumentSet is a kept set that can't be read: none, torn, corrupt, or another agent's.
-var ErrDocumentSet = errors.New("rollout: held documents")
+// ErrDocumentSet is returned for a stored set that can't be read: it is no such file, truncated, corrupt or
+// of another agent.
+var ErrDocumentSet = errors.New("rollout: stored documents")
 
-// ErrInvalidReply is an answer that a control machine can't have given: a document whose sum is wrong,
-// that is not this agent's, too large, above the answer's version, or under a number that stood
-// for something else. Nothing of it is taken.
-var ErrInvalidReply = errors.New("rollout: answer")
+// ErrInvalidReply is returned for a reply that no correct control machine sends: it has a document whose
+// checksum is wrong, that is not for this agent, that is too large, whose revision is above the reply's
+// version, or whose revision number belonged to something else before. Nothing of such a reply is used.
+var ErrInvalidReply = errors.New("rollout: invalid reply")
 
-// DocumentSet is what one agent holds: of each document the last one accepted, which stays in force
-// until a later one is, and the latest it was told of. It is not safe for use by several
-// goroutines at once. What it returns shares texts with it: nobody may write into them.
+// DocumentSet has the documents of one agent: for each name the last accepted revision, which stays in force
+// until a later one is accepted, and the latest received revision. It is not safe for concurrent use.
+// Returned documents share their texts with the set; callers must not modify them.
 type DocumentSet struct {
 	agent   Agent
-	version uint64
+	version uint64 // highest version of an accepted reply
 	docs    map[Name]*documentRecord
 }
 
-// documentRecord is one document as it is kept.
+// documentRecord is the state of one document at the agent. Its fields are stored as JSON.
 type documentRecord struct {
-	Told     Document  `json:"told"`               // the latest
-	Accepted *Document `json:"accepted,omitempty"` // where that is an earlier one
-	Taken    bool      `json:"taken,omitempty"`    // the latest was accepted
-	Refused  bool      `json:"refused,omitempty"`  // the latest was refused
-	Why      string    `json:"why,omitempty"`
+	Told     Document  `json:"told"`               // the latest received revision
+	Accepted *Document `json:"accepted,omitempty"` // the last accepted revision if it is an earlier one
+	Taken    bool      `json:"taken,omitempty"`    // Told was accepted
+	Refused  bool      `json:"refused,omitempty"`  // Told was refused
+	Why      string    `json:"why,omitempty"`      // reason for the refusal
 }
 
-// accepted is the last document that the loader took; nil: none.
+// accepted returns the last revision that the loader accepted, or nil.
 func (k *documentRecord) accepted() *Document {
 	if k.Taken {
 		return &k.Told
@@ -47,15 +48,16 @@
 	return k.Accepted
 }
 
-// NewDocumentSet returns the set of an agent that was told nothing yet.
+// NewDocumentSet returns the empty set of an agent.
 func NewDocumentSet(a Agent) *DocumentSet {
 	return &DocumentSet{agent: a, docs: map[Name]*documentRecord{}}
 }
 
-// Receive takes an answer's documents that are newer than what the agent was told of, and returns
-// them in the order of the answer; Accept or Refuse has to follow for each. An error wraps
-// ErrForged and names the document; then nothing is taken. Older or equal numbers are passed
-// over. What a whole answer does not name stays: a document never goes without a removal.
+// Receive adds the documents of a reply that are newer than the received ones and returns them in the order
+// of the reply. The caller then has to call Accept or Refuse for each. Documents with an older or equal
+// revision are ignored. Documents that a whole reply does not list stay: a document is removed only by a
+// revision with Removed set. An error wraps ErrInvalidReply and names the document; in this case nothing is
+// added.
 func (h *DocumentSet) Receive(r WatchReply) (fresh []Document, err error) {
 	told, named := map[uint64]Name{}, map[Name]bool{}
 	for n, k := range h.docs {
@@ -68,7 +70,7 @@
 			err = errors.New("field name: twice in one answer")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%w of %.80q: %.300s revision %d: %w", ErrInvalidReply, r.Machine, d.Name, d.Revision, err)
+			return nil, fmt.Errorf("%w from %.80q: %.300s revision %d: %w", ErrInvalidReply, r.Machine, d.Name, d.Revision, err)
 		}
 		told[d.Revision], named[d.Name] = d.Name, true
 		if k == nil || d.Revision > k.Told.Revision {
@@ -87,7 +89,8 @@
 	return fresh, nil
 }
 
-// checkDocument says what is wrong with a document of an answer; told names what numbers stand for.
+// checkDocument returns an error if a document of a reply is invalid; told has the names of the known
+// revision numbers.
 func (h *DocumentSet) checkDocument(d Document, k *documentRecord, version uint64, told map[uint64]Name) error {
 	n, known := told[d.Revision]
 	switch {
@@ -114,9 +117,9 @@
 	return nil
 }
 
-// Accept notes that the loader took a document that Take returned, a removal among them: it is
-// the last known good, and seen. One that the agent was not told of, or that is older than what
-// it accepted, changes nothing.
+// Accept records that the loader accepted a document returned by Receive, which may be a removal. It becomes
+// the last known good revision. A document that was not received, or that is older than the accepted one,
+// changes nothing.
 func (h *DocumentSet) Accept(d Document) {
 	k := h.docs[d.Name]
 	switch {
@@ -130,9 +133,10 @@
 	}
 }
 
-// Refuse notes that the loader could not take the latest document of a name, and its words, of
-// which MaxWhy bytes are kept, control characters as blanks. The one accepted before stays. A document that was accepted and
-// is refused now, as a new program may do after a restart, is not accepted any more.
+// Refuse records that the loader refused a document, and at most MaxWhyBytes of its reason, with control
+// characters replaced by blanks. The revision accepted before stays in force. If the refused revision was
+// accepted earlier, which can happen when a new version of the program loads it after a restart, it does not
+// count as accepted any more.
 func (h *DocumentSet) Refuse(d Document, why string) {
 	k := h.docs[d.Name]
 	if k == nil {
@@ -146,8 +150,8 @@
 	}
 }
 
-// Effective returns the document of a kind that is in force: of those accepted and not removed
-// the one of the narrowest scope. False: none, the agent's own file holds.
+// Effective returns the document of a kind that is in force: of the accepted ones that are not removed, the
+// one with the narrowest scope. It returns false if there is none, so that the agent's own file applies.
 func (h *DocumentSet) Effective(kind string) (Document, bool) {
 	scopes := h.agent.scopes()
 	for _, s := range slices.Backward(scopes[:]) {
@@ -160,7 +164,7 @@
 	return Document{}, false
 }
 
-// KnownRevisions is what the agent was last told of, by Name.String(), for WatchArgs.Have.
+// KnownRevisions returns the latest received revisions by Name.String(), for WatchArgs.Have.
 func (h *DocumentSet) KnownRevisions() map[string]uint64 {
 	out := make(map[string]uint64, len(h.docs))
 	for n, k := range h.docs {
@@ -169,8 +173,8 @@
 	return out
 }
 
-// Report is what a report says of documents: the latest accepted of each name, by
-// Name.String(), and the latest ones that were refused, by name.
+// Report returns the document fields of a Report: the last accepted revisions by Name.String(), and the
+// refused ones among the latest revisions, sorted by name.
 func (h *DocumentSet) Report() (seen map[string]uint64, refused []Refusal) {
 	seen = make(map[string]uint64, len(h.docs))
 	for _, n := range h.names() {
@@ -185,8 +189,8 @@
 	return seen, refused
 }
 
-// Pending returns the documents that were told of and neither accepted nor refused yet, by
-// name: after a restart in between the loader has to be asked again.
+// Pending returns the received documents that are neither accepted nor refused yet, sorted by name. After a
+// restart between Receive and Accept or Refuse, they have to be loaded again.
 func (h *DocumentSet) Pending() (out []Document) {
 	for _, n := range h.names() {
 		if k := h.docs[n]; !k.Taken && !k.Refused {
@@ -196,24 +200,26 @@
 	return out
 }
 
-// Version is the highest version of an answer taken.
+// Version returns the highest version of an accepted reply.
 func (h *DocumentSet) Version() uint64 { return h.version }
 
-// IsBehind tells whether the machine that answered has applied less than this agent holds.
+// IsBehind reports whether the replying machine has applied less of the log than the agent has received.
 func (h *DocumentSet) IsBehind(r WatchReply) bool { return r.Version < h.version }
 
+// names returns the names of the documents, sorted.
 func (h *DocumentSet) names() []Name {
 	return slices.SortedFunc(maps.Keys(h.docs), func(a, b Name) int { return strings.Compare(a.String(), b.String()) })
 }
 
+// documentSetImage is the JSON form of a DocumentSet.
 type documentSetImage struct {
 	Agent   Agent             `json:"agent"`
 	Version uint64            `json:"version"`
 	Docs    []*documentRecord `json:"docs,omitempty"`
 }
 
-// Bytes is the set as it is kept on a disk: the magic, the JSON image (documents by name, so
-// that equal sets give equal bytes) and its xxhash64, big-endian, in the last 8 bytes.
+// Bytes encodes the set for storage: the magic, the JSON image (documents sorted by name, so that equal sets
+// give equal bytes) and its xxhash64, big-endian, in the last 8 bytes.
 func (h *DocumentSet) Bytes() []byte {
 	i := documentSetImage{Agent: h.agent, Version: h.version}
 	for _, n := range h.names() {
@@ -223,9 +229,9 @@
 	return encodeFrame(documentSetMagic, img)
 }
 
-// DecodeDocumentSet reads what Bytes wrote, for the agent that wrote it: an agent that has another
-// name, service, zone or region now has other documents, and fetches them. An error wraps
-// ErrHeld and names the byte, or the field where the checksum holds.
+// DecodeDocumentSet decodes the result of Bytes. It refuses a set of another agent, and also one of this
+// agent with another service, zone or region, since other documents apply there and have to be fetched. An
+// error wraps ErrDocumentSet and names the byte, or the field if the checksum is correct.
 func DecodeDocumentSet(a Agent, data []byte) (*DocumentSet, error) {
 	img, err := decodeFrame(documentSetMagic, data)
 	if err != nil {
@@ -259,6 +265,7 @@
 	return h, nil
 }
 
+// cloneDocument returns a copy of a document, or nil.
 func cloneDocument(d *Document) *Document {
 	if d == nil {
 		return nil
@@ -267,8 +274,8 @@
 	return &c
 }
 
-// singleLine makes words fit for one line of a console: valid UTF-8 without control characters, of
-// at most n bytes, cut at the end of a rune.
+// singleLine prepares a text for a console line: it replaces control characters by blanks and invalid UTF-8
+// by "?", and truncates the text to at most n bytes at the end of a rune.
 func singleLine(s string, n int) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/rollout/held_test.go
+++ b/rollout/held_test.go
@@ -15,26 +15,29 @@
 	return Document{Name: n, Revision: revision, Text: []byte(text), Sum: Sum([]byte(text)), Removed: text == ""}
 }
 
-// TestDocumentSet plays orders to an agent's set: "take N:TEXT" tells it of a document, "ok" and "no"
-// are what its loader makes of it; "" as a text is a removal. Wide is routes@all, near routes@zone/z1.
+// TestDocumentSet runs scripts on an agent's set and checks which document is in force and what is reported.
+// In a script, "wide" and "near" select routes@all and routes@zone/z1, N:TEXT receives revision N (an empty
+// text is a removal), and "ok" and "no" accept and refuse it. "old" remembers the last received document;
+// "late" accepts and "undo" refuses the remembered one. After each step the set is encoded and decoded, as at
+// a restart.
 func TestDocumentSet(t *testing.T) {
 	cases := []struct {
 		name, play, force, seen, refused string
 	}{
-		{"nothing told", "", "-", "map[]", ""},
-		{"told, not yet taken", "wide 1:x", "-", "map[]", ""},
+		{"nothing received", "", "-", "map[]", ""},
+		{"received, not yet accepted", "wide 1:x", "-", "map[]", ""},
 		{"accepted", "wide 1:x ok", "1 x", "map[routes@all:1]", ""},
-		{"the latest refused: the former stays", "wide 1:x ok wide 2:y no", "1 x", "map[routes@all:1]", "routes@all 2 no"},
-		{"the next after a refused one", "wide 1:x ok wide 2:y no wide 3:z ok", "3 z", "map[routes@all:3]", ""},
-		{"the narrower wins", "near 1:x ok wide 2:y ok", "1 x", "map[routes@all:2 routes@zone/z1:1]", ""},
-		{"the narrower refused: the wider", "wide 1:x ok near 2:y no", "1 x", "map[routes@all:1]", "routes@zone/z1 2 no"},
-		{"the narrower removed: the wider", "wide 1:x ok near 2:y ok near 3: ok", "1 x", "map[routes@all:1 routes@zone/z1:3]", ""},
-		{"all removed: the own file", "wide 1:x ok wide 2: ok", "-", "map[routes@all:2]", ""},
-		{"older ones are passed over", "wide 3:x ok wide 2:y", "3 x", "map[routes@all:3]", ""},
-		{"accepted, and refused by a new program", "wide 1:x ok no", "-", "map[]", "routes@all 1 no"},
-		{"an older one accepted after a newer", "wide 1:x old wide 2:y ok wide 3:z late", "2 y", "map[routes@all:2]", ""},
-		{"the one in force refused by a new program", "wide 1:x old ok wide 2:y undo", "-", "map[]", ""},
-		{"the former accepted late", "wide 1:x old wide 2:y late", "1 x", "map[routes@all:1]", ""},
+		{"latest refused: the previous one stays", "wide 1:x ok wide 2:y no", "1 x", "map[routes@all:1]", "routes@all 2 no"},
+		{"accepted after a refused one", "wide 1:x ok wide 2:y no wide 3:z ok", "3 z", "map[routes@all:3]", ""},
+		{"the narrower scope is in force", "near 1:x ok wide 2:y ok", "1 x", "map[routes@all:2 routes@zone/z1:1]", ""},
+		{"narrower scope refused: the wider one is in force", "wide 1:x ok near 2:y no", "1 x", "map[routes@all:1]", "routes@zone/z1 2 no"},
+		{"narrower scope removed: the wider one is in force", "wide 1:x ok near 2:y ok near 3: ok", "1 x", "map[routes@all:1 routes@zone/z1:3]", ""},
+		{"all removed: the agent's own file is in force", "wide 1:x ok wide 2: ok", "-", "map[routes@all:2]", ""},
+		{"older revisions are ignored", "wide 3:x ok wide 2:y", "3 x", "map[routes@all:3]", ""},
+		{"accepted, later refused by a new program version", "wide 1:x ok no", "-", "map[]", "routes@all 1 no"},
+		{"an older revision is accepted after a newer one", "wide 1:x old wide 2:y ok wide 3:z late", "2 y", "map[routes@all:2]", ""},
+		{"the revision in force is refused by a new program version", "wide 1:x old ok wide 2:y undo", "-", "map[]", ""},
+		{"the previous revision is accepted late", "wide 1:x old wide 2:y late", "1 x", "map[routes@all:1]", ""},
 	}
 	for _, c := range cases {
 		h := NewDocumentSet(a1)
@@ -88,8 +91,8 @@
 		t.Fatal(err)
 	}
 	h.Accept(testDocument(routes, 5, "x"))
-	h.Accept(testDocument(routes, 9, "z")) // never told of
-	h.Refuse(testDocument(byZone, 3, "y"), "an older one")
+	h.Accept(testDocument(routes, 9, "z")) // never received
+	h.Refuse(testDocument(byZone, 3, "y"), "an older revision")
 	if p := h.Pending(); len(p) != 1 || p[0].Revision != 4 || h.Version() != 7 || !h.IsBehind(WatchReply{Version: 6}) || h.IsBehind(WatchReply{Version: 7}) ||
 		!maps.Equal(h.KnownRevisions(), map[string]uint64{"routes@all": 5, "routes@zone/z1": 4}) {
 		t.Errorf("pending %v, version %d, have %v", p, h.Version(), h.KnownRevisions())
@@ -105,6 +108,8 @@
 	}
 }
 
+// TestInvalidReplies checks that a reply with one invalid document is refused as a whole and changes nothing.
+// Taking a part of it could give an agent a text that the control group never committed.
 func TestInvalidReplies(t *testing.T) {
 	with := func(d Document, change func(*Document)) Document { change(&d); return d }
 	good := testDocument(routes, 2, "x")
@@ -138,7 +143,8 @@
 	}
 }
 
-// TestCorruptDocumentSet: each cut and each flipped byte of what is kept is refused, naming a byte.
+// TestCorruptDocumentSet checks that a stored set is refused, with the byte offset, after any truncation or
+// flipped bit, as a crash or a failing disk can cause, and that the set of another agent or zone is refused.
 func TestCorruptDocumentSet(t *testing.T) {
 	h := NewDocumentSet(a1)
 	for i, text := range []string{"x", "y"} {
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -11,21 +11,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// snapshotMagic begins every snapshot, so that a file of something else is named as such.
+// snapshotMagic starts every snapshot, so that a file of another kind is recognized.
 const snapshotMagic = "WRROLL1\n"
 
-// ErrSnapshot is a snapshot that can't be restored: not one, cut short, or corrupt.
+// ErrSnapshot is returned for data that is not a snapshot, is truncated or is corrupt.
 var ErrSnapshot = errors.New("rollout: snapshot")
 
-// Image is a state's copy that later entries do not change, so that a snapshot can be written
-// while the log goes on.
+// Image is an immutable copy of a State, so that a snapshot can be written while further entries are applied.
 type Image struct{ image image }
 
+// image is the JSON form of a State.
 type image struct {
 	Applied uint64     `json:"applied"`
 	Docs    []docImage `json:"docs,omitempty"`
 }
 
+// docImage is the JSON form of a document with its revisions.
 type docImage struct {
 	Now    *Revision   `json:"now,omitempty"`
 	First  *Revision   `json:"first,omitempty"`
@@ -33,7 +34,7 @@
 	Former []*Revision `json:"former,omitempty"`
 }
 
-// Image copies the state. Texts and revisions are shared: nothing writes into them.
+// Image copies the state. Texts and revisions are shared, as they are never modified.
 func (s *State) Image() Image {
 	i := image{Applied: s.applied, Docs: make([]docImage, 0, len(s.docs))}
 	for _, d := range s.sortedDocs() {
@@ -42,15 +43,15 @@
 	return Image{i}
 }
 
-// Bytes is the snapshot of the copied state: the magic, the JSON image (documents by name, so
+// Bytes returns the snapshot of the copied state: the magic, the JSON image (documents sorted by name, so
 // that equal states give equal bytes) and the image's xxhash64, big-endian, in the last 8 bytes.
 func (i Image) Bytes() []byte {
 	img, _ := json.Marshal(i.image)
 	return encodeFrame(snapshotMagic, img)
 }
 
-// Restore returns the state that a snapshot holds. One that is none, is cut short, or whose
-// checksum does not match is refused with ErrSnapshot naming the byte.
+// Restore decodes a snapshot. Data that is not a snapshot, is truncated or whose checksum does not match is
+// refused with an ErrSnapshot that names the byte.
 func Restore(data []byte) (*State, error) {
 	img, err := decodeFrame(snapshotMagic, data)
 	if err != nil {
@@ -91,14 +92,14 @@
 	return s, nil
 }
 
-// encodeFrame frames an image: the magic, the image, and its xxhash64, big-endian.
+// encodeFrame returns the magic, the image, and the image's xxhash64, big-endian.
 func encodeFrame(magic string, img []byte) []byte {
 	out := make([]byte, 0, len(magic)+len(img)+8)
 	out = append(append(out, magic...), img...)
 	return binary.BigEndian.AppendUint64(out, xxhash.Sum64(img))
 }
 
-// decodeFrame returns the image of a frame; an error names the byte.
+// decodeFrame returns the image of a frame made by encodeFrame. An error names the byte.
 func decodeFrame(magic string, data []byte) ([]byte, error) {
 	for i := range min(len(magic), len(data)) {
 		if data[i] != magic[i] {
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -11,36 +11,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of an entry's words.
+// Limits of entries, and the author of restored revisions.
 const (
-	// MaxFirstAgents bounds the agents of a first stage.
+	// MaxFirstAgents limits the agents of a first stage.
 	MaxFirstAgents = 4096
-	// MaxHaltWhyBytes bounds the bytes of a halt's words: an agent's name and its refusal fit.
+	// MaxHaltWhyBytes limits the reason of a halt. An agent's name and its refusal fit.
 	MaxHaltWhyBytes = MaxWhyBytes + 2*maxWordBytes
-	// AuthorRollout is the author of the revisions that a halt makes.
+	// AuthorRollout is the author of the revisions that restore a text after a halt.
 	AuthorRollout = "rollout"
 )
 
-// State is the replicated state: every document with its revisions. It is deterministic: states
-// that have applied the same entries are equal. The zero value is not ready; use New. It is not
-// safe for use by several goroutines at once. What it returns shares texts and lists with it:
-// nobody may write into them.
+// State is the replicated state: every document with its revisions. It is deterministic: states that have
+// applied the same entries are equal. Use New to create one; the zero value is not usable. It is not safe for
+// concurrent use. Returned values share texts and lists with the state; callers must not modify them.
 type State struct {
 	applied    uint64
 	docs       map[Name]*doc
-	byScope    map[Scope][]*doc // those of a scope, by key
-	open       map[*doc]bool    // with a revision waiting or at its first stage
-	totalBytes int              // bytes of all texts kept
+	byScope    map[Scope][]*doc // the documents of each scope, sorted by key
+	open       map[*doc]bool    // documents with a revision that waits or is at its first stage
+	totalBytes int              // bytes of all stored texts, at most MaxTotalBytes
 }
 
-// doc is a document. Its revisions are never written into, so that an Image may share them.
+// doc is a document with its revisions. A revision is replaced and never modified, because an Image may share
+// it.
 type doc struct {
 	name    Name
 	key     string      // name.String()
-	current *Revision   // everywhere; nil: none yet
-	first   *Revision   // at its first stage
-	waiting *Revision   // waiting
-	former  []*Revision // superseded and halted, by number
+	current *Revision   // the revision at StageEverywhere; nil: none yet
+	first   *Revision   // the revision at StageFirst; nil: none
+	waiting *Revision   // the revision at StageWaiting; nil: none
+	former  []*Revision // superseded and halted revisions, sorted by number
 }
 
 // New returns the empty state, at index 0.
@@ -48,29 +48,32 @@
 	return &State{docs: map[Name]*doc{}, byScope: map[Scope][]*doc{}, open: map[*doc]bool{}}
 }
 
-// Sum is the checksum of a text, as Document.Sum has it.
+// Sum returns the checksum of a text for Document.Sum.
 func Sum(text []byte) uint64 { return xxhash.Sum64(text) }
 
-// Encode is an entry's bytes in the log.
+// Encode returns an entry's bytes in the log.
 func Encode(e Entry) []byte {
 	b, _ := json.Marshal(e) // a struct of strings and numbers always marshals
 	return b
 }
 
-// Apply applies the entry at index; entries come in log order, each once. An index at or below
-// the last applied one is refused with ErrEntry and changes nothing. An entry that is malformed,
-// unknown or over a bound is refused with ErrEntry naming the field or byte and the figure, a put
-// against another than the latest revision with ErrConflict naming that and its author; both
-// change nothing but Applied, as every replica has to skip them alike.
+// Apply applies the log entry at index. Entries must be applied in log order. An index at or below the last
+// applied one is refused with ErrEntry and changes nothing. An entry that is malformed, unknown or over a
+// limit is refused with an ErrEntry that names the field or byte and the value. A put whose Base is not the
+// latest revision is refused with an ErrConflict that names the latest revision and its author. A refused
+// entry changes only the applied index, since every replica has to skip it in the same way.
 //
-// A put's number is its index. It waits, and takes the place of one that waited; OpStart brings
-// it to its first stage, OpAdvance everywhere, OpHalt gives it up and has the former text again
-// under the halt's index (removed, if there was none). A put that waits behind a halted one,
-// written against it, stays: its author saw that text, and what is wrong with both is found by
-// a first stage of its own. Its number is now below that of the restored text, and an agent's
-// number must not fall, so its OpStart puts it under the start's own index, with Restores naming
-// its former one, which is Superseded. An OpStart of a revision at its first stage adds agents
-// there and takes none away. Any other start, advance or halt does nothing: Changed is false.
+// The revision number of a put is its log index. The revision waits and supersedes one that was already
+// waiting. OpStart brings it to its first stage and OpAdvance to all agents. OpHalt gives it up and restores
+// the previous text under the index of the halt; if there was none, that revision is a removal.
+//
+// A revision that waits behind a halted one, and was written against it, stays: its author knew the halted
+// text, and its own first stage will find what is wrong with it. Its number is then below that of the
+// restored text. Since an agent's revision number must never decrease, OpStart gives it the index of the
+// start as a new number, sets Restores to the old number, and archives the old number as superseded.
+//
+// An OpStart of a revision that is already at its first stage adds agents to the stage and removes none. Any
+// other start, advance or halt has no effect, and Changed is false.
 func (s *State) Apply(index uint64, data []byte) (Result, error) {
 	if index <= s.applied {
 		return Result{}, fmt.Errorf("%w: index %d already applied (at %d)", ErrEntry, index, s.applied)
@@ -94,6 +97,7 @@
 	return Result{}, nil
 }
 
+// applyPut applies an OpPut.
 func (s *State) applyPut(index uint64, e Entry) (Result, error) {
 	d := s.docs[e.Name]
 	latest := d.latest()
@@ -183,7 +187,7 @@
 	return Result{Revision: d.first.Revision, Changed: true}
 }
 
-// archive puts a revision among the former ones.
+// archive adds a copy of a revision to the former ones, with the given stage and reason.
 func (s *State) archive(d *doc, r *Revision, as Stage, why string) {
 	if r == nil {
 		return
@@ -191,10 +195,11 @@
 	c := *r
 	c.Stage, c.Why = as, why
 	at, _ := slices.BinarySearchFunc(d.former, c.Revision, compareNumber)
-	d.former = slices.Insert(slices.Clone(d.former), at, &c) // an Image may share the old list
+	d.former = slices.Insert(slices.Clone(d.former), at, &c) // cloned because an Image may share the old list
 }
 
-// enforceBounds keeps the bounds and the index of open documents after a change of d.
+// enforceBounds drops former revisions until the limits are kept, and updates the set of open documents,
+// after a change of d.
 func (s *State) enforceBounds(d *doc) {
 	if d.first != nil || d.waiting != nil {
 		s.open[d] = true
@@ -212,18 +217,20 @@
 			}
 		}
 		if oldest == nil {
-			return // can't be: put looked
+			return // unreachable: applyPut checks that enough can be dropped
 		}
 		s.dropOldest(oldest)
 	}
 }
 
+// dropOldest drops the oldest former revision of a document.
 func (s *State) dropOldest(d *doc) {
 	s.totalBytes -= len(d.former[0].Text)
 	d.former = d.former[1:]
 }
 
-// droppableBytes is how many bytes the former texts have, with the one that a put to d supersedes.
+// droppableBytes returns the size of the texts that can be dropped: those of all former revisions and the
+// waiting one that a put to the given document supersedes.
 func (s *State) droppableBytes(to *doc) (n int) {
 	for _, d := range s.docs {
 		for _, r := range d.former {
@@ -236,7 +243,7 @@
 	return n
 }
 
-// addDocument enters a new document.
+// addDocument adds a new document without revisions.
 func (s *State) addDocument(n Name) *doc {
 	d := &doc{name: n, key: n.String()}
 	s.docs[n] = d
@@ -246,10 +253,10 @@
 	return d
 }
 
-// DocumentsFor returns the documents whose scope holds an agent, removed ones among them, as it should
-// have them now: the revision at its first stage where the agent is in that, otherwise the one
-// that is everywhere; by name. Of a name the number that an agent gets never falls as the log
-// goes on. The cost grows with the documents of the agent alone.
+// DocumentsFor returns the documents that an agent should have now, including removed ones, sorted by name.
+// Each has the revision at its first stage if the agent is in that stage, and otherwise the one at
+// StageEverywhere. The revision number that an agent gets for a name never decreases. The cost is
+// proportional to the number of the agent's documents.
 func (s *State) DocumentsFor(a Agent) []Document {
 	var docs [5][]*doc
 	n := 0
@@ -261,7 +268,7 @@
 		return nil
 	}
 	out := make([]Document, 0, n)
-	for { // the lists are in order: merge them
+	for { // merge the sorted lists
 		least := -1
 		for i, l := range docs {
 			if len(l) > 0 && (least < 0 || l[0].key < docs[least][0].key) {
@@ -278,7 +285,7 @@
 	}
 }
 
-// InFirstStage tells whether an agent is in some first stage that is open.
+// InFirstStage reports whether an agent is in the first stage of any document.
 func (s *State) InFirstStage(a Agent) bool {
 	for d := range s.open {
 		if d.inFirstStage(a.Name) && d.name.Scope.Contains(a) {
@@ -288,14 +295,15 @@
 	return false
 }
 
-// Latest returns a document's head, with which a put's Base is compared: the one that waits,
-// else the one at its first stage, else the one everywhere; false if there is no such document.
+// Latest returns the latest revision of a document, with which the Base of a put is compared: the one that
+// waits, otherwise the one at its first stage, otherwise the one at all agents. It returns false if there is
+// no such document.
 func (s *State) Latest(n Name) (Revision, bool) {
 	r := s.docs[n].latest()
 	return r, r.Revision > 0
 }
 
-// History returns the revisions of a document that are kept, the highest number first.
+// History returns the stored revisions of a document, highest number first.
 func (s *State) History(n Name) (out []Revision) {
 	if d := s.docs[n]; d != nil {
 		for _, r := range slices.Concat(d.former, []*Revision{d.current, d.first, d.waiting}) {
@@ -308,7 +316,7 @@
 	return out
 }
 
-// Names lists the documents, removed ones among them, by name.
+// Names returns the sorted names of all documents, including removed ones.
 func (s *State) Names() []Name {
 	out := make([]Name, 0, len(s.docs))
 	for _, d := range s.sortedDocs() {
@@ -317,7 +325,7 @@
 	return out
 }
 
-// Open lists the revisions that wait or are at their first stage, the oldest first.
+// Open returns the revisions that wait or are at their first stage, oldest first.
 func (s *State) Open() (out []Revision) {
 	for d := range s.open {
 		for _, r := range []*Revision{d.first, d.waiting} {
@@ -330,14 +338,15 @@
 	return out
 }
 
-// Applied is the index of the last entry applied.
+// Applied returns the index of the last applied entry.
 func (s *State) Applied() uint64 { return s.applied }
 
-// scopes are the scopes that hold an agent, the widest first.
+// scopes returns the scopes that contain an agent, widest first.
 func (a Agent) scopes() [5]Scope {
 	return [5]Scope{{Level: LevelAll}, {LevelRegion, a.Region}, {LevelZone, a.Zone}, {LevelService, a.Service}, {LevelAgent, a.Name}}
 }
 
+// sortedDocs returns all documents, sorted by key.
 func (s *State) sortedDocs() []*doc {
 	out := make([]*doc, 0, len(s.docs))
 	for _, d := range s.docs {
@@ -351,6 +360,7 @@
 
 func compareNumber(r *Revision, n uint64) int { return cmp.Compare(r.Revision, n) }
 
+// inFirstStage reports whether an agent is in the document's first stage.
 func (d *doc) inFirstStage(agent string) bool {
 	if d.first == nil {
 		return false
@@ -359,7 +369,7 @@
 	return ok
 }
 
-// revisionFor is the revision that an agent of the scope should have; nil: none.
+// revisionFor returns the revision that an agent of the scope should have, or nil.
 func (d *doc) revisionFor(a Agent) *Revision {
 	if d.inFirstStage(a.Name) {
 		return d.first
@@ -367,6 +377,7 @@
 	return d.current
 }
 
+// latest returns the latest revision, or the zero Revision if d is nil.
 func (d *doc) latest() Revision {
 	if d != nil {
 		for _, r := range []*Revision{d.waiting, d.first, d.current} {
@@ -378,7 +389,7 @@
 	return Revision{}
 }
 
-// find returns a revision that is kept.
+// find returns the stored revision with a number, or nil.
 func (d *doc) find(n uint64) *Revision {
 	if d != nil {
 		for _, r := range append([]*Revision{d.current, d.first, d.waiting}, d.former...) {
@@ -390,7 +401,7 @@
 	return nil
 }
 
-// numberAndAuthor words a revision with its author.
+// numberAndAuthor returns a description of a revision for error messages.
 func (r Revision) numberAndAuthor() string {
 	switch {
 	case r.Revision == 0:
@@ -401,14 +412,14 @@
 	return fmt.Sprintf("%d by %s", r.Revision, r.Author)
 }
 
-// union is the sorted union of a sorted list and another; it writes into neither.
+// union returns the sorted union of two lists and modifies neither.
 func union(a, b []string) []string {
 	out := slices.Concat(a, b)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// validate names the first field of an entry that can't be applied.
+// validate returns an error that names the first invalid field of an entry.
 func (e Entry) validate() error {
 	switch e.Op {
 	case OpPut:
@@ -442,18 +453,18 @@
 	return fmt.Errorf("field op: %.80q is no operation", e.Op)
 }
 
-// valid tells whether ParseName reads a name back as it is.
+// valid reports whether ParseName parses the name's text to the same name.
 func (n Name) valid() bool {
 	back, err := ParseName(n.String())
 	return err == nil && back == n
 }
 
-// isAuthor tells whether a text may be a word of a console's line, such as an author.
+// isAuthor reports whether a text can be an author, which has to be one word of a console line.
 func isAuthor(s string) bool {
 	return s != "" && len(s) <= maxWordBytes && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
-// describeJSONError words a JSON error with the byte it stands at.
+// describeJSONError returns the text of a JSON error with its byte offset.
 func describeJSONError(data []byte, err error) string {
 	var syn *json.SyntaxError
 	if errors.As(err, &syn) {
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -15,7 +15,7 @@
 	byZone = Name{Kind: "routes", Scope: Scope{Level: LevelZone, Of: "z1"}}
 )
 
-// testLog applies entries from index 1 on.
+// testLog applies entries to a State at consecutive indexes, starting at 1, and counts the starts.
 type testLog struct {
 	t interface {
 		Helper()
@@ -25,6 +25,7 @@
 	starts int
 }
 
+// tryApply applies an entry at the next index.
 func (l *testLog) tryApply(e Entry) (Result, error) {
 	if e.Op == OpStart {
 		l.starts++
@@ -32,6 +33,8 @@
 	return l.Apply(l.Applied()+1, Encode(e))
 }
 
+// mustApply is like tryApply but fails the test if the entry is refused or has no effect. It returns the
+// revision.
 func (l *testLog) mustApply(e Entry) uint64 {
 	l.t.Helper()
 	r, err := l.tryApply(e)
@@ -41,20 +44,21 @@
 	return r.Revision
 }
 
+// put adds a revision on top of the latest one and returns its number.
 func (l *testLog) put(n Name, text string) uint64 {
 	l.t.Helper()
 	head, _ := l.Latest(n)
 	return l.mustApply(Entry{Op: OpPut, Name: n, Base: head.Revision, Text: []byte(text), Author: "anna"})
 }
 
-// putEverywhere puts a text and brings it everywhere.
+// putEverywhere puts a text and brings it to all agents.
 func (l *testLog) putEverywhere(n Name, text string) uint64 {
 	l.t.Helper()
 	r := l.mustApply(Entry{Op: OpStart, Revision: l.put(n, text)})
 	return l.mustApply(Entry{Op: OpAdvance, Revision: r})
 }
 
-// describeHistory tells the kept revisions of a document, the newest first.
+// describeHistory describes the stored revisions of a document, newest first.
 func (l *testLog) describeHistory(n Name) string {
 	var out []string
 	for _, r := range l.History(n) {
@@ -70,6 +74,7 @@
 	return strings.Join(out, ", ")
 }
 
+// TestStages checks the stages of revisions and the document that agents get at each stage.
 func TestStages(t *testing.T) {
 	start := func(r uint64, first ...string) Entry { return Entry{Op: OpStart, Revision: r, First: first} }
 	advance := func(r uint64) Entry { return Entry{Op: OpAdvance, Revision: r} }
@@ -81,23 +86,23 @@
 		name    string
 		entries []Entry
 		want    string
-		a1, b1  string // what a first-stage agent has, and another
+		a1, b1  string // the documents of a first-stage agent and of another agent
 	}{
 		{"waits", []Entry{put(0, "x")}, `1 waiting "x"`, "", ""},
 		{"first stage", []Entry{put(0, "x"), start(1, "a1")}, `1 first "x"`, "1 x", ""},
 		{"everywhere", []Entry{put(0, "x"), start(1, "a1"), advance(1)}, `1 everywhere "x"`, "1 x", "1 x"},
-		{"one waits behind the first, the newest", []Entry{put(0, "x"), start(1, "a1"), put(1, "y"), put(3, "z"), start(4, "a1")},
+		{"only the newest waits behind a first stage", []Entry{put(0, "x"), start(1, "a1"), put(1, "y"), put(3, "z"), start(4, "a1")},
 			`4 waiting "z", 3 superseded "y", 1 first "x"`, "1 x", ""},
-		{"halted: nothing was there before", []Entry{put(0, "x"), start(1, "a1"), halt(1)}, `3 everywhere "" removed, 1 halted "x"`, "3 -", "3 -"},
-		{"halted: the former text under a new number", []Entry{put(0, "x"), start(1, "a1"), advance(1), put(1, "y"), start(4, "a1"), halt(4)},
+		{"halted without a previous text: removed", []Entry{put(0, "x"), start(1, "a1"), halt(1)}, `3 everywhere "" removed, 1 halted "x"`, "3 -", "3 -"},
+		{"halted: the previous text returns under a new number", []Entry{put(0, "x"), start(1, "a1"), advance(1), put(1, "y"), start(4, "a1"), halt(4)},
 			`6 everywhere "x" of 1, 4 halted "y", 1 superseded "x"`, "6 x", "6 x"},
-		{"halted while the next waits: that one stays, and starts under a higher number",
+		{"halted while the next waits: the next one stays and starts under a higher number",
 			[]Entry{put(0, "x"), start(1, "a1"), put(1, "y"), halt(1), start(3, "b1")},
 			`5 first "y" of 3, 4 everywhere "" removed, 3 superseded "y", 1 halted "x"`, "4 -", "5 y"},
-		{"late proposals do nothing", []Entry{put(0, "x"), advance(1), halt(1), start(1, "a1"), advance(1), advance(1), halt(1), start(1, "b1")},
+		{"late proposals have no effect", []Entry{put(0, "x"), advance(1), halt(1), start(1, "a1"), advance(1), advance(1), halt(1), start(1, "b1")},
 			`1 everywhere "x"`, "1 x", "1 x"},
 		{"a second start adds agents", []Entry{put(0, "x"), start(1, "a1"), start(1, "b1")}, `1 first "x"`, "1 x", "1 x"},
-		{"removed by stages, and back", []Entry{put(0, "x"), start(1), advance(1), {Op: OpPut, Name: routes, Base: 1, Remove: true, Author: "b"},
+		{"removed in stages, then restored", []Entry{put(0, "x"), start(1), advance(1), {Op: OpPut, Name: routes, Base: 1, Remove: true, Author: "b"},
 			start(4, "a1"), advance(4), {Op: OpPut, Name: routes, Base: 4, Restore: 1, Author: "b"}, start(7, "b1")},
 			`7 first "x" of 1, 4 everywhere "" removed, 1 superseded "x"`, "4 -", "7 x"},
 	}
@@ -125,6 +130,8 @@
 	}
 }
 
+// TestRefusedEntries checks that invalid entries are refused with the reason and change nothing but the
+// applied index. Otherwise replicas of different versions could diverge.
 func TestRefusedEntries(t *testing.T) {
 	put := Entry{Op: OpPut, Name: byZone, Base: 0, Text: []byte("x"), Author: "anna"}
 	with := func(change func(*Entry)) []byte {
@@ -168,13 +175,15 @@
 		}
 	}
 	if _, err := l.Apply(l.Applied(), Encode(put)); !errors.Is(err, ErrEntry) {
-		t.Error("an index applied twice:", err)
+		t.Error("an index is applied twice:", err)
 	}
 	if got := fmt.Sprint(l.Image().image.Docs); got != fmt.Sprint(docs) {
 		t.Errorf("a refused entry changed the state: %s", got)
 	}
 }
 
+// TestBounds checks the limits of stored revisions, text bytes and documents: without them the state, and
+// every snapshot of it, would grow with each change.
 func TestBounds(t *testing.T) {
 	l := &testLog{t: t, State: New()}
 	for range 3 * MaxFormerRevisions {
@@ -183,7 +192,8 @@
 	if got := len(l.History(routes)); got != MaxFormerRevisions+1 {
 		t.Errorf("%d revisions kept, want %d and the one in force", got, MaxFormerRevisions)
 	}
-	// Of MaxTotal two thirds are former texts: they go, the oldest first, and what is in force stays.
+	// Two thirds of MaxTotalBytes are texts of former revisions. They are dropped, oldest first; the current
+	// ones stay.
 	l = &testLog{t: t, State: New()}
 	text := strings.Repeat("x", MaxTextBytes)
 	names := make([]Name, MaxTotalBytes/MaxTextBytes)
@@ -219,9 +229,10 @@
 	}
 }
 
-// TestNumbersNeverFall: over random entries, with restores from snapshots between, of each name
-// the number an agent gets never falls, one number never has two texts or names, a former
-// agent of a first stage keeps what it has, and a restored state goes on as the other does.
+// TestNumbersNeverFall applies random entries, with restores from snapshots in between. It checks that the
+// revision number that an agent gets for a document never decreases, also after it leaves a first stage (the
+// agent would ignore a lower number), that a number never has two texts or names, and that a restored replica
+// stays equal to the other one.
 func TestNumbersNeverFall(t *testing.T) {
 	agents := []Agent{{"a1", "s", "z1", "r"}, {"a2", "s", "z1", "r"}, {"b1", "t", "z2", "r"}, {"b2", "t", "z2", "q"}}
 	names := []Name{routes, byZone, {"routes", Scope{LevelAgent, "b1"}}, {"spread", Scope{LevelService, "s"}}}
@@ -295,16 +306,19 @@
 	})
 }
 
+// TestSnapshotRefused checks that truncated, corrupt and inconsistent snapshots are refused, and that an
+// Image does not change with its State.
 func TestSnapshotRefused(t *testing.T) {
 	l := &testLog{t: t, State: New()}
 	l.putEverywhere(routes, "x")
 	l.mustApply(Entry{Op: OpStart, Revision: l.put(routes, "y")})
 	for range 6 {
-		l.put(routes, "waits") // so that the former ones have room before the next
+		// Gives the list of former revisions spare capacity, so that an append would change a shared list.
+		l.put(routes, "waits")
 	}
 	whole := l.Image()
 	data := whole.Bytes()
-	l.mustApply(Entry{Op: OpHalt, Revision: 4}) // an image stays as it was
+	l.mustApply(Entry{Op: OpHalt, Revision: 4}) // must not change the image
 	if !bytes.Equal(whole.Bytes(), data) {
 		t.Error("an image changed with its state")
 	}
--- a/rollout/steward.go
+++ b/rollout/steward.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Settings are how careful a first stage is.
+// Settings are the parameters of a first stage.
 type Settings struct {
 	PerService int           // agents of each service in a first stage, 1 to 64
-	Dwell      time.Duration // how long an agent must stand with a revision, 0 to 1 min
-	Patience   time.Duration // how long an agent that is not heard holds a stage up, above 0, at most Fresh
-	Fresh      time.Duration // how old a report may be to count for an agent in reach, at most 1 min
-	Worse      float64       // by how much the share of failed calls may be worse, above 0, at most 1
-	LeastCalls uint64        // ended on each side before shares are compared, at least 1
+	Dwell      time.Duration // how long an agent must run with a revision without a restart, 0 to 1 min
+	Patience   time.Duration // how long an agent without reports delays a stage, above 0, at most Fresh
+	Fresh      time.Duration // how old the last report of a reachable agent can be, at most 1 min
+	Worse      float64       // by how much the share of failed calls may rise, above 0, at most 1
+	LeastCalls uint64        // ended calls needed on each side of a comparison, at least 1
 }
 
-// Defaults are the settings where none are given.
+// Defaults are used when no settings are given.
 var Defaults = Settings{PerService: 2, Dwell: time.Second, Patience: 3 * time.Second, Fresh: 5 * time.Second, Worse: 0.05, LeastCalls: 50}
 
-// Check names every field that can't be used, by its name in an operators' file.
+// Check returns one error for each invalid field, with the field's name in the operators' file.
 func (s Settings) Check() (out []error) {
 	bad := func(ok bool, format string, args ...any) {
 		if !ok {
@@ -39,67 +39,70 @@
 	return out
 }
 
-// StageController is the leader's decision about stages. What it remembers are the counters of calls
-// when a stage began and when its agents took the revision; a new leader's steward takes what
-// it finds as the beginning, and the stage lasts a Dwell longer. It is not safe for use by
-// several goroutines at once.
+// StageController makes the leader's decisions about stages. It remembers the call counters at the start of a
+// stage and at the time its agents accepted the revision. After a change of leader the new controller uses
+// the counters that it finds, so the stage lasts a Dwell longer. It is not safe for concurrent use.
 type StageController struct {
 	settings     Settings
-	firstAskedUs int64 // first asked; 0: never
+	firstAskedUs int64 // time of the first Decide; 0: none yet
 	stages       map[Name]*firstStage
 }
 
-// firstStage is what a steward remembers of a first stage.
+// firstStage is what a StageController remembers of a revision's first stage.
 type firstStage struct {
 	revision      uint64
-	atStart       map[string]callCounters // of every agent, when the stage began
-	atFirstAccept map[string]callCounters // and when the first agent took it; nil: none has
+	atStart       map[string]callCounters // counters of every agent when the stage began
+	atFirstAccept map[string]callCounters // and when the first agent had accepted it; nil: none has
 	agents        map[string]*stageAgent
-	selections    int // how often this steward has chosen agents
+	selections    int // how often this controller has selected agents
 }
 
+// callCounters are an agent's call counters within one life.
 type callCounters struct {
 	life          int64
 	calls, failed uint64
 }
 
-// stageAgent is an agent of a first stage.
+// stageAgent is what a StageController remembers of an agent of a first stage.
 type stageAgent struct {
-	firstSeenUs   int64 // looked at first
-	acceptedLives int   // that accepted the revision
-	acceptedUs    int64 // the last of them, heard
-	atAccept      callCounters
+	firstSeenUs   int64        // time of the first look at the agent
+	acceptedLives int          // number of lives in which it accepted the revision
+	acceptedUs    int64        // when the report of the last acceptance was received
+	atAccept      callCounters // counters in that report
 }
 
-// NewStageController returns a steward that was not asked yet. One for a process's life will do, as will
-// one for each time it leads.
+// NewStageController returns a new controller. A process can use a single one or a new one each time it
+// becomes leader.
 func NewStageController(s Settings) *StageController {
 	return &StageController{settings: s, stages: map[Name]*firstStage{}}
 }
 
-// Decide returns what the leader proposes next, given the last report of each agent in any order
-// and the time by the clock of their AtUs. It is asked again when what it returned has been
-// applied or has failed, when reports change, and at least twice in a Dwell while State.Open has
-// any; what is proposed twice does nothing the second time. The cost grows with the agents only
-// while something is open.
+// Decide returns the entries that the leader should propose next, given the last report of each agent in any
+// order and the current time by the clock of the reports' AtUs. The leader calls it again when a returned
+// entry has been applied or has failed, when reports change, and at least twice per Dwell while State.Open
+// has any revisions. Proposing an entry twice has no further effect. The cost is proportional to the number
+// of agents while a revision is open, and constant otherwise.
 //
-// A waiting revision starts at agents chosen by pick. With nobody heard in its scope it starts
-// at none, and goes everywhere with the next decision; a steward asked for the first time waits
-// a Patience before it believes that, as its machine's table may be new.
+// A waiting revision starts at the agents that pickAgents selects. If no agent of its scope is reachable, it
+// starts without agents and goes to all agents with the next decision. A new controller waits a Patience
+// before it concludes this, because its machine may not have received reports yet.
 //
-// A revision goes everywhere when each agent of its first stage that is within reach has stood:
-// it accepted, and was heard again in the same life a Dwell or more later. An agent that was
-// not heard for a Patience doesn't hold it up, nor does one that is heard but has not stood
-// within two, as long as one has. If all are silent, others are chosen beside them (who may have
-// the revision stays in its stage, as its number must not fall); with no others it waits.
+// A revision goes to all agents when each reachable agent of its first stage has stood, that is, has accepted
+// the revision and reported again in the same life at least a Dwell later. Provided that at least one agent
+// has stood, the stage does not wait for agents without a report for a Patience, nor for agents that report
+// but have not stood after two Patiences. If no agent of the stage has reported for a Patience, further
+// agents are added. The silent ones stay in the stage because they may have the revision, and an agent's
+// revision number must not decrease. If there are no further agents, the stage waits.
 //
-// It is halted when an agent of its first stage refuses it; when the share of failed calls of
-// those that took it, since then, is worse by more than Worse than both their own before the
-// stage (over their life until then) and that of the other agents of their services over the
-// same time, with LeastCalls or more ended on each of the three sides (with fewer it passes, so
-// also in a service of one agent); when all agents of a second choice fell silent too and some of
-// all those had accepted; or when agents restart after they accepted so that none has stood
-// within two Patiences.
+// A revision is halted in any of these cases:
+//   - an agent of its first stage refuses it;
+//   - since they accepted it, the agents' share of failed calls exceeds two other shares by more than Worse:
+//     their own before the stage (over the life in progress at its start), and that of the other agents of
+//     their services in the meantime. Each of the three needs at least LeastCalls ended calls, otherwise the
+//     check passes; thus it always passes in a service with a single agent;
+//   - all agents of the stage stopped reporting, also those of a second selection, and some of them had
+//     accepted;
+//   - agents restart after they accepted it, so that none has stood within two Patiences.
 func (w *StageController) Decide(s *State, reports []Report, nowUs int64) (out []Entry) {
 	if w.firstAskedUs == 0 {
 		w.firstAskedUs = nowUs
@@ -136,7 +139,7 @@
 	return out
 }
 
-// decision is one run of Decide.
+// decision holds the inputs of one call of Decide.
 type decision struct {
 	controller *StageController
 	nowUs      int64
@@ -144,16 +147,17 @@
 	byName     map[string]*Report
 }
 
+// heardWithin reports whether a report was received within a time span before now.
 func (d *decision) heardWithin(r *Report, span time.Duration) bool {
 	return r != nil && d.nowUs-r.AtUs <= span.Microseconds()
 }
 
-// warmingUp tells whether the steward was asked so lately that who was not heard may yet be.
+// warmingUp reports whether the controller is so new that reports of reachable agents may still be missing.
 func (d *decision) warmingUp() bool {
 	return d.nowUs-d.controller.firstAskedUs < d.controller.settings.Patience.Microseconds()
 }
 
-// silent tells whether an agent of a first stage was not heard for a Patience while it was in it.
+// silent reports whether an agent has not reported for a Patience while it was in a first stage.
 func (d *decision) silent(r *Report, m *stageAgent) bool {
 	heard := m.firstSeenUs
 	if r != nil {
@@ -162,7 +166,7 @@
 	return d.nowUs-heard > d.controller.settings.Patience.Microseconds()
 }
 
-// startStage begins a waiting revision's first stage.
+// startStage proposes the start of a waiting revision's first stage.
 func (d *decision) startStage(doc *doc, e *Entry) {
 	first := d.pickAgents(doc, doc.waiting.Revision, nil)
 	if len(first) == 0 && d.warmingUp() {
@@ -174,13 +178,14 @@
 	e.Op, e.Revision, e.First = OpStart, doc.waiting.Revision, first
 }
 
-// recordStart remembers the counters of all agents at the beginning of a first stage.
+// recordStart stores the counters of all agents at the start of a first stage.
 func (d *decision) recordStart(n Name, revision uint64) *firstStage {
 	t := &firstStage{revision: revision, atStart: d.counters(), agents: map[string]*stageAgent{}}
 	d.controller.stages[n] = t
 	return t
 }
 
+// counters returns the current call counters by agent.
 func (d *decision) counters() map[string]callCounters {
 	out := make(map[string]callCounters, len(d.reports))
 	for _, r := range d.reports {
@@ -189,9 +194,10 @@
 	return out
 }
 
-// pickAgents chooses agents of a scope for a first stage, beside those that are in it: of each service
-// PerService of those in reach, or half of them, rounded up, where they are no more than that. It
-// ranks them by rendezvous hashing of agent and number, so that it is not always the same ones.
+// pickAgents selects agents of a document's scope for a first stage, in addition to those already in it. It
+// takes PerService reachable agents of each service, or half of them, rounded up, if there are no more than
+// PerService. Agents are ranked by a hash of name and revision number, so that different revisions start at
+// different agents.
 func (d *decision) pickAgents(doc *doc, number uint64, in []string) (out []string) {
 	type candidate struct {
 		name  string
@@ -220,22 +226,22 @@
 	return out[:min(len(out), MaxFirstAgents)]
 }
 
-// reviewStage decides about a revision at its first stage.
+// reviewStage decides whether a revision at its first stage advances, is halted or waits.
 func (d *decision) reviewStage(doc *doc, e *Entry) {
 	f, s := doc.first, d.controller.settings
 	t := d.controller.stages[doc.name]
 	if t == nil || t.revision != f.Revision && t.revision != f.Restores {
-		t = d.recordStart(doc.name, f.Revision) // another leader started it
+		t = d.recordStart(doc.name, f.Revision) // started by another leader
 		t.selections = 1
 	}
 	t.revision = f.Revision
 	e.Revision = f.Revision
 	var stood, pending, expired int
-	var again, gone string // agents that restarted, or fell silent, after they accepted
+	var again, gone string // names of agents that restarted, or stopped reporting, after they accepted
 	for _, name := range f.First {
 		r := d.byName[name]
 		if r != nil && !doc.name.Scope.Contains(r.Agent) {
-			continue // it has moved: not its document any more
+			continue // the agent has left the scope
 		}
 		if why, no := findRefusal(r, doc.name, f.Revision); no {
 			d.halt(e, "agent %s: %s", name, why)
@@ -277,7 +283,7 @@
 	}
 }
 
-// addAgents adds agents to a first stage; false: nobody else is in reach.
+// addAgents proposes further agents for a first stage. It returns false if no other agent is reachable.
 func (d *decision) addAgents(doc *doc, t *firstStage, e *Entry) bool {
 	e.First = d.pickAgents(doc, doc.first.Revision, doc.first.First)
 	if len(e.First) == 0 {
@@ -288,11 +294,13 @@
 	return true
 }
 
+// halt proposes a halt with the given reason.
 func (d *decision) halt(e *Entry, format string, args ...any) {
 	e.Op, e.Why = OpHalt, singleLine(fmt.Sprintf(format, args...), MaxHaltWhyBytes)
 }
 
-// observe notes what an agent of a first stage says of the revision; r is nil where it was not heard.
+// observe updates and returns the record of an agent of the stage; r is its last report, nil if there is
+// none.
 func (t *firstStage) observe(d *decision, name string, r *Report, key string) *stageAgent {
 	m := t.agents[name]
 	if m == nil {
@@ -309,12 +317,14 @@
 	return m
 }
 
-// stood tells whether an agent was heard again a dwell after it accepted.
+// stood reports whether an agent has reported a dwell or more after it accepted, without a restart in
+// between.
 func (m *stageAgent) stood(r *Report, dwell time.Duration) bool {
 	return r != nil && m.acceptedLives > 0 && m.atAccept.life == r.Life && r.AtUs-m.acceptedUs >= dwell.Microseconds()
 }
 
-// findRefusal is an agent's NACK of a revision, in words that fit a line.
+// findRefusal returns the reason of an agent's refusal of a revision, as a single line; false if it did not
+// refuse.
 func findRefusal(r *Report, n Name, revision uint64) (why string, no bool) {
 	if r != nil {
 		for _, no := range r.Refused {
@@ -326,7 +336,7 @@
 	return "", false
 }
 
-// failureRate is how many of some calls failed.
+// failureRate counts calls and those of them that failed.
 type failureRate struct{ calls, failed uint64 }
 
 func (s *failureRate) add(calls, failed uint64) {
@@ -334,7 +344,7 @@
 	s.failed += min(failed, calls)
 }
 
-// addSince adds what an agent's counters grew by within one life.
+// addSince adds the increase of an agent's counters. It returns false if the agent has restarted since.
 func (s *failureRate) addSince(was callCounters, r *Report) bool {
 	if r.Life != was.life || r.Calls < was.calls || r.Failed < was.failed {
 		return false
@@ -343,11 +353,13 @@
 	return true
 }
 
+// value returns the share of failed calls, 0 if there were none.
 func (s failureRate) value() float64 { return float64(s.failed) / math.Max(1, float64(s.calls)) }
 
 func (s failureRate) String() string { return fmt.Sprintf("%d of %d", s.failed, s.calls) }
 
-// haltIfWorse halts a revision whose agents fail more of their calls than they did, and than others.
+// haltIfWorse proposes a halt if the agents with the revision fail more of their calls than they did before
+// and than other agents do, as described at Decide.
 func (d *decision) haltIfWorse(f *Revision, t *firstStage, e *Entry) bool {
 	var after, before, rest, most failureRate
 	services := map[string]bool{}
--- a/rollout/steward_test.go
+++ b/rollout/steward_test.go
@@ -11,22 +11,23 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays agents, a control machine's table and its steward in steps of 100 ms.
+// fleet simulates agents, a control machine's table and its controller in steps of 100 ms.
 type fleet struct {
 	testLog
 	nowUs      int64
 	agents     []*fakeAgent
 	table      *ReportTable
 	controller *StageController
-	// outcome is what becomes of an agent that applies a text: "" well, "refuse", "fail" its
-	// calls, "crash" for good, "loop" start again every 500 ms, "hang" no answer.
+	// outcome returns what happens when an agent loads a text: "" success, "refuse", "fail" half of its
+	// calls fail, "crash" permanently, "loop" restart every 500 ms, "hang" neither accept nor refuse.
 	outcome     func(a *fakeAgent, text string) string
-	eachStep    func(f *fleet) // each step
-	dropReports bool           // no report comes to the table
+	eachStep    func(f *fleet) // called at each step
+	dropReports bool           // reports do not reach the table
 
 	restarts int
 }
 
+// fakeAgent is a simulated agent.
 type fakeAgent struct {
 	Agent
 	documents     *DocumentSet
@@ -34,13 +35,13 @@
 	seq           uint64
 	calls, failed uint64
 	failing, down bool
-	restartAtUs   int64 // when it restarts next; 0: not
-	restartLoop   bool  // and again 500 ms later
+	restartAtUs   int64 // time of the next restart; 0: none
+	restartLoop   bool  // restart again every 500 ms
 }
 
 const stepUs = 100_000
 
-// newFleet makes a fleet of services with so many agents each, of which all have the text "old".
+// newFleet returns a fleet with the given number of agents in each service. All agents have the text "old".
 func newFleet(t *testing.T, services ...int) *fleet {
 	f := &fleet{testLog: testLog{t: t, State: New()}, nowUs: 1e9, table: NewReportTable(), controller: NewStageController(Defaults),
 		outcome: func(*fakeAgent, string) string { return "" }, eachStep: func(*fleet) {}}
@@ -56,6 +57,7 @@
 	return f
 }
 
+// run simulates a span of time.
 func (f *fleet) run(span time.Duration) {
 	for end := f.nowUs + span.Microseconds(); f.nowUs < end; {
 		f.nowUs += stepUs
@@ -75,7 +77,7 @@
 	}
 }
 
-// tick has an agent take what it should have, carry ten calls, and report.
+// tick lets an agent receive its documents, handle ten calls and report.
 func (a *fakeAgent) tick(f *fleet) Report {
 	if a.restartAtUs > 0 && f.nowUs >= a.restartAtUs {
 		a.restart(f)
@@ -112,7 +114,7 @@
 	return r
 }
 
-// restart begins a new life, from what the disk kept.
+// restart starts a new life of the agent with its stored documents.
 func (a *fakeAgent) restart(f *fleet) {
 	held, err := DecodeDocumentSet(a.Agent, a.documents.Bytes())
 	if err != nil {
@@ -135,11 +137,12 @@
 	return out
 }
 
+// agentNamed returns the agent with a name.
 func (f *fleet) agentNamed(name string) *fakeAgent {
 	return f.agents[slices.IndexFunc(f.agents, func(a *fakeAgent) bool { return a.Name == name })]
 }
 
-// texts tells what agents serve by and how many each: "new 8".
+// texts returns the texts in force with the number of agents: "new:8 old:2".
 func (f *fleet) texts() string {
 	n := map[string]int{}
 	for _, a := range f.agents {
@@ -150,6 +153,8 @@
 	return strings.TrimSuffix(strings.TrimPrefix(fmt.Sprint(n), "map["), "]")
 }
 
+// TestStageController checks the outcome of rollouts in which agents refuse the revision, fail calls, crash,
+// restart or stop reporting.
 func TestStageController(t *testing.T) {
 	is := func(how string, bad func(a *fakeAgent) bool) func(*fakeAgent, string) string {
 		return func(a *fakeAgent, text string) string {
@@ -175,44 +180,44 @@
 		takes    func(*fakeAgent, string) string
 		during   func(*fleet)
 		within   time.Duration
-		texts    string // after that
+		texts    string // fleet.texts after that time
 		starts   int
-		why      string // of a halt
+		why      string // part of a halt's reason
 	}{
-		{"calm", []int{5, 5}, nil, nil, 1500 * time.Millisecond, "new:10", 1, ""},
+		{"no faults", []int{5, 5}, nil, nil, 1500 * time.Millisecond, "new:10", 1, ""},
 		{"services of one, two and three", []int{1, 2, 3}, nil, nil, 1500 * time.Millisecond, "new:6", 1, ""},
 		{"refused: halted", []int{5, 5}, is("refuse", all), nil, time.Second, "old:10", 1, "line 1: no"},
 		{"refused by one agent: halted", []int{5, 5}, is("refuse", func(a *fakeAgent) bool { return a.Service == "s1" }), nil, time.Second, "old:10", 1, "agent s1-"},
 		{"more calls fail: halted", []int{5, 5}, is("fail", all), nil, 2 * time.Second, "old:10", 1, "calls failed since it took it; all of the first stage"},
-		{"all agents fail alike: not its fault", []int{5, 5}, nil, once(func(f *fleet) {
+		{"all agents fail the same share of calls: not halted", []int{5, 5}, nil, once(func(f *fleet) {
 			for _, a := range f.agents {
 				a.failing = true
 			}
 			f.outcome = is("fail", all)
 		}), 2 * time.Second, "new:10", 1, ""},
-		{"a service of one has nobody to compare with", []int{1}, is("fail", all), nil, 2 * time.Second, "new:1", 1, ""},
-		{"halted while the next waits: that one goes on", []int{5, 5}, func(a *fakeAgent, text string) string {
+		{"a service with one agent has no others to compare with", []int{1}, is("fail", all), nil, 2 * time.Second, "new:1", 1, ""},
+		{"halted while the next waits: the next one starts", []int{5, 5}, func(a *fakeAgent, text string) string {
 			if text == "new" {
 				return "refuse"
 			}
 			return ""
 		}, once(put("mended")), 3 * time.Second, "mended:10", 2, "line 1: no"},
-		{"halted while the next waits, which is as bad", []int{5, 5}, is("refuse", all), once(put("new2")), 3 * time.Second, "old:10", 2, "line 1: no"},
+		{"halted while the next waits, which is refused too", []int{5, 5}, is("refuse", all), once(put("new2")), 3 * time.Second, "old:10", 2, "line 1: no"},
 		{"one first-stage agent restarts", []int{5, 5}, nil, once(func(f *fleet) { f.first()[0].restartAtUs = f.nowUs + 5*stepUs }), 2 * time.Second, "new:10", 1, ""},
 		{"all first-stage agents restart, one after another", []int{5, 5}, nil, once(func(f *fleet) {
 			for i, a := range f.first() {
 				a.restartAtUs = f.nowUs + int64(i+1)*5*stepUs
 			}
 		}), 3500 * time.Millisecond, "new:10", 1, ""},
-		{"one vanishes", []int{5, 5}, nil, once(func(f *fleet) { f.first()[0].down = true }), 4500 * time.Millisecond, "new:9", 1, ""},
-		{"all vanish: others are chosen", []int{5, 5}, nil, once(func(f *fleet) {
+		{"one first-stage agent stops reporting", []int{5, 5}, nil, once(func(f *fleet) { f.first()[0].down = true }), 4500 * time.Millisecond, "new:9", 1, ""},
+		{"all first-stage agents stop reporting: others are added", []int{5, 5}, nil, once(func(f *fleet) {
 			for _, a := range f.first() {
 				a.down = true
 			}
 		}), 5500 * time.Millisecond, "new:6", 2, ""},
-		{"it kills its agents: halted at the second choice", []int{9}, is("crash", all), nil, 9 * time.Second, "old:5", 2, "was not heard since"},
-		{"it has its agents restart again and again", []int{9}, is("loop", all), nil, 8 * time.Second, "old:9", 1, "restarts after it accepted"},
-		{"another leads in between", []int{5, 5}, nil, once(func(f *fleet) { f.controller = NewStageController(Defaults) }), 2500 * time.Millisecond, "new:10", 1, ""},
+		{"agents crash with it: halted after the second selection", []int{9}, is("crash", all), nil, 9 * time.Second, "old:5", 2, "was not heard since"},
+		{"agents restart repeatedly with it: halted", []int{9}, is("loop", all), nil, 8 * time.Second, "old:9", 1, "restarts after it accepted"},
+		{"the leader changes meanwhile", []int{5, 5}, nil, once(func(f *fleet) { f.controller = NewStageController(Defaults) }), 2500 * time.Millisecond, "new:10", 1, ""},
 	}
 	for _, c := range cases {
 		f := newFleet(t, c.services...)
@@ -234,7 +239,7 @@
 			}
 		}
 		if strings.Contains(c.name, "restart") && f.restarts == 0 {
-			t.Errorf("%s: none did", c.name)
+			t.Errorf("%s: no agent restarted", c.name)
 		}
 		if (why == "") != (c.why == "") || !strings.Contains(why, c.why) {
 			t.Errorf("%s: halted %q, want %q", c.name, why, c.why)
@@ -242,18 +247,19 @@
 	}
 }
 
-// TestNoReports: with no report a revision goes everywhere at once, but a steward that was
-// asked for the first time waits a Patience for agents that its machine has not heard yet.
+// TestNoReports checks that without any reports a revision goes to all agents at once, but that a new
+// controller first waits a Patience: otherwise a new leader, whose table is still empty, would skip the first
+// stage.
 func TestNoReports(t *testing.T) {
 	f := newFleet(t, 3)
 	f.dropReports, f.controller = true, NewStageController(Defaults)
 	f.table.Expire(f.nowUs + 1)
 	f.put(routes, "new")
 	if f.run(Defaults.Patience); f.texts() != "old:3" || f.starts != 0 {
-		t.Errorf("%s, %d starts in a Patience", f.texts(), f.starts)
+		t.Errorf("%s, %d starts within a Patience", f.texts(), f.starts)
 	}
 	if f.run(3 * stepUs * time.Microsecond); f.texts() != "new:3" {
-		t.Errorf("%s after it", f.texts())
+		t.Errorf("%s after a Patience", f.texts())
 	}
 	f.put(routes, "newer")
 	if f.run(3 * stepUs * time.Microsecond); f.texts() != "newer:3" || f.starts != 2 {
@@ -261,8 +267,9 @@
 	}
 }
 
-// TestConcurrentPuts: ten changes within a second, of two authors of whom one always looks too early,
-// cost two stages; of two puts on one base one is refused, naming the other.
+// TestConcurrentPuts checks that ten changes within a second need only two first stages, because a waiting
+// revision is superseded by the next one, and that of two puts with the same base one is refused and names
+// the other's author.
 func TestConcurrentPuts(t *testing.T) {
 	f := newFleet(t, 5, 5)
 	began := f.nowUs
@@ -280,7 +287,7 @@
 	}
 	for len(f.Open()) > 0 || n < 10 {
 		if f.run(stepUs * time.Microsecond); f.nowUs-began > 5e6 {
-			t.Fatal("not everywhere after 5 s")
+			t.Fatal("a revision is still open after 5 s")
 		}
 	}
 	f.run(2 * stepUs * time.Microsecond)
@@ -289,8 +296,8 @@
 	}
 }
 
-// TestRefusedEverywhere: who refuses a revision that is everywhere keeps the last known good,
-// and operators see who, why, and where.
+// TestRefusedEverywhere checks that an agent that refuses a revision after its first stage keeps the last
+// known good one, and that the coverage names the agent, its reason and its zone.
 func TestRefusedEverywhere(t *testing.T) {
 	f := newFleet(t, 6)
 	f.put(routes, "new")
@@ -316,7 +323,7 @@
 		late = append(late, a.Name)
 	}
 	if c := cover(); c.Stage != StageFirst || c.Agents != 6 || c.InForce != 0 || !slices.Equal(c.Behind, late) {
-		t.Errorf("at its first stage, before agents took it: %+v, first %v", c, late)
+		t.Errorf("at its first stage, before agents accepted it: %+v, first %v", c, late)
 	}
 	f.run(2 * time.Second)
 	if f.texts() != "new:5 old:1" {
@@ -336,7 +343,7 @@
 			t.Errorf("zone %s: %+v", zone, got)
 		}
 	}
-	// A narrower document shadows it: what lies beneath counts where it was accepted.
+	// A narrower document hides it in one zone; there it counts as in force if it was accepted.
 	f.outcome = func(*fakeAgent, string) string { return "" }
 	f.putEverywhere(byZone, "zonal")
 	f.putEverywhere(routes, "newer")
@@ -350,20 +357,20 @@
 		t.Errorf("%+v", c)
 	}
 	if c := ComputeCoverage(f.State, Name{"spread", Scope{Level: LevelAll}}, f.table.Reports(), f.nowUs, 1); c.Revision != 0 || c.Agents != 0 {
-		t.Errorf("of no document: %+v", c)
+		t.Errorf("coverage of a missing document: %+v", c)
 	}
 }
 
-// TestWorseThanBefore: agents that fail half their calls with a revision halt it, but not where
-// they did so before.
+// TestWorseThanBefore checks that a revision is halted when its agents fail half of their calls with it, but
+// not when they failed as many before.
 func TestWorseThanBefore(t *testing.T) {
 	for before, want := range map[uint64]string{0: "old:10", 125: "new:10"} {
 		probe := newFleet(t, 5, 5)
 		probe.put(routes, "new")
 		probe.run(stepUs * time.Microsecond)
-		f := newFleet(t, 5, 5) // plays alike: the same agents are chosen
+		f := newFleet(t, 5, 5) // runs identically, so the same agents are selected
 		for _, a := range probe.first() {
-			f.agentNamed(a.Name).failed = before // of 250
+			f.agentNamed(a.Name).failed = before // of 250 calls
 		}
 		f.outcome = func(a *fakeAgent, _ string) string {
 			if a.failed > 0 || before == 0 && slices.ContainsFunc(f.first(), func(o *fakeAgent) bool { return o == a }) {
@@ -378,7 +385,8 @@
 	}
 }
 
-// TestSlowAgent: an agent that is heard but doesn't take the revision holds it up for two Patiences.
+// TestSlowAgent checks that an agent that reports but does not load the revision delays it for two Patiences
+// and no longer.
 func TestSlowAgent(t *testing.T) {
 	f := newFleet(t, 5, 5)
 	f.put(routes, "new")
@@ -398,8 +406,9 @@
 	}
 }
 
-// TestConverges: whatever agents did, restart, vanish, come back, refuse, and whoever led, 9 s after
-// the last of it nothing is open, all have one text, and no text went everywhere that all refuse.
+// TestConverges applies random puts, restarts, outages and changes of leader. It checks that 9 s after the
+// last event no revision is open, all agents have the same text, and no text that all agents refuse has
+// passed its first stage.
 func TestConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(t, 2, 4, 5)
@@ -441,7 +450,8 @@
 	})
 }
 
-// TestPickAgents: how many of each service, and not always the same ones.
+// TestPickAgents checks the number of selected agents per service, and that different revisions start at
+// different agents.
 func TestPickAgents(t *testing.T) {
 	f := newFleet(t, 1, 2, 3, 30)
 	used := map[string]bool{}
--- a/rollout/table.go
+++ b/rollout/table.go
@@ -2,31 +2,33 @@
 
 import "container/list"
 
-// ReportTable is the soft state of a control machine: what each agent last said, by whichever machine
-// it came. It is lost with the machine and comes again within one patience of the agents. Agents
-// are told apart by name alone. It is not safe for use by several goroutines at once.
+// ReportTable has the last report of each agent, whether received from the agent or from another control
+// machine. It is not replicated: after a restart of the machine it fills again within one watch period of the
+// agents. Agents are identified by name alone. It is not safe for concurrent use.
 type ReportTable struct {
-	agents map[string]*list.Element // of heard
-	order  *list.List               // the one heard last at the back
-	mark   uint64
+	agents map[string]*list.Element // values are *tableEntry
+	order  *list.List               // most recently received report at the back
+	mark   uint64                   // number of updates so far
 }
 
-// MaxAgents bounds the agents of a table; of more the one heard longest ago is dropped.
+// MaxAgents limits the agents of a table. When it is exceeded, the agent with the oldest report is removed.
 const MaxAgents = 8192
 
+// tableEntry is a report with the mark of its update.
 type tableEntry struct {
 	Report
 	mark uint64
 }
 
-// NewReportTable returns a table that has heard nobody.
+// NewReportTable returns an empty table.
 func NewReportTable() *ReportTable {
 	return &ReportTable{agents: map[string]*list.Element{}, order: list.New()}
 }
 
-// Update takes a report, unless one as new or newer of the agent is there (Report.After), and tells
-// whether it took it. It sets the report's AtUs: ages are by this machine's clock alone, so a
-// peer must only pass on what it heard itself or got as news, not an old table (Forget first).
+// Update stores a report unless the table has one of the agent that is as new or newer (Report.After), and
+// returns whether it did. It sets the report's AtUs to nowUs, since ages are measured on this machine's clock
+// alone. A peer must therefore only forward reports that it has just received; otherwise an old report would
+// appear to be new. It has to call Expire before it forwards its table.
 func (t *ReportTable) Update(r Report, nowUs int64) (changed bool) {
 	at := t.agents[r.Agent.Name]
 	if at != nil && !r.After(at.Value.(*tableEntry).Report) {
@@ -47,8 +49,8 @@
 	return true
 }
 
-// Reports returns the last report of each agent, the one heard longest ago first. The cost grows
-// with the agents.
+// Reports returns the last report of each agent, oldest first. The cost is proportional to the number of
+// agents.
 func (t *ReportTable) Reports() []Report {
 	out := make([]Report, 0, t.order.Len())
 	for e := t.order.Front(); e != nil; e = e.Next() {
@@ -57,8 +59,8 @@
 	return out
 }
 
-// ChangedSince returns the last reports of the agents that were heard after a mark, the latest first,
-// and the mark to ask with next; 0: all. The cost grows with what it returns.
+// ChangedSince returns the reports stored after a mark, newest first, and the mark for the next call. Mark 0
+// gives all reports. The cost is proportional to the number of returned reports.
 func (t *ReportTable) ChangedSince(after uint64) (reports []Report, mark uint64) {
 	for e := t.order.Back(); e != nil; e = e.Prev() {
 		h := e.Value.(*tableEntry)
@@ -70,12 +72,13 @@
 	return reports, t.mark
 }
 
+// remove removes the agent of a list element.
 func (t *ReportTable) remove(e *list.Element) {
 	t.order.Remove(e)
 	delete(t.agents, e.Value.(*tableEntry).Agent.Name)
 }
 
-// Expire drops the agents that were last heard before a time.
+// Expire removes the agents whose last report was received before a time.
 func (t *ReportTable) Expire(beforeUs int64) {
 	for e := t.order.Front(); e != nil; {
 		next := e.Next()
--- a/rollout/table_test.go
+++ b/rollout/table_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestTable checks that only newer reports replace stored ones, also when they arrive twice or out of order.
 func TestTable(t *testing.T) {
 	tab := NewReportTable()
 	words := func(reports []Report) string {
@@ -22,15 +23,15 @@
 		now       int64
 		taken     bool
 		table     string
-		sinceMark string // what was heard since the step before
+		sinceMark string // reports stored since the previous step
 	}{
 		{"a", 5, 1, 10, true, "a 5.1@10", "a 5.1@10"},
 		{"b", 5, 1, 11, true, "a 5.1@10, b 5.1@11", "b 5.1@11"},
-		{"a", 5, 1, 12, false, "a 5.1@10, b 5.1@11", ""}, // doubled
+		{"a", 5, 1, 12, false, "a 5.1@10, b 5.1@11", ""}, // duplicate
 		{"a", 5, 3, 13, true, "b 5.1@11, a 5.3@13", "a 5.3@13"},
-		{"a", 5, 2, 14, false, "b 5.1@11, a 5.3@13", ""}, // overtaken
+		{"a", 5, 2, 14, false, "b 5.1@11, a 5.3@13", ""}, // out of order
 		{"a", 6, 1, 15, true, "b 5.1@11, a 6.1@15", "a 6.1@15"},
-		{"a", 5, 9, 16, false, "b 5.1@11, a 6.1@15", ""}, // a former life, late
+		{"a", 5, 9, 16, false, "b 5.1@11, a 6.1@15", ""}, // from a previous life, late
 	} {
 		_, mark := tab.ChangedSince(0)
 		if taken := tab.Update(Report{Agent: Agent{Name: c.agent}, Life: c.life, Seq: c.seq, AtUs: 99}, c.now); taken != c.taken {
@@ -48,6 +49,6 @@
 		t.Error(words(tab.Reports()))
 	}
 	if !tab.Update(Report{Agent: Agent{Name: "b"}, Life: 5, Seq: 1}, 17) {
-		t.Error("a forgotten agent is not heard again")
+		t.Error("a report of an expired agent is refused")
 	}
 }
--- a/shard/bench_test.go
+++ b/shard/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkOwner finds the group of a call among the groups that n agents make.
+// BenchmarkOwner looks up the group of a call in a ring of n agents.
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{10, 27, 100, 300, 730, 1460} {
 		b.Run(fmt.Sprintf("agents=%d", n), func(b *testing.B) {
--- a/shard/place.go
+++ b/shard/place.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// BuildRing makes groups of size members out of agents, each across as many zones as it can, and
-// tells which agents are left over. The fullest zones are drawn from first, so that no zone's
-// agents are left together at the end; ties go by name, so that the same agents give the same
-// groups whatever their order.
+// BuildRing divides agents into groups of the given size, each spread over as many zones as possible, and
+// returns the ring and the agents that are left over. It takes members from the zones with the most remaining
+// agents first, so that the last groups do not have to be filled from a single zone. Ties are decided by
+// name, so that the same agents give the same groups in whatever order they are listed.
 func BuildRing(agents []Member, size int) (Ring, []Member, error) {
 	if size != 3 && size != 5 {
 		return Ring{}, nil, fmt.Errorf("size %d: %w", size, ErrSize)
@@ -26,6 +26,7 @@
 	return r, remaining(zones), nil
 }
 
+// byZone returns the agents of each zone, sorted by id.
 func byZone(agents []Member) map[string][]Member {
 	zones := map[string][]Member{}
 	for _, m := range agents {
@@ -37,8 +38,8 @@
 	return zones
 }
 
-// takeMember takes the next member from the zone that the group has least of; among these from the
-// one with the most agents left.
+// takeMember removes and returns the next member for a group. It comes from the zone with the fewest members
+// in the group; among these, from the zone with the most remaining agents.
 func takeMember(zones map[string][]Member, group []Member) Member {
 	have := map[string]int{}
 	for _, m := range group {
@@ -58,6 +59,7 @@
 	return m
 }
 
+// remaining returns the agents that are left in any zone, sorted by id.
 func remaining(zones map[string][]Member) (left []Member) {
 	for _, ms := range zones {
 		left = append(left, ms...)
@@ -66,20 +68,19 @@
 	return left
 }
 
-// MembershipChange is one membership change of one group, through the library's own (raft's AddVoter
-// and RemoveServer). Changes are carried out in order, each only once the one before it is
-// committed.
+// MembershipChange is one change of a group's membership, made with raft's AddVoter or RemoveServer. Changes
+// are made in order, each after the previous one has been committed.
 type MembershipChange struct {
 	Group  string
-	Remove string // a member's id; "": none
-	Add    Member // its ID is "" for none
+	Remove string // id of the member to remove; "": none
+	Add    Member // member to add; its ID is "" for none
 }
 
-// ReplaceLost tells how to replace agents that are gone (machine and disk) by spare ones, one change
-// at a time. A spare is taken from the zone the group has least of. The lost member is removed
-// first and the spare added after it: an added voter that must still catch up would raise the
-// majority while one of it is dead. A group that lost its majority can't be mended so and is
-// named in stuck: its remaining members hold what it promised, and an operator decides.
+// ReplaceLost returns the changes that replace lost agents (machine and disk) by spare ones, one at a time,
+// and the resulting ring. A spare comes from the zone with the fewest members in the group. The lost member
+// is removed before the spare is added: an added voter that is still catching up would raise the majority
+// while one member is dead. A group that has lost its majority can't be changed this way and is listed in
+// stuck. Its remaining members still hold its promises; an operator has to decide what to do.
 func ReplaceLost(r Ring, gone map[string]bool, spares []Member) (next Ring, steps []MembershipChange, stuck []string) {
 	zones := byZone(spares)
 	free := len(spares)
@@ -110,7 +111,7 @@
 	return next, steps, stuck
 }
 
-// MovedShare is the share of calls, of those given, whose group differs between two rings.
+// MovedShare returns the share of the given calls whose group differs between two rings.
 func MovedShare(a, b Ring, calls []string) float64 {
 	n := 0
 	for _, c := range calls {
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -1,12 +1,12 @@
-// Package shard says which group of call agents keeps a call's promises, and which agents
-// make up each group. It decides only: no clock, no I/O. Past one consensus group the fleet
-// is cut into many, each with its own log, so that an agent's share of log traffic stays that
-// of its group whatever the size of the fleet (docs/replication.md).
+// Package shard assigns calls to consensus groups and call agents to these groups. A group keeps the promises
+// of its calls. The package uses no clock and no I/O. A large fleet is divided into many groups, each with
+// its own log, so that an agent's log traffic depends on the size of its group and not on that of the fleet
+// (docs/replication.md).
 //
-// A call's group is found by rendezvous hashing (Thaler and Ravishankar, "Using name-based
-// mappings to increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998): the group
-// whose hash with the call id is highest. Every agent finds the same one from the list of
-// groups alone, and a group added or taken away moves only the calls it gains or had.
+// The group of a call is found by rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to
+// increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998): it is the group with the highest hash
+// of group id and call id. Every agent computes the same group from the list of groups alone, and adding or
+// removing a group moves only the calls of that group.
 package shard
 
 import (
@@ -16,29 +16,29 @@
 	"slices"
 )
 
-// Member is an agent that may keep promises.
+// Member is an agent that can be a member of a group.
 type Member struct {
 	ID   string `yaml:"id"`
 	Zone string `yaml:"zone"`
-	// Raft and Client are where the others reach it: the log's traffic, and calls (host:port).
+	// Raft and Client are the addresses (host:port) for log replication and for client requests.
 	Raft   string `yaml:"raft"`
 	Client string `yaml:"client"`
 }
 
-// Group is one consensus group: its members, 3 to 5 of them, in different zones where there
-// are enough.
+// Group is one consensus group. It has 3 or 5 members, in different zones if there are enough zones.
 type Group struct {
 	ID      string   `yaml:"id"`
 	Members []Member `yaml:"members"`
 }
 
-// Ring is the groups that share the calls, and its version. A higher version replaces a lower.
+// Ring is the list of groups that share the calls. A ring of a higher version replaces one of a lower
+// version.
 type Ring struct {
 	Version uint64  `yaml:"version"`
 	Groups  []Group `yaml:"groups"`
 }
 
-// Owner is the index of the group that keeps a call's promises; -1 for a ring without groups.
+// Owner returns the index of the group that keeps a call's promises, or -1 if the ring has no groups.
 func (r Ring) Owner(call string) int {
 	best, top := -1, uint64(0)
 	for i, g := range r.Groups {
@@ -50,7 +50,7 @@
 	return best
 }
 
-// rendezvousWeight is a group's hash with a call. FNV-1a alone spreads the last bytes badly over the
+// rendezvousWeight returns the hash of a group and a call. FNV-1a alone spreads the last bytes badly over the
 // high bits, so splitmix64's finalizer (Steele, Lea and Flood, OOPSLA 2014) mixes them.
 func rendezvousWeight(group, call string) uint64 {
 	h := fnv.New64a()
@@ -63,7 +63,7 @@
 	return x ^ x>>31
 }
 
-// Group returns a group by its id.
+// Group returns the group with the given id.
 func (r Ring) Group(id string) (Group, bool) {
 	i := slices.IndexFunc(r.Groups, func(g Group) bool { return g.ID == id })
 	if i < 0 {
@@ -72,18 +72,18 @@
 	return r.Groups[i], true
 }
 
-// ClaimStep is where a call's claim must be made: at a group, under a ring's version.
+// ClaimStep names a group at which a call has to be claimed and the version of the ring to claim it under.
 type ClaimStep struct {
 	Group string
 	Ring  uint64
 }
 
-// ClaimSteps is where an agent claims and resolves a call, in order. While a ring replaces another,
-// agents that know only the old one, both, or only the new one are at work, any two of them
-// next to each other in that row. So the old owner comes first and the new one after it, as
-// long as previous is given: agents of the old ring and of both meet at the old owner, those
-// of both and of the new ring at the new one. What stands at a step is carried to the next,
-// and the last step has the last word (internal/fleet/keeper).
+// ClaimSteps returns the groups at which an agent claims and resolves a call, in order. While a new ring is
+// being introduced, some agents know only the old ring, some both, and later some only the new one; agents of
+// the first and the last kind never run at the same time. As long as previous is given, the call is therefore
+// claimed at its old owner first and then at its new one. Agents with the old ring and agents with both meet
+// at the old owner; agents with both and agents with the new ring meet at the new owner. The result of one
+// step is carried over to the next, and the result of the last step counts (internal/fleet/keeper).
 func ClaimSteps(now Ring, previous *Ring, call string) []ClaimStep {
 	i := now.Owner(call)
 	if i < 0 {
@@ -100,16 +100,17 @@
 	return []ClaimStep{{previous.Groups[j].ID, now.Version}, last}
 }
 
-// The rules a ring keeps. A finding of rule "spread" is a warning: one zone's loss would take
-// a group's majority, which can't be helped with fewer than three zones.
+// The errors of Check and CheckZones. ErrZoneMajority is only a warning: the loss of one zone would cost a
+// group its majority, which is unavoidable with fewer than three zones. Groups have an odd number of members
+// because one more member would raise the majority without tolerating one more failure.
 var (
-	ErrSize         = errors.New("a group has 3 or 5 members") // odd: an even one more only adds a vote to wait for
+	ErrSize         = errors.New("a group has 3 or 5 members")
 	ErrDuplicate    = errors.New("in two places")
 	ErrEmpty        = errors.New("empty")
 	ErrZoneMajority = errors.New("one zone holds a majority of the group")
 )
 
-// Check names each field of a ring that breaks a rule, and which; nil for a lawful ring.
+// Check returns one error for each invalid field of a ring.
 func (r Ring) Check() (refused []error) {
 	bad := func(err error, format string, args ...any) {
 		refused = append(refused, fmt.Errorf("field %s: %w", fmt.Sprintf(format, args...), err))
@@ -142,8 +143,8 @@
 	return refused
 }
 
-// CheckZones names each group of which one zone holds a majority, though the ring's members lie
-// in three zones or more.
+// CheckZones returns a warning for each group in which one zone holds a majority. It returns none if the ring
+// has members in fewer than three zones.
 func (r Ring) CheckZones() (found []error) {
 	zones := map[string]bool{}
 	for _, g := range r.Groups {
@@ -162,7 +163,7 @@
 	return found
 }
 
-// largestZone is the zone with the most members, and how many.
+// largestZone returns the zone with the most members and their number.
 func largestZone(members []Member) (zone string, most int) {
 	n := map[string]int{}
 	for _, m := range members {
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -22,8 +22,10 @@
 	return out
 }
 
-// TestBuildRing: whatever the agents and zones, groups are lawful, nobody is in two, as few are
-// left over as can be, and with three even zones none holds a majority of a group.
+// TestBuildRing checks that any number of agents and zones gives valid groups without shared members and with
+// as few left-over agents as possible, and that with three or more zones of equal size no zone holds a
+// majority of a group. It also checks that ReplaceLost replaces one lost member per group as long as there
+// are spares.
 func TestBuildRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, zones := rapid.IntRange(3, 60).Draw(t, "agents"), rapid.IntRange(1, 6).Draw(t, "zones")
@@ -49,7 +51,8 @@
 	})
 }
 
-// TestOwner: calls spread evenly over groups, and a group more takes only its own share.
+// TestOwner checks that calls are distributed evenly over the groups and that an added group takes over only
+// its own share of calls.
 func TestOwner(t *testing.T) {
 	small, _, _ := BuildRing(testAgents(30, 3), 3)
 	big, _, _ := BuildRing(testAgents(33, 3), 3)
@@ -67,7 +70,8 @@
 	}
 }
 
-// TestClaimSteps: agents of the old ring and of the new meet at one group for every call.
+// TestClaimSteps checks that agents with the old ring and agents with both rings claim every call at the same
+// group first. Otherwise two agents could send set-ups for one call while the ring changes.
 func TestClaimSteps(t *testing.T) {
 	old, _, _ := BuildRing(testAgents(9, 3), 3)
 	next, _, _ := BuildRing(testAgents(12, 3), 3)
@@ -75,7 +79,7 @@
 	for _, c := range testCallIDs(500) {
 		was, is := ClaimSteps(old, nil, c), ClaimSteps(next, &old, c)
 		if is[0].Group != was[0].Group || is[0].Ring != 2 {
-			t.Fatalf("call %s: old ring claims at %v, new at %v", c, was, is)
+			t.Fatalf("call %s: claimed at %v with the old ring, at %v with both", c, was, is)
 		}
 	}
 }
@@ -99,6 +103,6 @@
 		}
 	}
 	if _, _, stuck := ReplaceLost(Ring{Groups: []Group{{ID: "g", Members: m[:3]}}}, map[string]bool{"n000": true, "n001": true}, m[3:]); len(stuck) != 1 {
-		t.Errorf("a group without majority is mended: %v", stuck)
+		t.Errorf("a group without a majority is not reported as stuck: %v", stuck)
 	}
 }
