--- a/failover/choose.go
+++ b/failover/choose.go
@@ -8,21 +8,21 @@
 // The choice depends only on the plan, the zone, the class and a hash of the call id. Thus all agents of a
 // zone send the same call to the same zone, and a larger share moves only the additional calls.
 func (p Plan) ChooseZone(zone, class, call string) string {
-	place, ok := p.Zones[zone]
+	placement, ok := p.Zones[zone]
 	if !ok {
 		return zone
 	}
-	away := place.awayShare()
+	away := placement.awayShare()
 	scale := 1.0
-	if most, ok := place.Caps[class]; ok && most < away {
-		scale = most / away
+	if limit, ok := placement.Caps[class]; ok && limit < away {
+		scale = limit / away
 	}
-	at := hashFraction(call)
-	for _, s := range place.Shares {
-		if at < s.Part*scale {
+	fraction := hashFraction(call)
+	for _, s := range placement.Shares {
+		if fraction < s.Part*scale {
 			return s.Zone
 		}
-		at -= s.Part * scale
+		fraction -= s.Part * scale
 	}
 	return zone
 }
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -82,8 +82,8 @@
 	}
 	next = Plan{Epoch: prev.Epoch, AtUs: prev.AtUs, By: prev.By, States: d.states, Zones: d.placeAll()}
 	for zone, p := range next.Zones {
-		if was, ok := prev.Zones[zone]; ok && s.similar(was, p) {
-			next.Zones[zone] = was
+		if previous, ok := prev.Zones[zone]; ok && s.similar(previous, p) {
+			next.Zones[zone] = previous
 		}
 	}
 	next.Trades = d.trades(next.Zones)
@@ -107,21 +107,21 @@
 
 // nextState returns a zone's state after the current observations. Without any, the state stays as it was:
 // missing reports do not prove that a zone has failed.
-func (d *decision) nextState(zone string, was State) State {
+func (d *decision) nextState(zone string, state State) State {
 	h, seen := d.view.bestHealth(zone)
 	if !seen {
-		return was
+		return state
 	}
 	if h.Up < d.settings.LostAt || h.Failing > 1-d.settings.LostAt {
-		return State{Lost: true, BackUs: was.BackUs}
+		return State{Lost: true, BackUs: state.BackUs}
 	}
-	if was.HealthyUs == 0 {
-		was.HealthyUs = d.nowUs
+	if state.HealthyUs == 0 {
+		state.HealthyUs = d.nowUs
 	}
-	if was.Lost && d.nowUs-was.HealthyUs >= d.settings.DwellUs {
-		was.Lost, was.BackUs = false, d.nowUs
+	if state.Lost && d.nowUs-state.HealthyUs >= d.settings.DwellUs {
+		state.Lost, state.BackUs = false, d.nowUs
 	}
-	return was
+	return state
 }
 
 // usableCapacity returns the calls per second that a plan may send to a zone, without the margin. A zone of
@@ -131,18 +131,18 @@
 		return 0
 	}
 	h, _ := d.view.bestHealth(zone)
-	room := math.Inf(1)
+	capacity := math.Inf(1)
 	if h.Capacity > 0 {
-		room = h.Capacity * (1 - d.settings.Margin)
+		capacity = h.Capacity * (1 - d.settings.Margin)
 	}
 	if h.Full > d.settings.FullAt {
-		room = min(room, d.view.totalLoad(zone)*(1-h.Full))
+		capacity = min(capacity, d.view.totalLoad(zone)*(1-h.Full))
 	}
-	if back := d.states[zone].BackUs; back > 0 && d.settings.RampUs > 0 && !math.IsInf(room, 1) {
-		warm := float64(d.nowUs-back) / float64(d.settings.RampUs)
-		room *= min(1, d.settings.RampFrom+(1-d.settings.RampFrom)*warm)
+	if recoveredUs := d.states[zone].BackUs; recoveredUs > 0 && d.settings.RampUs > 0 && !math.IsInf(capacity, 1) {
+		rampProgress := float64(d.nowUs-recoveredUs) / float64(d.settings.RampUs)
+		capacity *= min(1, d.settings.RampFrom+(1-d.settings.RampFrom)*rampProgress)
 	}
-	return room
+	return capacity
 }
 
 // reaches reports whether the agents of one zone can reach the servers of another. Without a report from
@@ -168,26 +168,26 @@
 // within regions, and across regions only what the regions could not take.
 func (d *decision) placeAll() map[string]Placement {
 	zones := map[string]Placement{}
-	left, kept := map[string]float64{}, map[string]float64{}
+	excess, kept := map[string]float64{}, map[string]float64{}
 	sent := map[string][]Share{}
 	for _, z := range d.topology.Zones {
 		load := d.demand(z.Name)
 		if d.reaches(z.Name, z.Name) {
 			kept[z.Name] = min(load, d.freeCapacity[z.Name])
 		}
-		left[z.Name] = load - kept[z.Name]
+		excess[z.Name] = load - kept[z.Name]
 		d.freeCapacity[z.Name] -= kept[z.Name]
 	}
-	for _, m := range d.zonePairs() {
-		n := min(left[m.from], d.freeCapacity[m.to])
-		if n <= 0 {
+	for _, pair := range d.zonePairs() {
+		moved := min(excess[pair.from], d.freeCapacity[pair.to])
+		if moved <= 0 {
 			continue
 		}
-		d.freeCapacity[m.to] -= n
-		left[m.from] -= n
-		sent[m.from] = append(sent[m.from], Share{m.to, n / d.demand(m.from)})
+		d.freeCapacity[pair.to] -= moved
+		excess[pair.from] -= moved
+		sent[pair.from] = append(sent[pair.from], Share{pair.to, moved / d.demand(pair.from)})
 	}
-	d.unplaced = left
+	d.unplaced = excess
 	for _, z := range d.topology.Zones {
 		zones[z.Name] = d.placement(z.Name, kept[z.Name], sent[z.Name])
 	}
@@ -220,25 +220,25 @@
 // where package policy refuses the excess. If that zone is lost, they go to the nearest reachable zone and
 // are refused there.
 func (d *decision) placement(zone string, kept float64, sent []Share) Placement {
-	home := d.reaches(zone, zone)
+	homeReachable := d.reaches(zone, zone)
 	p := Placement{Mode: ModeLocal, Shares: sent}
-	if !home {
+	if !homeReachable {
 		p.Shares = d.sendRemainder(zone, sent)
 	}
 	switch {
 	case slices.ContainsFunc(p.Shares, func(s Share) bool { return d.topology.regionsCrossed(zone, s.Zone) > 0 }):
 		p.Mode = ModeRegion
-	case len(p.Shares) > 0 && !home:
+	case len(p.Shares) > 0 && !homeReachable:
 		p.Mode = ModeEvacuate
 	case len(p.Shares) > 0:
 		p.Mode = ModeSpill
 	}
-	for class, most := range d.settings.Budget {
-		if most < p.awayShare() {
+	for class, limit := range d.settings.Budget {
+		if limit < p.awayShare() {
 			if p.Caps == nil {
 				p.Caps = map[string]float64{}
 			}
-			p.Caps[class] = most
+			p.Caps[class] = limit
 		}
 	}
 	return p
@@ -267,12 +267,12 @@
 
 // similar reports whether a placement differs so little from the previous one that the previous one can stay.
 // A different mode, zone or cap always counts as a change, so that a share that has ended is removed.
-func (s Settings) similar(was, now Placement) bool {
-	if was.Mode != now.Mode || len(was.Shares) != len(now.Shares) || !maps.Equal(was.Caps, now.Caps) {
+func (s Settings) similar(previous, next Placement) bool {
+	if previous.Mode != next.Mode || len(previous.Shares) != len(next.Shares) || !maps.Equal(previous.Caps, next.Caps) {
 		return false
 	}
-	for i := range was.Shares {
-		if was.Shares[i].Zone != now.Shares[i].Zone || math.Abs(was.Shares[i].Part-now.Shares[i].Part) >= s.Step {
+	for i := range previous.Shares {
+		if previous.Shares[i].Zone != next.Shares[i].Zone || math.Abs(previous.Shares[i].Part-next.Shares[i].Part) >= s.Step {
 			return false
 		}
 	}
@@ -285,8 +285,8 @@
 	for _, z := range d.topology.Zones {
 		p := zones[z.Name]
 		for _, class := range slices.Sorted(maps.Keys(p.Caps)) {
-			if n := d.view.Load[z.Name][class] * (p.awayShare() - p.Caps[class]); n > 0 {
-				out = append(out, Trade{Zone: z.Name, For: "budget", Class: class, PerSecond: round(n)})
+			if heldBack := d.view.Load[z.Name][class] * (p.awayShare() - p.Caps[class]); heldBack > 0 {
+				out = append(out, Trade{Zone: z.Name, For: "budget", Class: class, PerSecond: round(heldBack)})
 			}
 		}
 		if d.view.totalLoad(z.Name) > 0 && d.unplaced[z.Name] > 1e-9 {
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -86,20 +86,20 @@
 
 // Check returns one error for each invalid field.
 func (s Settings) Check() (refused []error) {
-	in := func(name string, v, low, high float64) {
+	validateRange := func(name string, v, low, high float64) {
 		if !(v >= low && v <= high) {
 			refused = append(refused, fmt.Errorf("field %s: %v is not within %v and %v", name, v, low, high))
 		}
 	}
-	in("margin", s.Margin, 0, 0.9)
-	in("lost_at", s.LostAt, 0, 1)
-	in("full_at", s.FullAt, 0, 1)
-	in("ramp_from", s.RampFrom, 0.01, 1)
-	in("step", s.Step, 0, 0.5)
-	in("dwell", float64(s.DwellUs), 0, 3600e6)
-	in("ramp", float64(s.RampUs), 0, 3600e6)
+	validateRange("margin", s.Margin, 0, 0.9)
+	validateRange("lost_at", s.LostAt, 0, 1)
+	validateRange("full_at", s.FullAt, 0, 1)
+	validateRange("ramp_from", s.RampFrom, 0.01, 1)
+	validateRange("step", s.Step, 0, 0.5)
+	validateRange("dwell", float64(s.DwellUs), 0, 3600e6)
+	validateRange("ramp", float64(s.RampUs), 0, 3600e6)
 	for _, class := range slices.Sorted(maps.Keys(s.Budget)) {
-		in("budget."+class, s.Budget[class], 0, 1)
+		validateRange("budget."+class, s.Budget[class], 0, 1)
 	}
 	return refused
 }
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -20,11 +20,11 @@
 	var all []Summary
 	for _, z := range testTopology.Zones {
 		s := Summary{Agent: z.Name, Zone: z.Name, Offered: map[string]float64{"voice": load[z.Name]}, Seen: map[string]Sight{}}
-		for _, o := range testTopology.Zones {
-			s.Seen[o.Name] = Sight{Listed: 4, Up: 4, Capacity: capacity[o.Name]}
+		for _, other := range testTopology.Zones {
+			s.Seen[other.Name] = Sight{Listed: 4, Up: 4, Capacity: capacity[other.Name]}
 		}
-		for _, d := range down {
-			s.Seen[d] = Sight{Listed: 4, Up: 0}
+		for _, zone := range down {
+			s.Seen[zone] = Sight{Listed: 4, Up: 0}
 		}
 		all = append(all, s)
 	}
@@ -39,14 +39,14 @@
 func withZone(m map[string]float64, zone string, n float64) map[string]float64 { m[zone] = n; return m }
 
 func TestDecide(t *testing.T) {
-	tight := Defaults
-	tight.Budget = map[string]float64{"voice": 0.1}
+	limited := Defaults
+	limited.Budget = map[string]float64{"voice": 0.1}
 	cases := []struct {
-		name string
-		s    Settings
-		v    View
-		want string // placement of a1
-		for_ string // Plan.Trades
+		name       string
+		settings   Settings
+		view       View
+		want       string // placement of a1
+		wantTrades string // Plan.Trades
 	}{
 		{"normal load: all calls stay", Defaults, testView(allZones(80), allZones(100)), "local []", ""},
 		{"unknown capacity: all calls stay", Defaults, testView(allZones(80), allZones(0)), "local []", ""},
@@ -57,10 +57,10 @@
 		{"region lost: all calls go to the nearest zone", Defaults, testView(allZones(40), allZones(100), "a1", "a2"), "region [{b2 1}]", ""},
 		{"all zones lost: calls stay and are refused", Defaults, testView(allZones(40), allZones(100), "a1", "a2", "b1", "b2"), "local []", "[{a1 capacity  40} {a2 capacity  40} {b1 capacity  40} {b2 capacity  40}]"},
 		{"all zones full: calls stay", Defaults, testView(allZones(100), allZones(100)), "local []", "[{a1 capacity  10} {a2 capacity  10} {b1 capacity  10} {b2 capacity  10}]"},
-		{"the budget keeps calls in a lost zone and reports them", tight, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}] map[voice:0.1]", "[{a1 budget voice 36}]"},
+		{"the budget keeps calls in a lost zone and reports them", limited, testView(allZones(40), allZones(100), "a1"), "evacuate [{a2 1}] map[voice:0.1]", "[{a1 budget voice 36}]"},
 	}
 	for _, c := range cases {
-		p, changed := Decide(Plan{}, testTopology, c.s, c.v, secondUs, "d")
+		p, changed := Decide(Plan{}, testTopology, c.settings, c.view, secondUs, "d")
 		z := p.Zones["a1"]
 		for i := range z.Shares {
 			z.Shares[i].Part = round(z.Shares[i].Part)
@@ -69,12 +69,12 @@
 		if z.Caps != nil {
 			got += fmt.Sprint(" ", z.Caps)
 		}
-		traded := ""
+		trades := ""
 		if p.Trades != nil {
-			traded = fmt.Sprint(p.Trades)
+			trades = fmt.Sprint(p.Trades)
 		}
-		if got != c.want || traded != c.for_ || !changed || p.Epoch != 1 {
-			t.Errorf("%s: %s, trades %s; want %s, trades %s", c.name, got, traded, c.want, c.for_)
+		if got != c.want || trades != c.wantTrades || !changed || p.Epoch != 1 {
+			t.Errorf("%s: %s, trades %s; want %s, trades %s", c.name, got, trades, c.want, c.wantTrades)
 		}
 	}
 }
@@ -128,46 +128,46 @@
 		}
 		v := testView(load, caps, down...)
 		p, _ := Decide(Plan{}, testTopology, Defaults, v, secondUs, "d")
-		q, _ := Decide(Plan{}, testTopology, Defaults, v, secondUs, "d")
-		if !reflect.DeepEqual(p, q) {
+		again, _ := Decide(Plan{}, testTopology, Defaults, v, secondUs, "d")
+		if !reflect.DeepEqual(p, again) {
 			t.Fatal("two decisions on one view differ")
 		}
 		if _, changed := Decide(p, testTopology, Defaults, v, secondUs, "e"); changed {
 			t.Fatalf("new plan from an unchanged view: %+v", p)
 		}
-		into := map[string]float64{}
+		plannedLoad := map[string]float64{}
 		for zone, place := range p.Zones {
-			if a := place.awayShare(); a < 0 || a > 1+1e-9 {
-				t.Fatalf("%s sends %v away", zone, a)
+			if away := place.awayShare(); away < 0 || away > 1+1e-9 {
+				t.Fatalf("%s sends %v away", zone, away)
 			}
 			for _, s := range place.Shares {
 				if p.States[s.Zone].Lost || s.Part <= 0 {
 					t.Fatalf("%s sends %v", zone, s)
 				}
-				into[s.Zone] += s.Part * load[zone]
+				plannedLoad[s.Zone] += s.Part * load[zone]
 			}
-			into[zone] += (1 - place.awayShare()) * load[zone]
+			plannedLoad[zone] += (1 - place.awayShare()) * load[zone]
 		}
-		short := map[string]float64{}
+		reported := map[string]float64{}
 		for _, tr := range p.Trades {
-			short[tr.Zone] += tr.PerSecond
+			reported[tr.Zone] += tr.PerSecond
 		}
-		over, total := 0.0, 0.0
-		for zone, n := range into {
+		excess, total := 0.0, 0.0
+		for zone, n := range plannedLoad {
 			if !p.States[zone].Lost {
-				over += max(n-caps[zone]*0.9, 0)
+				excess += max(n-caps[zone]*0.9, 0)
 			}
 		}
-		for _, n := range short {
+		for _, n := range reported {
 			total += n
 		}
-		if over > total+0.01 {
-			t.Fatalf("%.1f calls per second planned over capacity, %.1f reported in Trades: %+v", over, total, p)
+		if excess > total+0.01 {
+			t.Fatalf("%.1f calls per second planned over capacity, %.1f reported in Trades: %+v", excess, total, p)
 		}
 		for _, z := range testTopology.Zones {
-			for _, o := range testTopology.Zones {
-				if z.Region == o.Region && p.Zones[z.Name].Mode == ModeRegion && !p.States[o.Name].Lost && into[o.Name] < caps[o.Name]*0.9-0.01 {
-					t.Fatalf("calls of %s leave the region while %s has capacity: %+v", z.Name, o.Name, p)
+			for _, other := range testTopology.Zones {
+				if z.Region == other.Region && p.Zones[z.Name].Mode == ModeRegion && !p.States[other.Name].Lost && plannedLoad[other.Name] < caps[other.Name]*0.9-0.01 {
+					t.Fatalf("calls of %s leave the region while %s has capacity: %+v", z.Name, other.Name, p)
 				}
 			}
 		}
@@ -177,10 +177,10 @@
 // TestAggregate checks that a single agent with a broken connection can't make a zone count as lost, and that
 // outdated summaries are ignored.
 func TestAggregate(t *testing.T) {
-	see := func(agent string, up int, at int64) Summary {
+	reportingUp := func(agent string, up int, at int64) Summary {
 		return Summary{Agent: agent, Zone: "a1", AtUs: at, Offered: map[string]float64{"voice": 2}, Seen: map[string]Sight{"a1": {Listed: 4, Up: up, Capacity: 50, Tries: 4, Full: 1}}}
 	}
-	failing := func(agent string, dead float64) Summary {
+	reportingDead := func(agent string, dead float64) Summary {
 		return Summary{Agent: agent, Zone: "a1", AtUs: 9 * secondUs, Seen: map[string]Sight{"a1": {Listed: 4, Up: 4, Tries: 3, Dead: dead}}}
 	}
 	// One of three agents reaches no live server, then two do.
@@ -190,13 +190,13 @@
 	}{{[3]float64{3, 0, 0}, false}, {[3]float64{3, 2, 0}, true}} {
 		var all []Summary
 		for i, d := range c.dead {
-			all = append(all, failing(fmt.Sprint(i), d))
+			all = append(all, reportingDead(fmt.Sprint(i), d))
 		}
 		if p, _ := Decide(Plan{}, testTopology, Defaults, Aggregate(all, 10*secondUs, 5*secondUs), secondUs, "d"); p.States["a1"].Lost != c.lost {
 			t.Errorf("dead tries %v: lost %v", c.dead, !c.lost)
 		}
 	}
-	v := Aggregate([]Summary{see("1", 4, 9*secondUs), see("2", 4, 9*secondUs), see("deaf", 0, 9*secondUs), see("old", 0, 0)}, 10*secondUs, 5*secondUs)
+	v := Aggregate([]Summary{reportingUp("1", 4, 9*secondUs), reportingUp("2", 4, 9*secondUs), reportingUp("deaf", 0, 9*secondUs), reportingUp("old", 0, 0)}, 10*secondUs, 5*secondUs)
 	h, ok := v.healthSeenBy("a1", "a1")
 	if !ok || h.Up != 1 || h.Capacity != 50 || h.Full != 0.25 || v.Agents["a1"] != 3 || v.totalLoad("a1") != 6 {
 		t.Errorf("%+v, %d agents, load %v", h, v.Agents["a1"], v.totalLoad("a1"))
@@ -209,12 +209,12 @@
 	plan := func(part float64) Plan {
 		return Plan{Zones: map[string]Placement{"a1": {Mode: ModeSpill, Shares: []Share{{"a2", part}}, Caps: map[string]float64{"group": 0.05}}}}
 	}
-	n, capped := 0, 0
+	away, capped := 0, 0
 	for i := range 20_000 {
 		call := fmt.Sprintf("%016x", i)
 		small, big := plan(0.2).ChooseZone("a1", "voice", call), plan(0.3).ChooseZone("a1", "voice", call)
 		if small == "a2" {
-			n++
+			away++
 			if big != "a2" {
 				t.Fatalf("call %s returned to its zone when the share grew", call)
 			}
@@ -223,19 +223,19 @@
 			capped++
 		}
 	}
-	if n < 3800 || n > 4200 || capped < 900 || capped > 1100 {
-		t.Errorf("%d of 20000 calls sent away, want about 4000; %d of the capped class, want about 1000", n, capped)
+	if away < 3800 || away > 4200 || capped < 900 || capped > 1100 {
+		t.Errorf("%d of 20000 calls sent away, want about 4000; %d of the capped class, want about 1000", away, capped)
 	}
-	if z := plan(1).ChooseZone("b1", "voice", "x"); z != "b1" {
-		t.Errorf("a zone that is not in the plan sends its calls to %s", z)
+	if zone := plan(1).ChooseZone("b1", "voice", "x"); zone != "b1" {
+		t.Errorf("a zone that is not in the plan sends its calls to %s", zone)
 	}
 }
 
 func TestCheck(t *testing.T) {
 	bad := Defaults
 	bad.Margin, bad.Budget = 1, map[string]float64{"voice": 2}
-	refused := append(bad.Check(), Topology{Zones: []Zone{{"a", ""}, {"b", "r"}, {"b", "r"}}, Distances: []Distance{{[2]string{"b", "c"}, -1}}}.Check()...)
-	if len(refused) != 5 || len(Defaults.Check())+len(testTopology.Check()) > 0 {
-		t.Errorf("%v", refused)
+	errs := append(bad.Check(), Topology{Zones: []Zone{{"a", ""}, {"b", "r"}, {"b", "r"}}, Distances: []Distance{{[2]string{"b", "c"}, -1}}}.Check()...)
+	if len(errs) != 5 || len(Defaults.Check())+len(testTopology.Check()) > 0 {
+		t.Errorf("%v", errs)
 	}
 }
--- a/failover/view.go
+++ b/failover/view.go
@@ -59,31 +59,31 @@
 // health of a zone is the median over its observers, so that a single agent with a broken connection or wrong
 // figures has no effect.
 func Aggregate(all []Summary, nowUs, freshUs int64) View {
-	v := View{Load: map[string]map[string]float64{}, Health: map[string]map[string]Health{}, Agents: map[string]int{}}
+	view := View{Load: map[string]map[string]float64{}, Health: map[string]map[string]Health{}, Agents: map[string]int{}}
 	type key struct{ by, of string }
 	sights := map[key][]Sight{}
 	for _, s := range all {
 		if nowUs-s.AtUs > freshUs {
 			continue
 		}
-		v.Agents[s.Zone]++
-		if v.Load[s.Zone] == nil {
-			v.Load[s.Zone] = map[string]float64{}
+		view.Agents[s.Zone]++
+		if view.Load[s.Zone] == nil {
+			view.Load[s.Zone] = map[string]float64{}
 		}
 		for class, n := range s.Offered {
-			v.Load[s.Zone][class] += max(n, 0)
+			view.Load[s.Zone][class] += max(n, 0)
 		}
 		for zone, sight := range s.Seen {
 			sights[key{s.Zone, zone}] = append(sights[key{s.Zone, zone}], sight)
 		}
 	}
 	for k, list := range sights {
-		if v.Health[k.by] == nil {
-			v.Health[k.by] = map[string]Health{}
+		if view.Health[k.by] == nil {
+			view.Health[k.by] = map[string]Health{}
 		}
-		v.Health[k.by][k.of] = aggregateHealth(list)
+		view.Health[k.by][k.of] = aggregateHealth(list)
 	}
-	return v
+	return view
 }
 
 // aggregateHealth combines the observations of one zone by the agents of another.
--- a/promise/ages.go
+++ b/promise/ages.go
@@ -10,31 +10,31 @@
 
 // add lists a call under the time of its claim or resolution.
 func (a ageIndex) add(atUs int64, call string) {
-	at := floorSecond(atUs)
-	a[at] = append(a[at], call)
+	second := floorSecond(atUs)
+	a[second] = append(a[second], call)
 }
 
 // forEachOlder calls each for every call listed under a second that begins before the given time. It removes
 // the seconds that end by then; a second that contains the time stays listed for a later expiry.
-func (a ageIndex) forEachOlder(us int64, each func(call string)) {
-	for at, calls := range a {
-		if at*secondUs >= us {
+func (a ageIndex) forEachOlder(beforeUs int64, visit func(call string)) {
+	for second, calls := range a {
+		if second*secondUs >= beforeUs {
 			continue
 		}
 		for _, c := range calls {
-			each(c)
+			visit(c)
 		}
-		if (at+1)*secondUs <= us {
-			delete(a, at)
+		if (second+1)*secondUs <= beforeUs {
+			delete(a, second)
 		}
 	}
 }
 
 // floorSecond converts microseconds to seconds, rounding down also for negative times.
 func floorSecond(us int64) int64 {
-	at := us / secondUs
+	second := us / secondUs
 	if us%secondUs < 0 {
-		at--
+		second--
 	}
-	return at
+	return second
 }
--- a/promise/promise.go
+++ b/promise/promise.go
@@ -216,9 +216,9 @@
 	if r, ok := s.calls[e.Call]; ok {
 		return Result{Resolution: r, Resolved: true}, nil
 	}
-	held, ok := s.claims[e.Call]
+	existing, ok := s.claims[e.Call]
 	switch {
-	case ok && held.Token == e.Token:
+	case ok && existing.Token == e.Token:
 		return Result{Claimed: true}, nil
 	case ok:
 		r := s.recordResolution(e.Call, Resolution{Answer: AnswerRefused, ComeBackUs: e.ComeBackUs, AtUs: e.AtUs, Index: index})
@@ -237,7 +237,7 @@
 	if r, ok := s.calls[e.Call]; ok {
 		return Result{Resolution: r}, nil
 	}
-	if held, ok := s.claims[e.Call]; ok && held.Token != e.Token {
+	if existing, ok := s.claims[e.Call]; ok && existing.Token != e.Token {
 		return Result{}, fmt.Errorf("%w %d: field token: the call is claimed by another", ErrEntry, index)
 	}
 	r := s.recordResolution(e.Call, Resolution{Answer: e.Answer, Description: e.Description, Server: e.Server,
@@ -313,13 +313,13 @@
 
 // describeJSONError returns the text of a JSON error with its byte offset if known.
 func describeJSONError(data []byte, err error) string {
-	var syn *json.SyntaxError
-	if errors.As(err, &syn) {
-		return fmt.Sprintf("byte %d: %v", syn.Offset, err)
+	var syntaxErr *json.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		return fmt.Sprintf("byte %d: %v", syntaxErr.Offset, err)
 	}
-	var typ *json.UnmarshalTypeError
-	if errors.As(err, &typ) {
-		return fmt.Sprintf("field %s, byte %d: %v", typ.Field, typ.Offset, err)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Sprintf("field %s, byte %d: %v", typeErr.Field, typeErr.Offset, err)
 	}
 	return err.Error()
 }
--- a/rollout/coverage.go
+++ b/rollout/coverage.go
@@ -41,57 +41,57 @@
 // of the reports' AtUs. The cost is proportional to the number of agents.
 func ComputeCoverage(s *State, n Name, reports []Report, nowUs, freshUs int64) Coverage {
 	latest, _ := s.Latest(n)
-	c := Coverage{Name: n, Revision: latest.Revision, Stage: latest.Stage, Zones: map[string]ZoneCoverage{}}
-	if c.Revision == 0 {
-		return c
+	coverage := Coverage{Name: n, Revision: latest.Revision, Stage: latest.Stage, Zones: map[string]ZoneCoverage{}}
+	if coverage.Revision == 0 {
+		return coverage
 	}
 	key := n.String()
-	heard := map[string]bool{}
+	reported := map[string]bool{}
 	for i := range reports {
 		r := &reports[i]
 		if !n.Scope.Contains(r.Agent) {
 			continue
 		}
-		heard[r.Agent.Name] = true
-		z := c.Zones[r.Agent.Zone]
-		z.Agents++
-		c.Agents++
-		why, refused := findRefusal(r, n, c.Revision)
+		reported[r.Agent.Name] = true
+		zone := coverage.Zones[r.Agent.Zone]
+		zone.Agents++
+		coverage.Agents++
+		why, refused := findRefusal(r, n, coverage.Revision)
 		if refused {
-			c.Refused = append(c.Refused, AgentRefusal{r.Agent.Name, Refusal{n, c.Revision, why}})
+			coverage.Refused = append(coverage.Refused, AgentRefusal{r.Agent.Name, Refusal{n, coverage.Revision, why}})
 		}
-		has := r.Seen[key] == c.Revision && (latest.Removed || r.InForce[n.Kind] == c.Revision || s.isShadowed(r.Agent, n))
-		d := s.docs[n].revisionFor(r.Agent)
+		inForce := r.Seen[key] == coverage.Revision && (latest.Removed || r.InForce[n.Kind] == coverage.Revision || s.isShadowed(r.Agent, n))
+		due := s.docs[n].revisionFor(r.Agent)
 		switch {
-		case has:
-			z.InForce++
-			c.InForce++
-		case nowUs-r.AtUs <= freshUs && !refused && d != nil && d.Revision == c.Revision:
-			c.Behind = append(c.Behind, r.Agent.Name)
+		case inForce:
+			zone.InForce++
+			coverage.InForce++
+		case nowUs-r.AtUs <= freshUs && !refused && due != nil && due.Revision == coverage.Revision:
+			coverage.Behind = append(coverage.Behind, r.Agent.Name)
 		}
 		if nowUs-r.AtUs > freshUs {
-			c.OutOfReach = append(c.OutOfReach, r.Agent.Name)
+			coverage.OutOfReach = append(coverage.OutOfReach, r.Agent.Name)
 		}
-		c.Zones[r.Agent.Zone] = z
+		coverage.Zones[r.Agent.Zone] = zone
 	}
 	if latest.Stage == StageFirst {
 		for _, a := range latest.First {
-			if !heard[a] {
-				c.OutOfReach = append(c.OutOfReach, a)
+			if !reported[a] {
+				coverage.OutOfReach = append(coverage.OutOfReach, a)
 			}
 		}
 	}
-	slices.Sort(c.Behind)
-	slices.Sort(c.OutOfReach)
-	slices.SortFunc(c.Refused, func(a, b AgentRefusal) int { return cmp.Compare(a.Agent, b.Agent) })
-	return c
+	slices.Sort(coverage.Behind)
+	slices.Sort(coverage.OutOfReach)
+	slices.SortFunc(coverage.Refused, func(a, b AgentRefusal) int { return cmp.Compare(a.Agent, b.Agent) })
+	return coverage
 }
 
 // isShadowed reports whether an agent has a document of the same kind with a narrower scope and a text.
 func (s *State) isShadowed(a Agent, n Name) bool {
 	scopes := a.scopes()
-	at := slices.Index(Levels, n.Scope.Level)
-	for _, scope := range scopes[at+1:] {
+	level := slices.Index(Levels, n.Scope.Level)
+	for _, scope := range scopes[level+1:] {
 		if d := s.docs[Name{n.Kind, scope}]; d != nil {
 			if r := d.revisionFor(a); r != nil && !r.Removed {
 				return true
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -41,11 +41,11 @@
 }
 
 // accepted returns the last revision that the loader accepted, or nil.
-func (k *documentRecord) accepted() *Document {
-	if k.Taken {
-		return &k.Told
+func (record *documentRecord) accepted() *Document {
+	if record.Taken {
+		return &record.Told
 	}
-	return k.Accepted
+	return record.Accepted
 }
 
 // NewDocumentSet returns the empty set of an agent.
@@ -58,7 +58,7 @@
 // revision are ignored. Documents that a whole reply does not list stay: a document is removed only by a
 // revision with Removed set. An error wraps ErrInvalidReply and names the document; in this case nothing is
 // added.
-func (h *DocumentSet) Receive(r WatchReply) (fresh []Document, err error) {
+func (h *DocumentSet) Receive(r WatchReply) (newDocs []Document, err error) {
 	told, named := map[uint64]Name{}, map[Name]bool{}
 	for n, k := range h.docs {
 		told[k.Told.Revision] = n
@@ -74,10 +74,10 @@
 		}
 		told[d.Revision], named[d.Name] = d.Name, true
 		if k == nil || d.Revision > k.Told.Revision {
-			fresh = append(fresh, d)
+			newDocs = append(newDocs, d)
 		}
 	}
-	for _, d := range fresh {
+	for _, d := range newDocs {
 		k := h.docs[d.Name]
 		if k == nil {
 			k = &documentRecord{}
@@ -86,13 +86,13 @@
 		*k = documentRecord{Told: d, Accepted: cloneDocument(k.accepted())}
 	}
 	h.version = max(h.version, r.Version)
-	return fresh, nil
+	return newDocs, nil
 }
 
 // checkDocument returns an error if a document of a reply is invalid; told has the names of the known
 // revision numbers.
-func (h *DocumentSet) checkDocument(d Document, k *documentRecord, version uint64, told map[uint64]Name) error {
-	n, known := told[d.Revision]
+func (h *DocumentSet) checkDocument(d Document, record *documentRecord, version uint64, told map[uint64]Name) error {
+	known, isKnown := told[d.Revision]
 	switch {
 	case !d.Name.valid() || !d.Name.Scope.Contains(h.agent):
 		return fmt.Errorf("field name: not a document of agent %s", h.agent.Name)
@@ -104,13 +104,13 @@
 		return fmt.Errorf("field text: %d bytes of a removed document", len(d.Text))
 	case d.Sum != Sum(d.Text):
 		return fmt.Errorf("field sum: %016x, the text's is %016x", d.Sum, Sum(d.Text))
-	case known && n != d.Name:
-		return fmt.Errorf("field revision: that number is %v", n)
-	case k == nil:
+	case isKnown && known != d.Name:
+		return fmt.Errorf("field revision: that number is %v", known)
+	case record == nil:
 		return nil
 	}
-	for _, o := range []*Document{&k.Told, k.accepted()} {
-		if o != nil && o.Revision == d.Revision && (o.Sum != d.Sum || o.Removed != d.Removed || string(o.Text) != string(d.Text)) {
+	for _, other := range []*Document{&record.Told, record.accepted()} {
+		if other != nil && other.Revision == d.Revision && (other.Sum != d.Sum || other.Removed != d.Removed || string(other.Text) != string(d.Text)) {
 			return errors.New("field text: that number had another text")
 		}
 	}
@@ -121,14 +121,14 @@
 // the last known good revision. A document that was not received, or that is older than the accepted one,
 // changes nothing.
 func (h *DocumentSet) Accept(d Document) {
-	k := h.docs[d.Name]
+	record := h.docs[d.Name]
 	switch {
-	case k == nil || d.Revision > k.Told.Revision:
-	case d.Revision == k.Told.Revision:
-		*k = documentRecord{Told: k.Told, Taken: true}
+	case record == nil || d.Revision > record.Told.Revision:
+	case d.Revision == record.Told.Revision:
+		*record = documentRecord{Told: record.Told, Taken: true}
 	default:
-		if was := k.accepted(); was == nil || was.Revision < d.Revision {
-			k.Accepted = &d
+		if accepted := record.accepted(); accepted == nil || accepted.Revision < d.Revision {
+			record.Accepted = &d
 		}
 	}
 }
@@ -138,15 +138,15 @@
 // accepted earlier, which can happen when a new version of the program loads it after a restart, it does not
 // count as accepted any more.
 func (h *DocumentSet) Refuse(d Document, why string) {
-	k := h.docs[d.Name]
-	if k == nil {
+	record := h.docs[d.Name]
+	if record == nil {
 		return
 	}
-	if k.Accepted != nil && k.Accepted.Revision == d.Revision {
-		k.Accepted = nil
+	if record.Accepted != nil && record.Accepted.Revision == d.Revision {
+		record.Accepted = nil
 	}
-	if d.Revision == k.Told.Revision {
-		k.Taken, k.Refused, k.Why = false, true, singleLine(why, MaxWhyBytes)
+	if d.Revision == record.Told.Revision {
+		record.Taken, record.Refused, record.Why = false, true, singleLine(why, MaxWhyBytes)
 	}
 }
 
@@ -155,8 +155,8 @@
 func (h *DocumentSet) Effective(kind string) (Document, bool) {
 	scopes := h.agent.scopes()
 	for _, s := range slices.Backward(scopes[:]) {
-		if k := h.docs[Name{kind, s}]; k != nil {
-			if d := k.accepted(); d != nil && !d.Removed {
+		if record := h.docs[Name{kind, s}]; record != nil {
+			if d := record.accepted(); d != nil && !d.Removed {
 				return *d, true
 			}
 		}
@@ -167,8 +167,8 @@
 // KnownRevisions returns the latest received revisions by Name.String(), for WatchArgs.Have.
 func (h *DocumentSet) KnownRevisions() map[string]uint64 {
 	out := make(map[string]uint64, len(h.docs))
-	for n, k := range h.docs {
-		out[n.String()] = k.Told.Revision
+	for n, record := range h.docs {
+		out[n.String()] = record.Told.Revision
 	}
 	return out
 }
@@ -178,12 +178,12 @@
 func (h *DocumentSet) Report() (seen map[string]uint64, refused []Refusal) {
 	seen = make(map[string]uint64, len(h.docs))
 	for _, n := range h.names() {
-		k := h.docs[n]
-		if d := k.accepted(); d != nil {
+		record := h.docs[n]
+		if d := record.accepted(); d != nil {
 			seen[n.String()] = d.Revision
 		}
-		if k.Refused {
-			refused = append(refused, Refusal{Name: n, Revision: k.Told.Revision, Why: k.Why})
+		if record.Refused {
+			refused = append(refused, Refusal{Name: n, Revision: record.Told.Revision, Why: record.Why})
 		}
 	}
 	return seen, refused
@@ -193,8 +193,8 @@
 // restart between Receive and Accept or Refuse, they have to be loaded again.
 func (h *DocumentSet) Pending() (out []Document) {
 	for _, n := range h.names() {
-		if k := h.docs[n]; !k.Taken && !k.Refused {
-			out = append(out, k.Told)
+		if record := h.docs[n]; !record.Taken && !record.Refused {
+			out = append(out, record.Told)
 		}
 	}
 	return out
@@ -221,48 +221,48 @@
 // Bytes encodes the set for storage: the magic, the JSON image (documents sorted by name, so that equal sets
 // give equal bytes) and its xxhash64, big-endian, in the last 8 bytes.
 func (h *DocumentSet) Bytes() []byte {
-	i := documentSetImage{Agent: h.agent, Version: h.version}
+	setImage := documentSetImage{Agent: h.agent, Version: h.version}
 	for _, n := range h.names() {
-		i.Docs = append(i.Docs, h.docs[n])
+		setImage.Docs = append(setImage.Docs, h.docs[n])
 	}
-	img, _ := json.Marshal(i)
+	img, _ := json.Marshal(setImage)
 	return encodeFrame(documentSetMagic, img)
 }
 
 // DecodeDocumentSet decodes the result of Bytes. It refuses a set of another agent, and also one of this
 // agent with another service, zone or region, since other documents apply there and have to be fetched. An
 // error wraps ErrDocumentSet and names the byte, or the field if the checksum is correct.
-func DecodeDocumentSet(a Agent, data []byte) (*DocumentSet, error) {
+func DecodeDocumentSet(agent Agent, data []byte) (*DocumentSet, error) {
 	img, err := decodeFrame(documentSetMagic, data)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDocumentSet, err)
 	}
-	var i documentSetImage
-	if err := json.Unmarshal(img, &i); err != nil {
+	var setImage documentSetImage
+	if err := json.Unmarshal(img, &setImage); err != nil {
 		return nil, fmt.Errorf("%w: image, %s", ErrDocumentSet, describeJSONError(img, err))
 	}
-	if i.Agent != a {
-		return nil, fmt.Errorf("%w: byte %d, field agent: kept by %+v, read by %+v", ErrDocumentSet, len(documentSetMagic), i.Agent, a)
+	if setImage.Agent != agent {
+		return nil, fmt.Errorf("%w: byte %d, field agent: kept by %+v, read by %+v", ErrDocumentSet, len(documentSetMagic), setImage.Agent, agent)
 	}
-	h := NewDocumentSet(a)
-	h.version = i.Version
+	set := NewDocumentSet(agent)
+	set.version = setImage.Version
 	told := map[uint64]Name{}
-	for n, k := range i.Docs {
-		if k == nil || h.docs[k.Told.Name] != nil || k.Taken && (k.Refused || k.Accepted != nil) {
+	for n, record := range setImage.Docs {
+		if record == nil || set.docs[record.Told.Name] != nil || record.Taken && (record.Refused || record.Accepted != nil) {
 			return nil, fmt.Errorf("%w: field docs[%d]: missing, twice, or both taken and not", ErrDocumentSet, n)
 		}
-		for _, d := range []*Document{k.Accepted, &k.Told} {
+		for _, d := range []*Document{record.Accepted, &record.Told} {
 			if d == nil {
 				continue
 			}
-			if err := h.checkDocument(*d, nil, i.Version, told); err != nil || d.Name != k.Told.Name {
+			if err := set.checkDocument(*d, nil, setImage.Version, told); err != nil || d.Name != record.Told.Name {
 				return nil, fmt.Errorf("%w: field docs[%d]: %w", ErrDocumentSet, n, err)
 			}
 			told[d.Revision] = d.Name
 		}
-		h.docs[k.Told.Name] = k
+		set.docs[record.Told.Name] = record
 	}
-	return h, nil
+	return set, nil
 }
 
 // cloneDocument returns a copy of a document, or nil.
@@ -276,18 +276,18 @@
 
 // singleLine prepares a text for a console line: it replaces control characters by blanks and invalid UTF-8
 // by "?", and truncates the text to at most n bytes at the end of a rune.
-func singleLine(s string, n int) string {
+func singleLine(s string, maxBytes int) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
 		}
 		return r
-	}, strings.ToValidUTF8(s[:min(len(s), n+utf8.UTFMax)], "?"))
-	if len(s) <= n {
+	}, strings.ToValidUTF8(s[:min(len(s), maxBytes+utf8.UTFMax)], "?"))
+	if len(s) <= maxBytes {
 		return s
 	}
-	for n > 0 && !utf8.RuneStart(s[n]) {
-		n--
+	for maxBytes > 0 && !utf8.RuneStart(s[maxBytes]) {
+		maxBytes--
 	}
-	return s[:n]
+	return s[:maxBytes]
 }
--- a/rollout/held_test.go
+++ b/rollout/held_test.go
@@ -22,7 +22,7 @@
 // a restart.
 func TestDocumentSet(t *testing.T) {
 	cases := []struct {
-		name, play, force, seen, refused string
+		name, script, wantForce, seen, refused string
 	}{
 		{"nothing received", "", "-", "map[]", ""},
 		{"received, not yet accepted", "wide 1:x", "-", "map[]", ""},
@@ -41,12 +41,12 @@
 	}
 	for _, c := range cases {
 		h := NewDocumentSet(a1)
-		n := routes
+		name := routes
 		var last, old Document
-		for _, w := range strings.Fields(c.play) {
-			switch w {
+		for _, word := range strings.Fields(c.script) {
+			switch word {
 			case "wide", "near":
-				n = map[string]Name{"wide": routes, "near": byZone}[w]
+				name = map[string]Name{"wide": routes, "near": byZone}[word]
 			case "ok":
 				h.Accept(last)
 			case "no":
@@ -59,19 +59,19 @@
 				h.Accept(old)
 			default:
 				var revision uint64
-				number, text, _ := strings.Cut(w, ":")
+				number, text, _ := strings.Cut(word, ":")
 				fmt.Sscan(number, &revision)
-				if fresh, err := h.Receive(WatchReply{Version: revision, Docs: []Document{testDocument(n, revision, text)}}); err != nil {
+				if newDocs, err := h.Receive(WatchReply{Version: revision, Docs: []Document{testDocument(name, revision, text)}}); err != nil {
 					t.Fatalf("%s: %v", c.name, err)
-				} else if len(fresh) > 0 {
-					last = fresh[0]
+				} else if len(newDocs) > 0 {
+					last = newDocs[0]
 				}
 			}
-			back, err := DecodeDocumentSet(a1, h.Bytes())
-			if err != nil || !bytes.Equal(back.Bytes(), h.Bytes()) {
-				t.Fatalf("%s: after %s: %v", c.name, w, err)
+			decoded, err := DecodeDocumentSet(a1, h.Bytes())
+			if err != nil || !bytes.Equal(decoded.Bytes(), h.Bytes()) {
+				t.Fatalf("%s: after %s: %v", c.name, word, err)
 			}
-			h = back
+			h = decoded
 		}
 		force := "-"
 		if d, ok := h.Effective("routes"); ok {
@@ -82,8 +82,8 @@
 		for _, r := range refusals {
 			refused = append(refused, fmt.Sprint(r.Name, " ", r.Revision, " ", r.Why))
 		}
-		if got := strings.Join(refused, ", "); force != c.force || fmt.Sprint(seen) != c.seen || got != c.refused {
-			t.Errorf("%s: in force %s, seen %v, refused %s; want %s, %s, %s", c.name, force, seen, got, c.force, c.seen, c.refused)
+		if got := strings.Join(refused, ", "); force != c.wantForce || fmt.Sprint(seen) != c.seen || got != c.refused {
+			t.Errorf("%s: in force %s, seen %v, refused %s; want %s, %s, %s", c.name, force, seen, got, c.wantForce, c.seen, c.refused)
 		}
 	}
 	h := NewDocumentSet(a1)
@@ -111,13 +111,13 @@
 // TestInvalidReplies checks that a reply with one invalid document is refused as a whole and changes nothing.
 // Taking a part of it could give an agent a text that the control group never committed.
 func TestInvalidReplies(t *testing.T) {
-	with := func(d Document, change func(*Document)) Document { change(&d); return d }
+	modified := func(d Document, change func(*Document)) Document { change(&d); return d }
 	good := testDocument(routes, 2, "x")
 	cases := []struct {
 		name string
 		docs []Document
 	}{
-		{"field sum", []Document{with(good, func(d *Document) { d.Sum++ })}},
+		{"field sum", []Document{modified(good, func(d *Document) { d.Sum++ })}},
 		{"not a document of agent a1", []Document{testDocument(Name{"routes", Scope{LevelZone, "z2"}}, 2, "x")}},
 		{"not a document of agent a1", []Document{testDocument(Name{"", Scope{Level: LevelAll}}, 2, "x")}},
 		{"field text: 262145 bytes", []Document{testDocument(routes, 2, strings.Repeat("x", MaxTextBytes+1))}},
@@ -128,17 +128,17 @@
 		{"that number is routes@all", []Document{testDocument(byZone, 1, "x")}},
 		{"that number is routes@all", []Document{good, testDocument(byZone, 2, "x")}},
 		{"twice in one answer", []Document{testDocument(routes, 3, "x"), good}},
-		{"of a removed document", []Document{with(good, func(d *Document) { d.Removed = true })}},
+		{"of a removed document", []Document{modified(good, func(d *Document) { d.Removed = true })}},
 	}
 	for _, c := range cases {
 		h := NewDocumentSet(a1)
 		if _, err := h.Receive(WatchReply{Version: 1, Docs: []Document{testDocument(routes, 1, "x")}}); err != nil {
 			t.Fatal(err)
 		}
-		was := h.Bytes()
-		fresh, err := h.Receive(WatchReply{Version: 9, Docs: append([]Document{testDocument(Name{"spread", Scope{Level: LevelAll}}, 8, "z")}, c.docs...)})
-		if !errors.Is(err, ErrInvalidReply) || !strings.Contains(err.Error(), c.name) || fresh != nil || !bytes.Equal(was, h.Bytes()) {
-			t.Errorf("%s: %v, %v", c.name, fresh, err)
+		before := h.Bytes()
+		newDocs, err := h.Receive(WatchReply{Version: 9, Docs: append([]Document{testDocument(Name{"spread", Scope{Level: LevelAll}}, 8, "z")}, c.docs...)})
+		if !errors.Is(err, ErrInvalidReply) || !strings.Contains(err.Error(), c.name) || newDocs != nil || !bytes.Equal(before, h.Bytes()) {
+			t.Errorf("%s: %v, %v", c.name, newDocs, err)
 		}
 	}
 }
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -57,34 +57,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
-	var m image
-	if err := json.Unmarshal(img, &m); err != nil {
+	var decoded image
+	if err := json.Unmarshal(img, &decoded); err != nil {
 		return nil, fmt.Errorf("%w: image, %s", ErrSnapshot, describeJSONError(img, err))
 	}
 	s := New()
-	s.applied = m.Applied
+	s.applied = decoded.Applied
 	numbers := map[uint64]bool{}
-	for n, di := range m.Docs {
+	for index, stored := range decoded.Docs {
 		var d *doc
-		for _, r := range slices.Concat([]*Revision{di.Now, di.First, di.Next}, di.Former) {
+		for _, r := range slices.Concat([]*Revision{stored.Now, stored.First, stored.Next}, stored.Former) {
 			switch {
 			case r == nil:
 				continue
 			case d == nil && (!r.Name.valid() || s.docs[r.Name] != nil):
-				return nil, fmt.Errorf("%w: field docs[%d]: name %q can't be, or is there twice", ErrSnapshot, n, r.Name)
+				return nil, fmt.Errorf("%w: field docs[%d]: name %q can't be, or is there twice", ErrSnapshot, index, r.Name)
 			case d == nil:
 				d = s.addDocument(r.Name)
 			}
-			if r.Name != d.name || r.Revision == 0 || r.Revision > m.Applied || numbers[r.Revision] || r.Sum != Sum(r.Text) {
-				return nil, fmt.Errorf("%w: field docs[%d]: revision %d of %v: its name, number or sum can't be", ErrSnapshot, n, r.Revision, d.name)
+			if r.Name != d.name || r.Revision == 0 || r.Revision > decoded.Applied || numbers[r.Revision] || r.Sum != Sum(r.Text) {
+				return nil, fmt.Errorf("%w: field docs[%d]: revision %d of %v: its name, number or sum can't be", ErrSnapshot, index, r.Revision, d.name)
 			}
 			numbers[r.Revision] = true
 			s.totalBytes += len(r.Text)
 		}
-		if d == nil || slices.Contains(di.Former, nil) {
-			return nil, fmt.Errorf("%w: field docs[%d]: a revision is missing", ErrSnapshot, n)
+		if d == nil || slices.Contains(stored.Former, nil) {
+			return nil, fmt.Errorf("%w: field docs[%d]: a revision is missing", ErrSnapshot, index)
 		}
-		d.current, d.first, d.waiting, d.former = di.Now, di.First, di.Next, di.Former
+		d.current, d.first, d.waiting, d.former = stored.Now, stored.First, stored.Next, stored.Former
 		if d.first != nil || d.waiting != nil {
 			s.open[d] = true
 		}
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -113,17 +113,17 @@
 	case e.Remove && (d == nil || latest.Removed):
 		return refuse("remove: %v has no text to remove", e.Name)
 	case e.Restore > 0:
-		was := d.find(e.Restore)
-		if was == nil {
+		restored := d.find(e.Restore)
+		if restored == nil {
 			return refuse("restore: revision %d of %v is not kept", e.Restore, e.Name)
 		}
-		r.Text, r.Removed = was.Text, was.Removed
+		r.Text, r.Removed = restored.Text, restored.Removed
 	case d == nil && len(s.docs) >= MaxDocuments:
 		return refuse("name: %d documents, most %d", len(s.docs)+1, MaxDocuments)
 	}
-	if n := s.totalBytes + len(r.Text); n > MaxTotalBytes {
-		if n -= s.droppableBytes(d); n > MaxTotalBytes {
-			return refuse("text: %d bytes of texts in force or on their way, most %d", n, MaxTotalBytes)
+	if total := s.totalBytes + len(r.Text); total > MaxTotalBytes {
+		if total -= s.droppableBytes(d); total > MaxTotalBytes {
+			return refuse("text: %d bytes of texts in force or on their way, most %d", total, MaxTotalBytes)
 		}
 	}
 	if d == nil {
@@ -142,13 +142,13 @@
 	started := d.first != nil && d.first.Revision == e.Revision
 	switch {
 	case e.Op == OpStart && started:
-		r := *d.first
-		r.First = union(r.First, e.First)
-		if len(r.First) == len(d.first.First) {
+		revision := *d.first
+		revision.First = union(revision.First, e.First)
+		if len(revision.First) == len(d.first.First) {
 			return Result{}
 		}
-		d.first = &r
-		return Result{Revision: r.Revision, Changed: true}
+		d.first = &revision
+		return Result{Revision: revision.Revision, Changed: true}
 	case e.Op == OpStart && d.first == nil:
 		r := *d.waiting
 		if d.current != nil && d.current.Revision > r.Revision {
@@ -188,14 +188,14 @@
 }
 
 // archive adds a copy of a revision to the former ones, with the given stage and reason.
-func (s *State) archive(d *doc, r *Revision, as Stage, why string) {
+func (s *State) archive(d *doc, r *Revision, stage Stage, why string) {
 	if r == nil {
 		return
 	}
-	c := *r
-	c.Stage, c.Why = as, why
-	at, _ := slices.BinarySearchFunc(d.former, c.Revision, compareNumber)
-	d.former = slices.Insert(slices.Clone(d.former), at, &c) // cloned because an Image may share the old list
+	archived := *r
+	archived.Stage, archived.Why = stage, why
+	index, _ := slices.BinarySearchFunc(d.former, archived.Revision, compareNumber)
+	d.former = slices.Insert(slices.Clone(d.former), index, &archived) // cloned because an Image may share the old list
 }
 
 // enforceBounds drops former revisions until the limits are kept, and updates the set of open documents,
@@ -231,14 +231,14 @@
 
 // droppableBytes returns the size of the texts that can be dropped: those of all former revisions and the
 // waiting one that a put to the given document supersedes.
-func (s *State) droppableBytes(to *doc) (n int) {
+func (s *State) droppableBytes(target *doc) (n int) {
 	for _, d := range s.docs {
 		for _, r := range d.former {
 			n += len(r.Text)
 		}
 	}
-	if to != nil && to.waiting != nil {
-		n += len(to.waiting.Text)
+	if target != nil && target.waiting != nil {
+		n += len(target.waiting.Text)
 	}
 	return n
 }
@@ -259,29 +259,29 @@
 // proportional to the number of the agent's documents.
 func (s *State) DocumentsFor(a Agent) []Document {
 	var docs [5][]*doc
-	n := 0
+	total := 0
 	for i, scope := range a.scopes() {
 		docs[i] = s.byScope[scope]
-		n += len(docs[i])
+		total += len(docs[i])
 	}
-	if n == 0 {
+	if total == 0 {
 		return nil
 	}
-	out := make([]Document, 0, n)
+	out := make([]Document, 0, total)
 	for { // merge the sorted lists
-		least := -1
+		next := -1
 		for i, l := range docs {
-			if len(l) > 0 && (least < 0 || l[0].key < docs[least][0].key) {
-				least = i
+			if len(l) > 0 && (next < 0 || l[0].key < docs[next][0].key) {
+				next = i
 			}
 		}
-		if least < 0 {
+		if next < 0 {
 			return out
 		}
-		if r := docs[least][0].revisionFor(a); r != nil {
+		if r := docs[next][0].revisionFor(a); r != nil {
 			out = append(out, r.Document)
 		}
-		docs[least] = docs[least][1:]
+		docs[next] = docs[next][1:]
 	}
 }
 
@@ -390,10 +390,10 @@
 }
 
 // find returns the stored revision with a number, or nil.
-func (d *doc) find(n uint64) *Revision {
+func (d *doc) find(number uint64) *Revision {
 	if d != nil {
 		for _, r := range append([]*Revision{d.current, d.first, d.waiting}, d.former...) {
-			if r != nil && r.Revision == n {
+			if r != nil && r.Revision == number {
 				return r
 			}
 		}
@@ -466,13 +466,13 @@
 
 // describeJSONError returns the text of a JSON error with its byte offset.
 func describeJSONError(data []byte, err error) string {
-	var syn *json.SyntaxError
-	if errors.As(err, &syn) {
-		return fmt.Sprintf("byte %d: %v", syn.Offset, err)
+	var syntaxErr *json.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		return fmt.Sprintf("byte %d: %v", syntaxErr.Offset, err)
 	}
-	var typ *json.UnmarshalTypeError
-	if errors.As(err, &typ) {
-		return fmt.Sprintf("field %s, byte %d: %v", typ.Field, typ.Offset, err)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Sprintf("field %s, byte %d: %v", typeErr.Field, typeErr.Offset, err)
 	}
 	return fmt.Sprintf("byte %d: %v", len(data), err)
 }
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -134,7 +134,7 @@
 // applied index. Otherwise replicas of different versions could diverge.
 func TestRefusedEntries(t *testing.T) {
 	put := Entry{Op: OpPut, Name: byZone, Base: 0, Text: []byte("x"), Author: "anna"}
-	with := func(change func(*Entry)) []byte {
+	modified := func(change func(*Entry)) []byte {
 		e := put
 		change(&e)
 		return Encode(e)
@@ -142,7 +142,7 @@
 	cases := []struct {
 		data []byte
 		err  error
-		says string
+		text string
 	}{
 		{[]byte("\x00\xff"), ErrEntry, "byte 1"},
 		{[]byte(`{"op":"put","base":"x"}`), ErrEntry, "field base"},
@@ -154,24 +154,24 @@
 		{Encode(Entry{Op: OpStart, Revision: 1, First: []string{"a b"}}), ErrEntry, "field first"},
 		{Encode(Entry{Op: OpStart, Revision: 1, First: make([]string, MaxFirstAgents+1)}), ErrEntry, "4097 agents"},
 		{Encode(Entry{Op: OpHalt, Revision: 1, Why: strings.Repeat("x", MaxHaltWhyBytes+1)}), ErrEntry, "field why: 657 bytes, most 656"},
-		{with(func(e *Entry) { e.Text = make([]byte, MaxTextBytes+1) }), ErrEntry, "field text: 262145 bytes, most 262144"},
-		{with(func(e *Entry) { e.Author = "" }), ErrEntry, "field author"},
-		{with(func(e *Entry) { e.Name.Scope.Level = "planet" }), ErrEntry, "field name"},
-		{with(func(e *Entry) { e.Name.Scope = Scope{LevelAll, "z1"} }), ErrEntry, "field name"},
-		{with(func(e *Entry) { e.Remove = true }), ErrEntry, "field remove"},
-		{with(func(e *Entry) { e.Remove, e.Text = true, nil }), ErrEntry, "routes@zone/z1 has no text to remove"},
-		{with(func(e *Entry) { e.Restore = 1 }), ErrEntry, "field restore"},
-		{with(func(e *Entry) { e.Name, e.Base, e.Text, e.Restore = routes, 1, nil, 7 }), ErrEntry, "revision 7 of routes@all is not kept"},
-		{with(func(e *Entry) { e.Base = 9 }), ErrConflict, "routes@zone/z1 is at 0 (there is none), not at 9"},
-		{with(func(e *Entry) { e.Name = routes }), ErrConflict, "routes@all is at 1 by anna, not at 0"},
+		{modified(func(e *Entry) { e.Text = make([]byte, MaxTextBytes+1) }), ErrEntry, "field text: 262145 bytes, most 262144"},
+		{modified(func(e *Entry) { e.Author = "" }), ErrEntry, "field author"},
+		{modified(func(e *Entry) { e.Name.Scope.Level = "planet" }), ErrEntry, "field name"},
+		{modified(func(e *Entry) { e.Name.Scope = Scope{LevelAll, "z1"} }), ErrEntry, "field name"},
+		{modified(func(e *Entry) { e.Remove = true }), ErrEntry, "field remove"},
+		{modified(func(e *Entry) { e.Remove, e.Text = true, nil }), ErrEntry, "routes@zone/z1 has no text to remove"},
+		{modified(func(e *Entry) { e.Restore = 1 }), ErrEntry, "field restore"},
+		{modified(func(e *Entry) { e.Name, e.Base, e.Text, e.Restore = routes, 1, nil, 7 }), ErrEntry, "revision 7 of routes@all is not kept"},
+		{modified(func(e *Entry) { e.Base = 9 }), ErrConflict, "routes@zone/z1 is at 0 (there is none), not at 9"},
+		{modified(func(e *Entry) { e.Name = routes }), ErrConflict, "routes@all is at 1 by anna, not at 0"},
 	}
 	l := &testLog{t: t, State: New()}
 	l.put(routes, "x")
 	docs := l.Image().image.Docs
 	for _, c := range cases {
 		r, err := l.Apply(l.Applied()+1, c.data)
-		if !errors.Is(err, c.err) || !strings.Contains(fmt.Sprint(err), c.says) || r != (Result{}) {
-			t.Errorf("%.80q: %v, %v; want %q", c.data, r, err, c.says)
+		if !errors.Is(err, c.err) || !strings.Contains(fmt.Sprint(err), c.text) || r != (Result{}) {
+			t.Errorf("%.80q: %v, %v; want %q", c.data, r, err, c.text)
 		}
 	}
 	if _, err := l.Apply(l.Applied(), Encode(put)); !errors.Is(err, ErrEntry) {
@@ -237,28 +237,28 @@
 	agents := []Agent{{"a1", "s", "z1", "r"}, {"a2", "s", "z1", "r"}, {"b1", "t", "z2", "r"}, {"b2", "t", "z2", "q"}}
 	names := []Name{routes, byZone, {"routes", Scope{LevelAgent, "b1"}}, {"spread", Scope{LevelService, "s"}}}
 	rapid.Check(t, func(t *rapid.T) {
-		s, other := New(), New()
+		state, other := New(), New()
 		numbers := map[string]uint64{}
 		texts := map[uint64]string{}
-		kept, was := s.Image(), s.Image().Bytes()
+		image, imageBytes := state.Image(), state.Image().Bytes()
 		for range rapid.IntRange(1, 60).Draw(t, "entries") {
-			n := rapid.SampledFrom(names).Draw(t, "name")
-			head, _ := s.Latest(n)
-			e := Entry{Op: rapid.SampledFrom([]Op{OpPut, OpStart, OpAdvance, OpHalt}).Draw(t, "op"), Name: n,
+			name := rapid.SampledFrom(names).Draw(t, "name")
+			head, _ := state.Latest(name)
+			e := Entry{Op: rapid.SampledFrom([]Op{OpPut, OpStart, OpAdvance, OpHalt}).Draw(t, "op"), Name: name,
 				Base: head.Revision, Author: "anna", Revision: head.Revision, Why: "no"}
 			for _, a := range agents {
 				if rapid.Bool().Draw(t, "in") {
 					e.First = append(e.First, a.Name)
 				}
 			}
-			if open := s.Open(); len(open) > 0 && rapid.Bool().Draw(t, "open") {
+			if open := state.Open(); len(open) > 0 && rapid.Bool().Draw(t, "open") {
 				e.Revision = rapid.SampledFrom(open).Draw(t, "revision").Revision
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "how") {
 			case 0:
 				e.Remove = true
 			case 1:
-				if h := s.History(n); len(h) > 0 {
+				if h := state.History(name); len(h) > 0 {
 					e.Restore = rapid.SampledFrom(h).Draw(t, "restore").Revision
 				}
 			case 2:
@@ -266,17 +266,17 @@
 			default:
 				e.Text = []byte(rapid.StringN(1, 2, 2).Draw(t, "text"))
 			}
-			index := s.Applied() + rapid.Uint64Range(1, 3).Draw(t, "gap")
-			r1, err1 := s.Apply(index, Encode(e))
+			index := state.Applied() + rapid.Uint64Range(1, 3).Draw(t, "gap")
+			r1, err1 := state.Apply(index, Encode(e))
 			r2, err2 := other.Apply(index, Encode(e))
-			if r1 != r2 || fmt.Sprint(err1) != fmt.Sprint(err2) || !bytes.Equal(s.Image().Bytes(), other.Image().Bytes()) {
+			if r1 != r2 || fmt.Sprint(err1) != fmt.Sprint(err2) || !bytes.Equal(state.Image().Bytes(), other.Image().Bytes()) {
 				t.Fatalf("two replicas differ at %d: %v %v, %v %v", index, r1, err1, r2, err2)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				if !bytes.Equal(kept.Bytes(), was) {
+				if !bytes.Equal(image.Bytes(), imageBytes) {
 					t.Fatal("an image changed with its state")
 				}
-				kept, was = s.Image(), s.Image().Bytes()
+				image, imageBytes = state.Image(), state.Image().Bytes()
 				var err error
 				if other, err = Restore(other.Image().Bytes()); err != nil {
 					t.Fatal(err)
@@ -284,7 +284,7 @@
 			}
 			for _, a := range agents {
 				last := ""
-				for _, d := range s.DocumentsFor(a) {
+				for _, d := range state.DocumentsFor(a) {
 					id := a.Name + " " + d.Name.String()
 					if d.Revision < numbers[id] || d.Name.String() <= last || !d.Name.Scope.Contains(a) {
 						t.Fatalf("%s gets %d after %d (after %s)", id, d.Revision, numbers[id], last)
@@ -298,8 +298,8 @@
 				}
 			}
 			for id, n := range numbers {
-				if n > s.Applied() {
-					t.Fatalf("%s at %d, applied %d", id, n, s.Applied())
+				if n > state.Applied() {
+					t.Fatalf("%s at %d, applied %d", id, n, state.Applied())
 				}
 			}
 		}
--- a/rollout/steward.go
+++ b/rollout/steward.go
@@ -24,19 +24,19 @@
 var Defaults = Settings{PerService: 2, Dwell: time.Second, Patience: 3 * time.Second, Fresh: 5 * time.Second, Worse: 0.05, LeastCalls: 50}
 
 // Check returns one error for each invalid field, with the field's name in the operators' file.
-func (s Settings) Check() (out []error) {
-	bad := func(ok bool, format string, args ...any) {
+func (s Settings) Check() (errs []error) {
+	check := func(ok bool, format string, args ...any) {
 		if !ok {
-			out = append(out, fmt.Errorf(format, args...))
+			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	bad(s.PerService >= 1 && s.PerService <= 64, "per_service: %d outside 1 to 64", s.PerService)
-	bad(s.Dwell >= 0 && s.Dwell <= time.Minute, "dwell: %v outside 0s to 1m", s.Dwell)
-	bad(s.Patience > 0 && s.Patience <= s.Fresh, "patience: %v is not above 0s and at most fresh, %v", s.Patience, s.Fresh)
-	bad(s.Fresh > 0 && s.Fresh <= time.Minute, "fresh: %v is not above 0s and at most 1m", s.Fresh)
-	bad(s.Worse > 0 && s.Worse <= 1, "worse: %v is not above 0 and at most 1", s.Worse)
-	bad(s.LeastCalls >= 1, "least_calls: 0, at least 1")
-	return out
+	check(s.PerService >= 1 && s.PerService <= 64, "per_service: %d outside 1 to 64", s.PerService)
+	check(s.Dwell >= 0 && s.Dwell <= time.Minute, "dwell: %v outside 0s to 1m", s.Dwell)
+	check(s.Patience > 0 && s.Patience <= s.Fresh, "patience: %v is not above 0s and at most fresh, %v", s.Patience, s.Fresh)
+	check(s.Fresh > 0 && s.Fresh <= time.Minute, "fresh: %v is not above 0s and at most 1m", s.Fresh)
+	check(s.Worse > 0 && s.Worse <= 1, "worse: %v is not above 0 and at most 1", s.Worse)
+	check(s.LeastCalls >= 1, "least_calls: 0, at least 1")
+	return errs
 }
 
 // StageController makes the leader's decisions about stages. It remembers the call counters at the start of a
@@ -126,14 +126,14 @@
 	}
 	slices.SortFunc(open, compareKeys)
 	for _, doc := range open {
-		e := Entry{AtUs: nowUs}
+		entry := Entry{AtUs: nowUs}
 		if doc.first == nil {
-			d.startStage(doc, &e)
+			d.startStage(doc, &entry)
 		} else {
-			d.reviewStage(doc, &e)
+			d.reviewStage(doc, &entry)
 		}
-		if e.Op != "" {
-			out = append(out, e)
+		if entry.Op != "" {
+			out = append(out, entry)
 		}
 	}
 	return out
@@ -158,31 +158,31 @@
 }
 
 // silent reports whether an agent has not reported for a Patience while it was in a first stage.
-func (d *decision) silent(r *Report, m *stageAgent) bool {
-	heard := m.firstSeenUs
+func (d *decision) silent(r *Report, agent *stageAgent) bool {
+	lastHeardUs := agent.firstSeenUs
 	if r != nil {
-		heard = max(heard, r.AtUs)
+		lastHeardUs = max(lastHeardUs, r.AtUs)
 	}
-	return d.nowUs-heard > d.controller.settings.Patience.Microseconds()
+	return d.nowUs-lastHeardUs > d.controller.settings.Patience.Microseconds()
 }
 
 // startStage proposes the start of a waiting revision's first stage.
-func (d *decision) startStage(doc *doc, e *Entry) {
+func (d *decision) startStage(doc *doc, entry *Entry) {
 	first := d.pickAgents(doc, doc.waiting.Revision, nil)
 	if len(first) == 0 && d.warmingUp() {
 		return
 	}
-	if t := d.controller.stages[doc.name]; t == nil || t.revision != doc.waiting.Revision {
+	if stage := d.controller.stages[doc.name]; stage == nil || stage.revision != doc.waiting.Revision {
 		d.recordStart(doc.name, doc.waiting.Revision).selections = 1
 	}
-	e.Op, e.Revision, e.First = OpStart, doc.waiting.Revision, first
+	entry.Op, entry.Revision, entry.First = OpStart, doc.waiting.Revision, first
 }
 
 // recordStart stores the counters of all agents at the start of a first stage.
 func (d *decision) recordStart(n Name, revision uint64) *firstStage {
-	t := &firstStage{revision: revision, atStart: d.counters(), agents: map[string]*stageAgent{}}
-	d.controller.stages[n] = t
-	return t
+	stage := &firstStage{revision: revision, atStart: d.counters(), agents: map[string]*stageAgent{}}
+	d.controller.stages[n] = stage
+	return stage
 }
 
 // counters returns the current call counters by agent.
@@ -198,7 +198,7 @@
 // takes PerService reachable agents of each service, or half of them, rounded up, if there are no more than
 // PerService. Agents are ranked by a hash of name and revision number, so that different revisions start at
 // different agents.
-func (d *decision) pickAgents(doc *doc, number uint64, in []string) (out []string) {
+func (d *decision) pickAgents(doc *doc, number uint64, current []string) (out []string) {
 	type candidate struct {
 		name  string
 		score uint64
@@ -206,19 +206,19 @@
 	services := map[string][]candidate{}
 	for i := range d.reports {
 		r := &d.reports[i]
-		_, already := slices.BinarySearch(in, r.Agent.Name)
+		_, already := slices.BinarySearch(current, r.Agent.Name)
 		if !already && doc.name.Scope.Contains(r.Agent) && isNamePart(r.Agent.Name) && d.heardWithin(r, d.controller.settings.Fresh) {
 			score := xxhash.Sum64String(fmt.Sprint(r.Agent.Name, "\x00", number))
 			services[r.Agent.Service] = append(services[r.Agent.Service], candidate{r.Agent.Name, score})
 		}
 	}
-	for _, of := range services {
-		slices.SortFunc(of, func(a, b candidate) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name)) })
+	for _, candidates := range services {
+		slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name)) })
 		n := d.controller.settings.PerService
-		if len(of) <= n {
-			n = (len(of) + 1) / 2
+		if len(candidates) <= n {
+			n = (len(candidates) + 1) / 2
 		}
-		for _, c := range of[:n] {
+		for _, c := range candidates[:n] {
 			out = append(out, c.name)
 		}
 	}
@@ -227,107 +227,107 @@
 }
 
 // reviewStage decides whether a revision at its first stage advances, is halted or waits.
-func (d *decision) reviewStage(doc *doc, e *Entry) {
-	f, s := doc.first, d.controller.settings
-	t := d.controller.stages[doc.name]
-	if t == nil || t.revision != f.Revision && t.revision != f.Restores {
-		t = d.recordStart(doc.name, f.Revision) // started by another leader
-		t.selections = 1
+func (d *decision) reviewStage(doc *doc, entry *Entry) {
+	revision, settings := doc.first, d.controller.settings
+	stage := d.controller.stages[doc.name]
+	if stage == nil || stage.revision != revision.Revision && stage.revision != revision.Restores {
+		stage = d.recordStart(doc.name, revision.Revision) // started by another leader
+		stage.selections = 1
 	}
-	t.revision = f.Revision
-	e.Revision = f.Revision
+	stage.revision = revision.Revision
+	entry.Revision = revision.Revision
 	var stood, pending, expired int
-	var again, gone string // names of agents that restarted, or stopped reporting, after they accepted
-	for _, name := range f.First {
-		r := d.byName[name]
-		if r != nil && !doc.name.Scope.Contains(r.Agent) {
+	var restarted, lostAgent string // names of agents that restarted, or stopped reporting, after they accepted
+	for _, name := range revision.First {
+		report := d.byName[name]
+		if report != nil && !doc.name.Scope.Contains(report.Agent) {
 			continue // the agent has left the scope
 		}
-		if why, no := findRefusal(r, doc.name, f.Revision); no {
-			d.halt(e, "agent %s: %s", name, why)
+		if why, refused := findRefusal(report, doc.name, revision.Revision); refused {
+			d.halt(entry, "agent %s: %s", name, why)
 			return
 		}
-		m := t.observe(d, name, r, doc.key)
+		agent := stage.observe(d, name, report, doc.key)
 		switch {
-		case d.silent(r, m):
-			if m.acceptedLives > 0 {
-				gone = name
+		case d.silent(report, agent):
+			if agent.acceptedLives > 0 {
+				lostAgent = name
 			}
-		case m.stood(r, s.Dwell):
+		case agent.stood(report, settings.Dwell):
 			stood++
 		default:
 			pending++
-			if d.nowUs-m.firstSeenUs > 2*s.Patience.Microseconds() {
+			if d.nowUs-agent.firstSeenUs > 2*settings.Patience.Microseconds() {
 				expired++
 			}
-			if m.acceptedLives > 1 {
-				again = name
+			if agent.acceptedLives > 1 {
+				restarted = name
 			}
 		}
 	}
 	switch {
-	case len(f.First) == 0:
-		if !d.addAgents(doc, t, e) && !d.warmingUp() {
-			e.Op = OpAdvance
+	case len(revision.First) == 0:
+		if !d.addAgents(doc, stage, entry) && !d.warmingUp() {
+			entry.Op = OpAdvance
 		}
-	case stood > 0 && d.haltIfWorse(f, t, e):
+	case stood > 0 && d.haltIfWorse(revision, stage, entry):
 	case stood > 0 && pending == expired:
-		e.Op = OpAdvance
+		entry.Op = OpAdvance
 	case stood > 0:
-	case pending == 0 && t.selections > 1 && gone != "":
-		d.halt(e, "agent %s: accepted it and was not heard since, nor were the others of a second choice", gone)
+	case pending == 0 && stage.selections > 1 && lostAgent != "":
+		d.halt(entry, "agent %s: accepted it and was not heard since, nor were the others of a second choice", lostAgent)
 	case pending == 0:
-		d.addAgents(doc, t, e)
-	case pending == expired && again != "":
-		d.halt(e, "agent %s: restarts after it accepted; no agent stood with it for %v", again, s.Dwell)
+		d.addAgents(doc, stage, entry)
+	case pending == expired && restarted != "":
+		d.halt(entry, "agent %s: restarts after it accepted; no agent stood with it for %v", restarted, settings.Dwell)
 	}
 }
 
 // addAgents proposes further agents for a first stage. It returns false if no other agent is reachable.
-func (d *decision) addAgents(doc *doc, t *firstStage, e *Entry) bool {
-	e.First = d.pickAgents(doc, doc.first.Revision, doc.first.First)
-	if len(e.First) == 0 {
+func (d *decision) addAgents(doc *doc, stage *firstStage, entry *Entry) bool {
+	entry.First = d.pickAgents(doc, doc.first.Revision, doc.first.First)
+	if len(entry.First) == 0 {
 		return false
 	}
-	e.Op = OpStart
-	t.selections++
+	entry.Op = OpStart
+	stage.selections++
 	return true
 }
 
 // halt proposes a halt with the given reason.
-func (d *decision) halt(e *Entry, format string, args ...any) {
-	e.Op, e.Why = OpHalt, singleLine(fmt.Sprintf(format, args...), MaxHaltWhyBytes)
+func (d *decision) halt(entry *Entry, format string, args ...any) {
+	entry.Op, entry.Why = OpHalt, singleLine(fmt.Sprintf(format, args...), MaxHaltWhyBytes)
 }
 
 // observe updates and returns the record of an agent of the stage; r is its last report, nil if there is
 // none.
-func (t *firstStage) observe(d *decision, name string, r *Report, key string) *stageAgent {
-	m := t.agents[name]
-	if m == nil {
-		m = &stageAgent{firstSeenUs: d.nowUs}
-		t.agents[name] = m
+func (t *firstStage) observe(d *decision, name string, report *Report, key string) *stageAgent {
+	agent := t.agents[name]
+	if agent == nil {
+		agent = &stageAgent{firstSeenUs: d.nowUs}
+		t.agents[name] = agent
 	}
-	if r != nil && r.Seen[key] >= t.revision && (m.acceptedLives == 0 || m.atAccept.life != r.Life) {
-		m.acceptedLives++
-		m.acceptedUs, m.atAccept = r.AtUs, callCounters{r.Life, r.Calls, r.Failed}
+	if report != nil && report.Seen[key] >= t.revision && (agent.acceptedLives == 0 || agent.atAccept.life != report.Life) {
+		agent.acceptedLives++
+		agent.acceptedUs, agent.atAccept = report.AtUs, callCounters{report.Life, report.Calls, report.Failed}
 		if t.atFirstAccept == nil {
 			t.atFirstAccept = d.counters()
 		}
 	}
-	return m
+	return agent
 }
 
 // stood reports whether an agent has reported a dwell or more after it accepted, without a restart in
 // between.
-func (m *stageAgent) stood(r *Report, dwell time.Duration) bool {
-	return r != nil && m.acceptedLives > 0 && m.atAccept.life == r.Life && r.AtUs-m.acceptedUs >= dwell.Microseconds()
+func (m *stageAgent) stood(report *Report, dwell time.Duration) bool {
+	return report != nil && m.acceptedLives > 0 && m.atAccept.life == report.Life && report.AtUs-m.acceptedUs >= dwell.Microseconds()
 }
 
 // findRefusal returns the reason of an agent's refusal of a revision, as a single line; false if it did not
 // refuse.
-func findRefusal(r *Report, n Name, revision uint64) (why string, no bool) {
-	if r != nil {
-		for _, no := range r.Refused {
+func findRefusal(report *Report, n Name, revision uint64) (why string, refused bool) {
+	if report != nil {
+		for _, no := range report.Refused {
 			if no.Revision == revision && no.Name == n {
 				return singleLine(no.Why, MaxWhyBytes), true
 			}
@@ -360,36 +360,36 @@
 
 // haltIfWorse proposes a halt if the agents with the revision fail more of their calls than they did before
 // and than other agents do, as described at Decide.
-func (d *decision) haltIfWorse(f *Revision, t *firstStage, e *Entry) bool {
-	var after, before, rest, most failureRate
+func (d *decision) haltIfWorse(revision *Revision, stage *firstStage, entry *Entry) bool {
+	var after, before, others, worst failureRate
 	services := map[string]bool{}
-	name := ""
-	for _, a := range f.First {
-		r, m := d.byName[a], t.agents[a]
+	worstName := ""
+	for _, a := range revision.First {
+		report, agent := d.byName[a], stage.agents[a]
 		var own failureRate
-		if r == nil || m == nil || m.acceptedLives == 0 || !own.addSince(m.atAccept, r) {
+		if report == nil || agent == nil || agent.acceptedLives == 0 || !own.addSince(agent.atAccept, report) {
 			continue
 		}
 		after.add(own.calls, own.failed)
-		before.add(t.atStart[a].calls, t.atStart[a].failed)
-		services[r.Agent.Service] = true
-		if name == "" || own.failed > most.failed {
-			name, most = a, own
+		before.add(stage.atStart[a].calls, stage.atStart[a].failed)
+		services[report.Agent.Service] = true
+		if worstName == "" || own.failed > worst.failed {
+			worstName, worst = a, own
 		}
 	}
 	for i := range d.reports {
 		r := &d.reports[i]
-		if _, in := slices.BinarySearch(f.First, r.Agent.Name); in || !services[r.Agent.Service] {
+		if _, in := slices.BinarySearch(revision.First, r.Agent.Name); in || !services[r.Agent.Service] {
 			continue
 		}
-		if was, ok := t.atFirstAccept[r.Agent.Name]; ok {
-			rest.addSince(was, r)
+		if was, ok := stage.atFirstAccept[r.Agent.Name]; ok {
+			others.addSince(was, r)
 		}
 	}
-	if least := d.controller.settings.LeastCalls; after.calls < least || before.calls < least || rest.calls < least ||
-		after.value() <= max(before.value(), rest.value())+d.controller.settings.Worse {
+	if least := d.controller.settings.LeastCalls; after.calls < least || before.calls < least || others.calls < least ||
+		after.value() <= max(before.value(), others.value())+d.controller.settings.Worse {
 		return false
 	}
-	d.halt(e, "agent %s: %v calls failed since it took it; all of the first stage %v, before %v, others of their services %v", name, most, after, before, rest)
+	d.halt(entry, "agent %s: %v calls failed since it took it; all of the first stage %v, before %v, others of their services %v", worstName, worst, after, before, others)
 	return true
 }
--- a/rollout/steward_test.go
+++ b/rollout/steward_test.go
@@ -62,9 +62,9 @@
 	for end := f.nowUs + span.Microseconds(); f.nowUs < end; {
 		f.nowUs += stepUs
 		f.eachStep(f)
-		for _, a := range f.agents {
-			if !a.down {
-				if r := a.tick(f); !f.dropReports {
+		for _, agent := range f.agents {
+			if !agent.down {
+				if r := agent.tick(f); !f.dropReports {
 					f.table.Update(r, f.nowUs)
 				}
 			}
@@ -82,24 +82,24 @@
 	if a.restartAtUs > 0 && f.nowUs >= a.restartAtUs {
 		a.restart(f)
 	}
-	fresh, err := a.documents.Receive(WatchReply{Version: f.Applied(), Whole: true, Docs: f.DocumentsFor(a.Agent)})
+	newDocs, err := a.documents.Receive(WatchReply{Version: f.Applied(), Whole: true, Docs: f.DocumentsFor(a.Agent)})
 	if err != nil {
 		f.t.Fatalf("%s: %v", a.Name, err)
 	}
-	for _, d := range fresh {
-		how := f.outcome(a, string(d.Text))
-		if how == "refuse" {
+	for _, d := range newDocs {
+		outcome := f.outcome(a, string(d.Text))
+		if outcome == "refuse" {
 			a.documents.Refuse(d, "line 1: no")
 		}
-		if how == "refuse" || how == "hang" {
+		if outcome == "refuse" || outcome == "hang" {
 			continue
 		}
 		a.documents.Accept(d)
-		a.failing = how == "fail"
-		if a.restartLoop || how == "loop" {
-			a.restartLoop, a.restartAtUs = how == "loop", f.nowUs+5*stepUs
+		a.failing = outcome == "fail"
+		if a.restartLoop || outcome == "loop" {
+			a.restartLoop, a.restartAtUs = outcome == "loop", f.nowUs+5*stepUs
 		}
-		a.down = how == "crash"
+		a.down = outcome == "crash"
 	}
 	a.calls += 10
 	if a.failing {
@@ -156,7 +156,7 @@
 // TestStageController checks the outcome of rollouts in which agents refuse the revision, fail calls, crash,
 // restart or stop reporting.
 func TestStageController(t *testing.T) {
-	is := func(how string, bad func(a *fakeAgent) bool) func(*fakeAgent, string) string {
+	whenNew := func(how string, bad func(a *fakeAgent) bool) func(*fakeAgent, string) string {
 		return func(a *fakeAgent, text string) string {
 			if strings.HasPrefix(text, "new") && bad(a) {
 				return how
@@ -179,30 +179,30 @@
 		services []int
 		takes    func(*fakeAgent, string) string
 		during   func(*fleet)
-		within   time.Duration
+		span     time.Duration
 		texts    string // fleet.texts after that time
 		starts   int
 		why      string // part of a halt's reason
 	}{
 		{"no faults", []int{5, 5}, nil, nil, 1500 * time.Millisecond, "new:10", 1, ""},
 		{"services of one, two and three", []int{1, 2, 3}, nil, nil, 1500 * time.Millisecond, "new:6", 1, ""},
-		{"refused: halted", []int{5, 5}, is("refuse", all), nil, time.Second, "old:10", 1, "line 1: no"},
-		{"refused by one agent: halted", []int{5, 5}, is("refuse", func(a *fakeAgent) bool { return a.Service == "s1" }), nil, time.Second, "old:10", 1, "agent s1-"},
-		{"more calls fail: halted", []int{5, 5}, is("fail", all), nil, 2 * time.Second, "old:10", 1, "calls failed since it took it; all of the first stage"},
+		{"refused: halted", []int{5, 5}, whenNew("refuse", all), nil, time.Second, "old:10", 1, "line 1: no"},
+		{"refused by one agent: halted", []int{5, 5}, whenNew("refuse", func(a *fakeAgent) bool { return a.Service == "s1" }), nil, time.Second, "old:10", 1, "agent s1-"},
+		{"more calls fail: halted", []int{5, 5}, whenNew("fail", all), nil, 2 * time.Second, "old:10", 1, "calls failed since it took it; all of the first stage"},
 		{"all agents fail the same share of calls: not halted", []int{5, 5}, nil, once(func(f *fleet) {
 			for _, a := range f.agents {
 				a.failing = true
 			}
-			f.outcome = is("fail", all)
+			f.outcome = whenNew("fail", all)
 		}), 2 * time.Second, "new:10", 1, ""},
-		{"a service with one agent has no others to compare with", []int{1}, is("fail", all), nil, 2 * time.Second, "new:1", 1, ""},
+		{"a service with one agent has no others to compare with", []int{1}, whenNew("fail", all), nil, 2 * time.Second, "new:1", 1, ""},
 		{"halted while the next waits: the next one starts", []int{5, 5}, func(a *fakeAgent, text string) string {
 			if text == "new" {
 				return "refuse"
 			}
 			return ""
 		}, once(put("mended")), 3 * time.Second, "mended:10", 2, "line 1: no"},
-		{"halted while the next waits, which is refused too", []int{5, 5}, is("refuse", all), once(put("new2")), 3 * time.Second, "old:10", 2, "line 1: no"},
+		{"halted while the next waits, which is refused too", []int{5, 5}, whenNew("refuse", all), once(put("new2")), 3 * time.Second, "old:10", 2, "line 1: no"},
 		{"one first-stage agent restarts", []int{5, 5}, nil, once(func(f *fleet) { f.first()[0].restartAtUs = f.nowUs + 5*stepUs }), 2 * time.Second, "new:10", 1, ""},
 		{"all first-stage agents restart, one after another", []int{5, 5}, nil, once(func(f *fleet) {
 			for i, a := range f.first() {
@@ -215,8 +215,8 @@
 				a.down = true
 			}
 		}), 5500 * time.Millisecond, "new:6", 2, ""},
-		{"agents crash with it: halted after the second selection", []int{9}, is("crash", all), nil, 9 * time.Second, "old:5", 2, "was not heard since"},
-		{"agents restart repeatedly with it: halted", []int{9}, is("loop", all), nil, 8 * time.Second, "old:9", 1, "restarts after it accepted"},
+		{"agents crash with it: halted after the second selection", []int{9}, whenNew("crash", all), nil, 9 * time.Second, "old:5", 2, "was not heard since"},
+		{"agents restart repeatedly with it: halted", []int{9}, whenNew("loop", all), nil, 8 * time.Second, "old:9", 1, "restarts after it accepted"},
 		{"the leader changes meanwhile", []int{5, 5}, nil, once(func(f *fleet) { f.controller = NewStageController(Defaults) }), 2500 * time.Millisecond, "new:10", 1, ""},
 	}
 	for _, c := range cases {
@@ -228,9 +228,9 @@
 			f.eachStep = c.during
 		}
 		f.put(routes, "new")
-		f.run(c.within)
+		f.run(c.span)
 		if got := f.texts(); got != c.texts || f.starts != c.starts || len(f.Open()) > 0 {
-			t.Errorf("%s: %s after %v, %d starts, open %v; want %s, %d starts", c.name, got, c.within, f.starts, f.Open(), c.texts, c.starts)
+			t.Errorf("%s: %s after %v, %d starts, open %v; want %s, %d starts", c.name, got, c.span, f.starts, f.Open(), c.texts, c.starts)
 		}
 		why := ""
 		for _, r := range f.History(routes) {
@@ -303,14 +303,14 @@
 	f.put(routes, "new")
 	f.run(stepUs * time.Microsecond)
 	first := f.first()
-	var odd *fakeAgent
+	var refuser *fakeAgent
 	for _, a := range f.agents {
 		if !slices.Contains(first, a) {
-			odd = a
+			refuser = a
 		}
 	}
 	f.outcome = func(a *fakeAgent, text string) string {
-		if a == odd {
+		if a == refuser {
 			return "refuse"
 		}
 		return ""
@@ -318,12 +318,12 @@
 	cover := func() Coverage {
 		return ComputeCoverage(f.State, routes, f.table.Reports(), f.nowUs, Defaults.Fresh.Microseconds())
 	}
-	var late []string
+	var behind []string
 	for _, a := range first {
-		late = append(late, a.Name)
+		behind = append(behind, a.Name)
 	}
-	if c := cover(); c.Stage != StageFirst || c.Agents != 6 || c.InForce != 0 || !slices.Equal(c.Behind, late) {
-		t.Errorf("at its first stage, before agents accepted it: %+v, first %v", c, late)
+	if c := cover(); c.Stage != StageFirst || c.Agents != 6 || c.InForce != 0 || !slices.Equal(c.Behind, behind) {
+		t.Errorf("at its first stage, before agents accepted it: %+v, first %v", c, behind)
 	}
 	f.run(2 * time.Second)
 	if f.texts() != "new:5 old:1" {
@@ -331,12 +331,12 @@
 	}
 	c := cover()
 	if c.Stage != StageEverywhere || c.Agents != 6 || c.InForce != 5 || len(c.Behind)+len(c.OutOfReach) > 0 || len(c.Refused) != 1 ||
-		c.Refused[0].Agent != odd.Name || c.Refused[0].Why != "line 1: no" || c.Refused[0].Revision != c.Revision {
+		c.Refused[0].Agent != refuser.Name || c.Refused[0].Why != "line 1: no" || c.Refused[0].Revision != c.Revision {
 		t.Errorf("%+v", c)
 	}
 	for zone, got := range c.Zones {
 		want := ZoneCoverage{3, 3}
-		if zone == odd.Zone {
+		if zone == refuser.Zone {
 			want.InForce = 2
 		}
 		if got != want {
@@ -347,13 +347,13 @@
 	f.outcome = func(*fakeAgent, string) string { return "" }
 	f.putEverywhere(byZone, "zonal")
 	f.putEverywhere(routes, "newer")
-	gone := f.agents[0]
-	gone.down = true
+	stopped := f.agents[0]
+	stopped.down = true
 	f.run(Defaults.Fresh + 2*stepUs*time.Microsecond)
 	if f.texts() != "newer:2 zonal:3" {
 		t.Error(f.texts())
 	}
-	if c := cover(); c.InForce != 5 || c.Agents != 6 || !slices.Equal(c.OutOfReach, []string{gone.Name}) || len(c.Refused)+len(c.Behind) > 0 {
+	if c := cover(); c.InForce != 5 || c.Agents != 6 || !slices.Equal(c.OutOfReach, []string{stopped.Name}) || len(c.Refused)+len(c.Behind) > 0 {
 		t.Errorf("%+v", c)
 	}
 	if c := ComputeCoverage(f.State, Name{"spread", Scope{Level: LevelAll}}, f.table.Reports(), f.nowUs, 1); c.Revision != 0 || c.Agents != 0 {
--- a/rollout/table.go
+++ b/rollout/table.go
@@ -30,22 +30,22 @@
 // alone. A peer must therefore only forward reports that it has just received; otherwise an old report would
 // appear to be new. It has to call Expire before it forwards its table.
 func (t *ReportTable) Update(r Report, nowUs int64) (changed bool) {
-	at := t.agents[r.Agent.Name]
-	if at != nil && !r.After(at.Value.(*tableEntry).Report) {
+	element := t.agents[r.Agent.Name]
+	if element != nil && !r.After(element.Value.(*tableEntry).Report) {
 		return false
 	}
 	t.mark++
 	r.AtUs = nowUs
-	h := &tableEntry{r, t.mark}
-	if at == nil {
+	entry := &tableEntry{r, t.mark}
+	if element == nil {
 		if t.order.Len() >= MaxAgents {
 			t.remove(t.order.Front())
 		}
-		t.agents[r.Agent.Name] = t.order.PushBack(h)
+		t.agents[r.Agent.Name] = t.order.PushBack(entry)
 		return true
 	}
-	at.Value = h
-	t.order.MoveToBack(at)
+	element.Value = entry
+	t.order.MoveToBack(element)
 	return true
 }
 
@@ -53,8 +53,8 @@
 // agents.
 func (t *ReportTable) Reports() []Report {
 	out := make([]Report, 0, t.order.Len())
-	for e := t.order.Front(); e != nil; e = e.Next() {
-		out = append(out, e.Value.(*tableEntry).Report)
+	for element := t.order.Front(); element != nil; element = element.Next() {
+		out = append(out, element.Value.(*tableEntry).Report)
 	}
 	return out
 }
@@ -62,29 +62,29 @@
 // ChangedSince returns the reports stored after a mark, newest first, and the mark for the next call. Mark 0
 // gives all reports. The cost is proportional to the number of returned reports.
 func (t *ReportTable) ChangedSince(after uint64) (reports []Report, mark uint64) {
-	for e := t.order.Back(); e != nil; e = e.Prev() {
-		h := e.Value.(*tableEntry)
-		if h.mark <= after {
+	for element := t.order.Back(); element != nil; element = element.Prev() {
+		entry := element.Value.(*tableEntry)
+		if entry.mark <= after {
 			break
 		}
-		reports = append(reports, h.Report)
+		reports = append(reports, entry.Report)
 	}
 	return reports, t.mark
 }
 
 // remove removes the agent of a list element.
-func (t *ReportTable) remove(e *list.Element) {
-	t.order.Remove(e)
-	delete(t.agents, e.Value.(*tableEntry).Agent.Name)
+func (t *ReportTable) remove(element *list.Element) {
+	t.order.Remove(element)
+	delete(t.agents, element.Value.(*tableEntry).Agent.Name)
 }
 
 // Expire removes the agents whose last report was received before a time.
 func (t *ReportTable) Expire(beforeUs int64) {
-	for e := t.order.Front(); e != nil; {
-		next := e.Next()
-		if h := e.Value.(*tableEntry); h.AtUs < beforeUs {
-			t.remove(e)
+	for element := t.order.Front(); element != nil; {
+		next := element.Next()
+		if entry := element.Value.(*tableEntry); entry.AtUs < beforeUs {
+			t.remove(element)
 		}
-		e = next
+		element = next
 	}
 }
--- a/rollout/table_test.go
+++ b/rollout/table_test.go
@@ -8,8 +8,8 @@
 
 // TestTable checks that only newer reports replace stored ones, also when they arrive twice or out of order.
 func TestTable(t *testing.T) {
-	tab := NewReportTable()
-	words := func(reports []Report) string {
+	table := NewReportTable()
+	describe := func(reports []Report) string {
 		var out []string
 		for _, r := range reports {
 			out = append(out, fmt.Sprint(r.Agent.Name, " ", r.Life, ".", r.Seq, "@", r.AtUs))
@@ -22,7 +22,7 @@
 		seq       uint64
 		now       int64
 		taken     bool
-		table     string
+		wantTable string
 		sinceMark string // reports stored since the previous step
 	}{
 		{"a", 5, 1, 10, true, "a 5.1@10", "a 5.1@10"},
@@ -33,22 +33,22 @@
 		{"a", 6, 1, 15, true, "b 5.1@11, a 6.1@15", "a 6.1@15"},
 		{"a", 5, 9, 16, false, "b 5.1@11, a 6.1@15", ""}, // from a previous life, late
 	} {
-		_, mark := tab.ChangedSince(0)
-		if taken := tab.Update(Report{Agent: Agent{Name: c.agent}, Life: c.life, Seq: c.seq, AtUs: 99}, c.now); taken != c.taken {
+		_, mark := table.ChangedSince(0)
+		if taken := table.Update(Report{Agent: Agent{Name: c.agent}, Life: c.life, Seq: c.seq, AtUs: 99}, c.now); taken != c.taken {
 			t.Errorf("at %d: taken %v", c.now, taken)
 		}
-		news, _ := tab.ChangedSince(mark)
-		if got := words(tab.Reports()); got != c.table || words(news) != c.sinceMark {
-			t.Errorf("at %d: %s, news %s; want %s, %s", c.now, got, words(news), c.table, c.sinceMark)
+		changed, _ := table.ChangedSince(mark)
+		if got := describe(table.Reports()); got != c.wantTable || describe(changed) != c.sinceMark {
+			t.Errorf("at %d: %s, news %s; want %s, %s", c.now, got, describe(changed), c.wantTable, c.sinceMark)
 		}
 	}
-	if all, _ := tab.ChangedSince(0); words(all) != "a 6.1@15, b 5.1@11" {
-		t.Error(words(all))
+	if all, _ := table.ChangedSince(0); describe(all) != "a 6.1@15, b 5.1@11" {
+		t.Error(describe(all))
 	}
-	if tab.Expire(12); words(tab.Reports()) != "a 6.1@15" {
-		t.Error(words(tab.Reports()))
+	if table.Expire(12); describe(table.Reports()) != "a 6.1@15" {
+		t.Error(describe(table.Reports()))
 	}
-	if !tab.Update(Report{Agent: Agent{Name: "b"}, Life: 5, Seq: 1}, 17) {
+	if !table.Update(Report{Agent: Agent{Name: "b"}, Life: 5, Seq: 1}, 17) {
 		t.Error("a report of an expired agent is refused")
 	}
 }
--- a/shard/place.go
+++ b/shard/place.go
@@ -16,7 +16,7 @@
 	}
 	zones := byZone(agents)
 	r := Ring{Version: 1}
-	for left := len(agents); left >= size; left -= size {
+	for remainingAgents := len(agents); remainingAgents >= size; remainingAgents -= size {
 		g := Group{ID: fmt.Sprintf("g%d", len(r.Groups)+1)}
 		for len(g.Members) < size {
 			g.Members = append(g.Members, takeMember(zones, g.Members))
@@ -41,16 +41,16 @@
 // takeMember removes and returns the next member for a group. It comes from the zone with the fewest members
 // in the group; among these, from the zone with the most remaining agents.
 func takeMember(zones map[string][]Member, group []Member) Member {
-	have := map[string]int{}
+	inGroup := map[string]int{}
 	for _, m := range group {
-		have[m.Zone]++
+		inGroup[m.Zone]++
 	}
 	best := ""
 	for z, ms := range zones {
 		if len(ms) == 0 {
 			continue
 		}
-		if best == "" || cmp.Or(cmp.Compare(have[z], have[best]), cmp.Compare(len(zones[best]), len(ms)), cmp.Compare(z, best)) < 0 {
+		if best == "" || cmp.Or(cmp.Compare(inGroup[z], inGroup[best]), cmp.Compare(len(zones[best]), len(ms)), cmp.Compare(z, best)) < 0 {
 			best = z
 		}
 	}
@@ -81,15 +81,15 @@
 // is removed before the spare is added: an added voter that is still catching up would raise the majority
 // while one member is dead. A group that has lost its majority can't be changed this way and is listed in
 // stuck. Its remaining members still hold its promises; an operator has to decide what to do.
-func ReplaceLost(r Ring, gone map[string]bool, spares []Member) (next Ring, steps []MembershipChange, stuck []string) {
+func ReplaceLost(r Ring, lostIDs map[string]bool, spares []Member) (next Ring, steps []MembershipChange, stuck []string) {
 	zones := byZone(spares)
-	free := len(spares)
+	sparesLeft := len(spares)
 	next = Ring{Version: r.Version, Groups: make([]Group, len(r.Groups))}
 	for i, g := range r.Groups {
 		next.Groups[i] = Group{ID: g.ID, Members: slices.Clone(g.Members)}
 		lost := 0
 		for _, m := range g.Members {
-			if gone[m.ID] {
+			if lostIDs[m.ID] {
 				lost++
 			}
 		}
@@ -98,14 +98,14 @@
 			continue
 		}
 		for _, m := range g.Members {
-			if !gone[m.ID] || free == 0 {
+			if !lostIDs[m.ID] || sparesLeft == 0 {
 				continue
 			}
-			free--
-			kept := slices.DeleteFunc(next.Groups[i].Members, func(k Member) bool { return k.ID == m.ID })
-			add := takeMember(zones, kept)
-			next.Groups[i].Members = append(kept, add)
-			steps = append(steps, MembershipChange{Group: g.ID, Remove: m.ID}, MembershipChange{Group: g.ID, Add: add})
+			sparesLeft--
+			others := slices.DeleteFunc(next.Groups[i].Members, func(k Member) bool { return k.ID == m.ID })
+			spare := takeMember(zones, others)
+			next.Groups[i].Members = append(others, spare)
+			steps = append(steps, MembershipChange{Group: g.ID, Remove: m.ID}, MembershipChange{Group: g.ID, Add: spare})
 		}
 	}
 	return next, steps, stuck
@@ -113,12 +113,12 @@
 
 // MovedShare returns the share of the given calls whose group differs between two rings.
 func MovedShare(a, b Ring, calls []string) float64 {
-	n := 0
+	moved := 0
 	for _, c := range calls {
-		i, j := a.Owner(c), b.Owner(c)
-		if i < 0 || j < 0 || a.Groups[i].ID != b.Groups[j].ID {
-			n++
+		ownerA, ownerB := a.Owner(c), b.Owner(c)
+		if ownerA < 0 || ownerB < 0 || a.Groups[ownerA].ID != b.Groups[ownerB].ID {
+			moved++
 		}
 	}
-	return float64(n) / float64(max(len(calls), 1))
+	return float64(moved) / float64(max(len(calls), 1))
 }
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -84,20 +84,20 @@
 // claimed at its old owner first and then at its new one. Agents with the old ring and agents with both meet
 // at the old owner; agents with both and agents with the new ring meet at the new owner. The result of one
 // step is carried over to the next, and the result of the last step counts (internal/fleet/keeper).
-func ClaimSteps(now Ring, previous *Ring, call string) []ClaimStep {
-	i := now.Owner(call)
-	if i < 0 {
+func ClaimSteps(current Ring, previous *Ring, call string) []ClaimStep {
+	newOwner := current.Owner(call)
+	if newOwner < 0 {
 		return nil
 	}
-	last := ClaimStep{now.Groups[i].ID, now.Version}
+	last := ClaimStep{current.Groups[newOwner].ID, current.Version}
 	if previous == nil {
 		return []ClaimStep{last}
 	}
-	j := previous.Owner(call)
-	if j < 0 || previous.Groups[j].ID == last.Group {
+	oldOwner := previous.Owner(call)
+	if oldOwner < 0 || previous.Groups[oldOwner].ID == last.Group {
 		return []ClaimStep{last}
 	}
-	return []ClaimStep{{previous.Groups[j].ID, now.Version}, last}
+	return []ClaimStep{{previous.Groups[oldOwner].ID, current.Version}, last}
 }
 
 // The errors of Check and CheckZones. ErrZoneMajority is only a warning: the loss of one zone would cost a
@@ -145,7 +145,7 @@
 
 // CheckZones returns a warning for each group in which one zone holds a majority. It returns none if the ring
 // has members in fewer than three zones.
-func (r Ring) CheckZones() (found []error) {
+func (r Ring) CheckZones() (warnings []error) {
 	zones := map[string]bool{}
 	for _, g := range r.Groups {
 		for _, m := range g.Members {
@@ -156,20 +156,20 @@
 		return nil
 	}
 	for i, g := range r.Groups {
-		if zone, n := largestZone(g.Members); n > len(g.Members)/2 {
-			found = append(found, fmt.Errorf("field groups[%d]: zone %q has %d of %d members: %w", i, zone, n, len(g.Members), ErrZoneMajority))
+		if zone, members := largestZone(g.Members); members > len(g.Members)/2 {
+			warnings = append(warnings, fmt.Errorf("field groups[%d]: zone %q has %d of %d members: %w", i, zone, members, len(g.Members), ErrZoneMajority))
 		}
 	}
-	return found
+	return warnings
 }
 
 // largestZone returns the zone with the most members and their number.
 func largestZone(members []Member) (zone string, most int) {
-	n := map[string]int{}
+	count := map[string]int{}
 	for _, m := range members {
-		n[m.Zone]++
-		if n[m.Zone] > most || n[m.Zone] == most && m.Zone < zone {
-			zone, most = m.Zone, n[m.Zone]
+		count[m.Zone]++
+		if count[m.Zone] > most || count[m.Zone] == most && m.Zone < zone {
+			zone, most = m.Zone, count[m.Zone]
 		}
 	}
 	return zone, most
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -40,11 +40,11 @@
 		if found := r.CheckZones(); zones >= 3 && n%zones == 0 && found != nil {
 			t.Fatal(found)
 		}
-		gone := map[string]bool{}
+		lostIDs := map[string]bool{}
 		for _, g := range r.Groups {
-			gone[g.Members[rapid.IntRange(0, size-1).Draw(t, "lost")].ID] = true
+			lostIDs[g.Members[rapid.IntRange(0, size-1).Draw(t, "lost")].ID] = true
 		}
-		next, steps, stuck := ReplaceLost(r, gone, left)
+		next, steps, stuck := ReplaceLost(r, lostIDs, left)
 		if len(stuck) > 0 || len(steps) != 2*min(len(left), len(r.Groups)) || n >= size && next.Check() != nil {
 			t.Fatalf("%d steps, stuck %v, %v", len(steps), stuck, next.Check())
 		}
@@ -56,13 +56,13 @@
 func TestOwner(t *testing.T) {
 	small, _, _ := BuildRing(testAgents(30, 3), 3)
 	big, _, _ := BuildRing(testAgents(33, 3), 3)
-	all, n := testCallIDs(20_000), map[int]int{}
+	all, counts := testCallIDs(20_000), map[int]int{}
 	for _, c := range all {
-		n[small.Owner(c)]++
+		counts[small.Owner(c)]++
 	}
 	for i := range small.Groups {
-		if n[i] < 1800 || n[i] > 2200 {
-			t.Errorf("group %d has %d of 20000 calls", i, n[i])
+		if counts[i] < 1800 || counts[i] > 2200 {
+			t.Errorf("group %d has %d of 20000 calls", i, counts[i])
 		}
 	}
 	if moved := MovedShare(small, big, all); moved < 0.08 || moved > 0.102 {
@@ -77,9 +77,9 @@
 	next, _, _ := BuildRing(testAgents(12, 3), 3)
 	next.Version = 2
 	for _, c := range testCallIDs(500) {
-		was, is := ClaimSteps(old, nil, c), ClaimSteps(next, &old, c)
-		if is[0].Group != was[0].Group || is[0].Ring != 2 {
-			t.Fatalf("call %s: claimed at %v with the old ring, at %v with both", c, was, is)
+		withOld, withBoth := ClaimSteps(old, nil, c), ClaimSteps(next, &old, c)
+		if withBoth[0].Group != withOld[0].Group || withBoth[0].Ring != 2 {
+			t.Fatalf("call %s: claimed at %v with the old ring, at %v with both", c, withOld, withBoth)
 		}
 	}
 }
