--- a/promise/ages.go
+++ b/promise/ages.go
@@ -14,7 +14,7 @@
 	a[second] = append(a[second], call)
 }
 
-// forEachOlder calls each for every call listed under a second that begins before the given time. It removes
+// forEachOlder calls visit for every call listed under a second that begins before the given time. It removes
 // the seconds that end by then; a second that contains the time stays listed for a later expiry.
 func (a ageIndex) forEachOlder(beforeUs int64, visit func(call string)) {
 	for second, calls := range a {
--- a/promise/bench_test.go
+++ b/promise/bench_test.go
@@ -50,7 +50,7 @@
 				if i%1024 == 1023 { // restore the number of held calls
 					b.StopTimer()
 					for j := range 1024 {
-						s.forget(fmt.Sprintf("%016x", held+j))
+						s.removeCall(fmt.Sprintf("%016x", held+j))
 					}
 					b.StartTimer()
 				}
@@ -62,8 +62,8 @@
 	}
 }
 
-// forget removes a call, so that a benchmark can repeat it.
-func (s *State) forget(call string) {
+// removeCall removes a call, so that a benchmark can repeat it.
+func (s *State) removeCall(call string) {
 	delete(s.claims, call)
 	delete(s.calls, call)
 }
--- a/promise/snapshot.go
+++ b/promise/snapshot.go
@@ -50,10 +50,10 @@
 // refused with an ErrSnapshot that names the byte.
 func Restore(data []byte) (*State, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
-		return nil, fmt.Errorf("%w: byte 0: no snapshot of promises (it begins %q)", ErrSnapshot, firstBytes(data))
+		return nil, fmt.Errorf("%w: byte 0: not a snapshot of promises (starts with %q)", ErrSnapshot, firstBytes(data))
 	}
 	if len(data) < len(snapshotMagic)+4 {
-		return nil, fmt.Errorf("%w: byte %d: cut short", ErrSnapshot, len(data))
+		return nil, fmt.Errorf("%w: byte %d: truncated", ErrSnapshot, len(data))
 	}
 	img, sum := data[len(snapshotMagic):len(data)-4], binary.BigEndian.Uint32(data[len(data)-4:])
 	if got := crc32.Checksum(img, castagnoli); got != sum {
--- a/rollout/api.go
+++ b/rollout/api.go
@@ -7,7 +7,7 @@
 // A document is identified by its kind (routes, failover, spread: the kinds that the agent's loaders know)
 // and its scope (all agents, a region, a zone, a service, one agent). Of the documents of one kind, the one
 // with the narrowest scope that contains an agent is in force there. Each change is a new revision. Revision
-// numbers increase over all documents, and a number never stands for two texts: a restored text gets a new
+// numbers increase over all documents, and a number never belongs to two texts: a restored text gets a new
 // number.
 //
 // State is the replicated state machine (state.go), StageController makes the leader's decisions about stages
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -64,26 +64,26 @@
 		told[k.Told.Revision] = n
 	}
 	for _, d := range r.Docs {
-		k := h.docs[d.Name]
-		err := h.checkDocument(d, k, r.Version, told)
+		record := h.docs[d.Name]
+		err := h.checkDocument(d, record, r.Version, told)
 		if named[d.Name] {
-			err = errors.New("field name: twice in one answer")
+			err = errors.New("field name: listed twice in one reply")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%w from %.80q: %.300s revision %d: %w", ErrInvalidReply, r.Machine, d.Name, d.Revision, err)
 		}
 		told[d.Revision], named[d.Name] = d.Name, true
-		if k == nil || d.Revision > k.Told.Revision {
+		if record == nil || d.Revision > record.Told.Revision {
 			newDocs = append(newDocs, d)
 		}
 	}
 	for _, d := range newDocs {
-		k := h.docs[d.Name]
-		if k == nil {
-			k = &documentRecord{}
-			h.docs[d.Name] = k
+		record := h.docs[d.Name]
+		if record == nil {
+			record = &documentRecord{}
+			h.docs[d.Name] = record
 		}
-		*k = documentRecord{Told: d, Accepted: cloneDocument(k.accepted())}
+		*record = documentRecord{Told: d, Accepted: cloneDocument(record.accepted())}
 	}
 	h.version = max(h.version, r.Version)
 	return newDocs, nil
@@ -97,7 +97,7 @@
 	case !d.Name.valid() || !d.Name.Scope.Contains(h.agent):
 		return fmt.Errorf("field name: not a document of agent %s", h.agent.Name)
 	case d.Revision == 0 || d.Revision > version:
-		return fmt.Errorf("field revision: outside 1 to %d, the answer's version", version)
+		return fmt.Errorf("field revision: outside 1 to %d, the reply's version", version)
 	case len(d.Text) > MaxTextBytes:
 		return fmt.Errorf("field text: %d bytes, most %d", len(d.Text), MaxTextBytes)
 	case d.Removed && len(d.Text) > 0:
@@ -105,13 +105,13 @@
 	case d.Sum != Sum(d.Text):
 		return fmt.Errorf("field sum: %016x, the text's is %016x", d.Sum, Sum(d.Text))
 	case isKnown && known != d.Name:
-		return fmt.Errorf("field revision: that number is %v", known)
+		return fmt.Errorf("field revision: number already used for %v", known)
 	case record == nil:
 		return nil
 	}
 	for _, other := range []*Document{&record.Told, record.accepted()} {
 		if other != nil && other.Revision == d.Revision && (other.Sum != d.Sum || other.Removed != d.Removed || string(other.Text) != string(d.Text)) {
-			return errors.New("field text: that number had another text")
+			return errors.New("field text: differs from the text received under this number")
 		}
 	}
 	return nil
@@ -242,14 +242,14 @@
 		return nil, fmt.Errorf("%w: image, %s", ErrDocumentSet, describeJSONError(img, err))
 	}
 	if setImage.Agent != agent {
-		return nil, fmt.Errorf("%w: byte %d, field agent: kept by %+v, read by %+v", ErrDocumentSet, len(documentSetMagic), setImage.Agent, agent)
+		return nil, fmt.Errorf("%w: byte %d, field agent: stored by %+v, loaded by %+v", ErrDocumentSet, len(documentSetMagic), setImage.Agent, agent)
 	}
 	set := NewDocumentSet(agent)
 	set.version = setImage.Version
 	told := map[uint64]Name{}
 	for n, record := range setImage.Docs {
 		if record == nil || set.docs[record.Told.Name] != nil || record.Taken && (record.Refused || record.Accepted != nil) {
-			return nil, fmt.Errorf("%w: field docs[%d]: missing, twice, or both taken and not", ErrDocumentSet, n)
+			return nil, fmt.Errorf("%w: field docs[%d]: missing, duplicate or contradictory", ErrDocumentSet, n)
 		}
 		for _, d := range []*Document{record.Accepted, &record.Told} {
 			if d == nil {
@@ -275,7 +275,7 @@
 }
 
 // singleLine prepares a text for a console line: it replaces control characters by blanks and invalid UTF-8
-// by "?", and truncates the text to at most n bytes at the end of a rune.
+// by "?", and truncates the text to at most maxBytes at the end of a rune.
 func singleLine(s string, maxBytes int) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/rollout/held_test.go
+++ b/rollout/held_test.go
@@ -123,11 +123,11 @@
 		{"field text: 262145 bytes", []Document{testDocument(routes, 2, strings.Repeat("x", MaxTextBytes+1))}},
 		{"outside 1 to 9", []Document{testDocument(routes, 10, "x")}},
 		{"outside 1 to 9", []Document{testDocument(routes, 0, "x")}},
-		{"had another text", []Document{testDocument(routes, 1, "y")}},
-		{"had another text", []Document{testDocument(routes, 1, "")}},
-		{"that number is routes@all", []Document{testDocument(byZone, 1, "x")}},
-		{"that number is routes@all", []Document{good, testDocument(byZone, 2, "x")}},
-		{"twice in one answer", []Document{testDocument(routes, 3, "x"), good}},
+		{"differs from the text received under this number", []Document{testDocument(routes, 1, "y")}},
+		{"differs from the text received under this number", []Document{testDocument(routes, 1, "")}},
+		{"number already used for routes@all", []Document{testDocument(byZone, 1, "x")}},
+		{"number already used for routes@all", []Document{good, testDocument(byZone, 2, "x")}},
+		{"listed twice in one reply", []Document{testDocument(routes, 3, "x"), good}},
 		{"of a removed document", []Document{modified(good, func(d *Document) { d.Removed = true })}},
 	}
 	for _, c := range cases {
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -71,12 +71,12 @@
 			case r == nil:
 				continue
 			case d == nil && (!r.Name.valid() || s.docs[r.Name] != nil):
-				return nil, fmt.Errorf("%w: field docs[%d]: name %q can't be, or is there twice", ErrSnapshot, index, r.Name)
+				return nil, fmt.Errorf("%w: field docs[%d]: name %q is invalid or duplicate", ErrSnapshot, index, r.Name)
 			case d == nil:
 				d = s.addDocument(r.Name)
 			}
 			if r.Name != d.name || r.Revision == 0 || r.Revision > decoded.Applied || numbers[r.Revision] || r.Sum != Sum(r.Text) {
-				return nil, fmt.Errorf("%w: field docs[%d]: revision %d of %v: its name, number or sum can't be", ErrSnapshot, index, r.Revision, d.name)
+				return nil, fmt.Errorf("%w: field docs[%d]: revision %d of %v: invalid name, number or checksum", ErrSnapshot, index, r.Revision, d.name)
 			}
 			numbers[r.Revision] = true
 			s.totalBytes += len(r.Text)
@@ -103,16 +103,16 @@
 func decodeFrame(magic string, data []byte) ([]byte, error) {
 	for i := range min(len(magic), len(data)) {
 		if data[i] != magic[i] {
-			return nil, fmt.Errorf("byte %d: not a file of this kind (it begins %q)", i, data[:min(len(data), 8)])
+			return nil, fmt.Errorf("byte %d: not a file of this kind (starts with %q)", i, data[:min(len(data), 8)])
 		}
 	}
 	if len(data) < len(magic)+8 {
-		return nil, fmt.Errorf("byte %d: cut short", len(data))
+		return nil, fmt.Errorf("byte %d: truncated", len(data))
 	}
 	at := len(data) - 8
 	img, sum := data[len(magic):at], binary.BigEndian.Uint64(data[at:])
 	if got := xxhash.Sum64(img); got != sum {
-		return nil, fmt.Errorf("byte %d: checksum %016x, the image's is %016x: cut short or corrupt", at, sum, got)
+		return nil, fmt.Errorf("byte %d: checksum %016x, the image's is %016x: truncated or corrupt", at, sum, got)
 	}
 	return bytes.Clone(img), nil
 }
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -243,7 +243,7 @@
 	return n
 }
 
-// addDocument adds a new document without revisions.
+// addDocument adds a document without revisions.
 func (s *State) addDocument(n Name) *doc {
 	d := &doc{name: n, key: n.String()}
 	s.docs[n] = d
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -190,7 +190,7 @@
 		l.putEverywhere(routes, "x")
 	}
 	if got := len(l.History(routes)); got != MaxFormerRevisions+1 {
-		t.Errorf("%d revisions kept, want %d and the one in force", got, MaxFormerRevisions)
+		t.Errorf("%d revisions stored, want %d and the one in force", got, MaxFormerRevisions)
 	}
 	// Two thirds of MaxTotalBytes are texts of former revisions. They are dropped, oldest first; the current
 	// ones stay.
@@ -206,7 +206,7 @@
 		}
 	}
 	if l.totalBytes > MaxTotalBytes {
-		t.Errorf("%d bytes kept", l.totalBytes)
+		t.Errorf("%d bytes stored", l.totalBytes)
 	}
 	for _, n := range names[len(names)/3:] {
 		l.putEverywhere(n, text)
--- a/rollout/table_test.go
+++ b/rollout/table_test.go
@@ -39,7 +39,7 @@
 		}
 		changed, _ := table.ChangedSince(mark)
 		if got := describe(table.Reports()); got != c.wantTable || describe(changed) != c.sinceMark {
-			t.Errorf("at %d: %s, news %s; want %s, %s", c.now, got, describe(changed), c.wantTable, c.sinceMark)
+			t.Errorf("at %d: %s, changed %s; want %s, %s", c.now, got, describe(changed), c.wantTable, c.sinceMark)
 		}
 	}
 	if all, _ := table.ChangedSince(0); describe(all) != "a 6.1@15, b 5.1@11" {
