--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// secondUs is one second in microseconds.
 const secondUs = 1_000_000
 
 // testTopology has four zones in two regions: a1 and a2 in region a, b1 and b2 in region b.
@@ -36,8 +37,12 @@
 	return map[string]float64{"a1": n, "a2": n, "b1": n, "b2": n}
 }
 
+// withZone sets the value of one zone in m and returns m.
 func withZone(m map[string]float64, zone string, n float64) map[string]float64 { m[zone] = n; return m }
 
+// TestDecide checks the placement of zone a1 and the reported trades from normal load to the loss of all
+// zones. A wrong decision would send calls to a zone that can't take them, or out of their region without
+// need.
 func TestDecide(t *testing.T) {
 	limited := Defaults
 	limited.Budget = map[string]float64{"voice": 0.1}
@@ -231,6 +236,7 @@
 	}
 }
 
+// TestCheck checks that each invalid field gives an error and that the defaults give none.
 func TestCheck(t *testing.T) {
 	bad := Defaults
 	bad.Margin, bad.Budget = 1, map[string]float64{"voice": 2}
--- a/promise/ages.go
+++ b/promise/ages.go
@@ -6,6 +6,7 @@
 // have to look up the current record of each call.
 type ageIndex map[int64][]string
 
+// secondUs is one second in microseconds.
 const secondUs = 1_000_000
 
 // add lists a call under the time of its claim or resolution.
--- a/promise/promise.go
+++ b/promise/promise.go
@@ -176,6 +176,7 @@
 	return s.apply(index, e)
 }
 
+// apply applies a valid entry.
 func (s *State) apply(index uint64, e Entry) (Result, error) {
 	switch e.Op {
 	case OpClaim:
--- a/promise/promise_test.go
+++ b/promise/promise_test.go
@@ -7,10 +7,13 @@
 	"testing"
 )
 
+// encodeClaim returns a claim of call c1 as a log entry.
 func encodeClaim(token string, ring uint64) []byte {
 	return Encode(Entry{Op: OpClaim, Call: "c1", Token: token, Ring: ring, ComeBackUs: 7, AtUs: 5})
 }
 
+// TestApply checks the effect of sequences of entries. Most cases guard against a second set-up for a call,
+// which would follow if two agents could claim it or if its resolution could change.
 func TestApply(t *testing.T) {
 	served := Entry{Op: OpResolve, Call: "c1", Answer: AnswerServed, Server: "s1", AtUs: 10}
 	cases := []struct {
@@ -70,6 +73,8 @@
 	}
 }
 
+// TestSnapshot checks that a restored state equals the original, and that a snapshot that is truncated,
+// corrupt or of another kind is refused.
 func TestSnapshot(t *testing.T) {
 	s := New()
 	s.Apply(1, Encode(Entry{Op: OpResolve, Call: "c1", Answer: AnswerRefused, ComeBackUs: 500000, AtUs: 3}))
--- a/promise/snapshot.go
+++ b/promise/snapshot.go
@@ -36,6 +36,7 @@
 	return image{s.applied, s.fence, s.claims, s.calls, s.drained, s.versions, s.circuits, s.epoch, s.plan}.bytes()
 }
 
+// bytes encodes an image as described at State.Snapshot.
 func (i image) bytes() []byte {
 	img, _ := json.Marshal(i)
 	out := make([]byte, 0, len(snapshotMagic)+len(img)+4)
@@ -44,6 +45,7 @@
 	return binary.BigEndian.AppendUint32(out, crc32.Checksum(img, castagnoli))
 }
 
+// castagnoli is the table of CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Restore decodes a snapshot. Data that is not a snapshot, is truncated or whose checksum does not match is
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -25,6 +25,7 @@
 	return l
 }
 
+// BenchmarkFor looks up the documents of one agent among many.
 func BenchmarkFor(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		l := settledLog(b, n)
@@ -48,6 +49,7 @@
 	return out
 }
 
+// BenchmarkDecide decides without an open revision, with a waiting one and with one at its first stage.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 100, 730, 1460} {
 		reports := testReports(n)
@@ -76,6 +78,7 @@
 	}
 }
 
+// BenchmarkHear stores a report in a table of 1460 agents.
 func BenchmarkHear(b *testing.B) {
 	reports := testReports(1460)
 	t := NewReportTable()
@@ -87,6 +90,7 @@
 	}
 }
 
+// BenchmarkTake receives a reply with three documents, one of them new.
 func BenchmarkTake(b *testing.B) {
 	h := NewDocumentSet(a1)
 	docs := []Document{testDocument(routes, 1, string(text4k)), testDocument(byZone, 2, string(text4k)), {}}
--- a/rollout/held_test.go
+++ b/rollout/held_test.go
@@ -11,6 +11,7 @@
 
 var a1 = Agent{Name: "a1", Service: "s", Zone: "z1", Region: "r"}
 
+// testDocument returns a revision with a correct checksum. An empty text makes it a removal.
 func testDocument(n Name, revision uint64, text string) Document {
 	return Document{Name: n, Revision: revision, Text: []byte(text), Sum: Sum([]byte(text)), Removed: text == ""}
 }
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -356,8 +356,10 @@
 	return out
 }
 
+// compareKeys orders documents by key.
 func compareKeys(a, b *doc) int { return cmp.Compare(a.key, b.key) }
 
+// compareNumber compares a revision's number with n.
 func compareNumber(r *Revision, n uint64) int { return cmp.Compare(r.Revision, n) }
 
 // inFirstStage reports whether an agent is in the document's first stage.
--- a/rollout/steward.go
+++ b/rollout/steward.go
@@ -339,6 +339,7 @@
 // failureRate counts calls and those of them that failed.
 type failureRate struct{ calls, failed uint64 }
 
+// add adds calls; of them, at most as many as there are calls count as failed.
 func (s *failureRate) add(calls, failed uint64) {
 	s.calls += calls
 	s.failed += min(failed, calls)
@@ -356,6 +357,7 @@
 // value returns the share of failed calls, 0 if there were none.
 func (s failureRate) value() float64 { return float64(s.failed) / math.Max(1, float64(s.calls)) }
 
+// String returns "FAILED of CALLS".
 func (s failureRate) String() string { return fmt.Sprintf("%d of %d", s.failed, s.calls) }
 
 // haltIfWorse proposes a halt if the agents with the revision fail more of their calls than they did before
--- a/rollout/steward_test.go
+++ b/rollout/steward_test.go
@@ -39,6 +39,7 @@
 	restartLoop   bool  // restart again every 500 ms
 }
 
+// stepUs is the length of a simulation step in microseconds.
 const stepUs = 100_000
 
 // newFleet returns a fleet with the given number of agents in each service. All agents have the text "old".
@@ -473,6 +474,8 @@
 	}
 }
 
+// TestSettings checks that each invalid setting gives an error that starts with its name in the operators'
+// file.
 func TestSettings(t *testing.T) {
 	if errs := Defaults.Check(); len(errs) > 0 {
 		t.Error(errs)
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// testAgents returns n agents, distributed evenly over the given number of zones.
 func testAgents(n, zones int) (out []Member) {
 	for i := range n {
 		out = append(out, Member{ID: fmt.Sprintf("n%03d", i), Zone: fmt.Sprint("z", i%zones), Raft: "r:1", Client: "c:1"})
@@ -15,6 +16,7 @@
 	return out
 }
 
+// testCallIDs returns n different call ids.
 func testCallIDs(n int) (out []string) {
 	for i := range n {
 		out = append(out, fmt.Sprintf("%016x", i+1))
@@ -84,6 +86,8 @@
 	}
 }
 
+// TestCheck checks that invalid rings are refused, and that a group which lost its majority is reported as
+// stuck: replacing its members could lose its promises.
 func TestCheck(t *testing.T) {
 	m := testAgents(6, 3)
 	cases := []struct {
