--- a/rollout/held.go
+++ b/rollout/held.go
@@ -60,8 +60,8 @@
 // added.
 func (h *DocumentSet) Receive(r WatchReply) (newDocs []Document, err error) {
 	told, named := map[uint64]Name{}, map[Name]bool{}
-	for n, k := range h.docs {
-		told[k.Told.Revision] = n
+	for n, record := range h.docs {
+		told[record.Told.Revision] = n
 	}
 	for _, d := range r.Docs {
 		record := h.docs[d.Name]
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -150,30 +150,30 @@
 		d.first = &revision
 		return Result{Revision: revision.Revision, Changed: true}
 	case e.Op == OpStart && d.first == nil:
-		r := *d.waiting
-		if d.current != nil && d.current.Revision > r.Revision {
+		revision := *d.waiting
+		if d.current != nil && d.current.Revision > revision.Revision {
 			s.archive(d, d.waiting, StageSuperseded, "")
-			r.Restores, r.Revision = r.Revision, index
-			s.totalBytes += len(r.Text)
+			revision.Restores, revision.Revision = revision.Revision, index
+			s.totalBytes += len(revision.Text)
 		}
-		r.Stage, r.First = StageFirst, union(nil, e.First)
-		d.first, d.waiting = &r, nil
+		revision.Stage, revision.First = StageFirst, union(nil, e.First)
+		d.first, d.waiting = &revision, nil
 	case e.Op == OpAdvance && started:
-		r := *d.first
-		r.Stage = StageEverywhere
+		revision := *d.first
+		revision.Stage = StageEverywhere
 		s.archive(d, d.current, StageSuperseded, "")
-		d.current, d.first = &r, nil
+		d.current, d.first = &revision, nil
 	case e.Op == OpHalt && started:
-		r := Revision{Document: Document{Name: d.name, Revision: index, Removed: true}, Base: d.first.Revision,
+		revision := Revision{Document: Document{Name: d.name, Revision: index, Removed: true}, Base: d.first.Revision,
 			Author: AuthorRollout, AtUs: e.AtUs, Stage: StageEverywhere}
 		if d.current != nil {
-			r.Text, r.Removed, r.Restores = d.current.Text, d.current.Removed, d.current.Revision
+			revision.Text, revision.Removed, revision.Restores = d.current.Text, d.current.Removed, d.current.Revision
 		}
-		r.Sum = Sum(r.Text)
+		revision.Sum = Sum(revision.Text)
 		s.archive(d, d.current, StageSuperseded, "")
 		s.archive(d, d.first, StageHalted, e.Why)
-		d.current, d.first = &r, nil
-		s.totalBytes += len(r.Text)
+		d.current, d.first = &revision, nil
+		s.totalBytes += len(revision.Text)
 	default:
 		return Result{}
 	}
