--- a/failover/decide.go
+++ b/failover/decide.go
@@ -8,33 +8,33 @@
 	"slices"
 )
 
-// Mode words where a zone's calls go.
+// Mode summarizes where a zone's calls go.
 type Mode string
 
-// The modes, from the calmest on.
+// The modes, in order of increasing severity.
 const (
-	ModeLocal    Mode = "local"    // all at home
-	ModeSpill    Mode = "spill"    // what home can't carry goes to zones of the region
-	ModeEvacuate Mode = "evacuate" // home is lost: all of it goes to zones of the region
-	ModeRegion   Mode = "region"   // the region's zones can't carry its load: some leaves the region
+	ModeLocal    Mode = "local"    // all calls stay in their own zone
+	ModeSpill    Mode = "spill"    // the excess over the zone's capacity goes to other zones of its region
+	ModeEvacuate Mode = "evacuate" // the zone is lost; all its calls go to other zones of its region
+	ModeRegion   Mode = "region"   // the region can't carry its load; some calls leave it
 )
 
-// Share is a part of a zone's calls, in (0, 1], that goes to another zone.
+// Share is the part of a zone's calls, in (0, 1], that goes to another zone.
 type Share struct {
 	Zone string  `json:"zone"`
 	Part float64 `json:"part"`
 }
 
-// Placement is where a zone's calls go: the shares, and the rest at home.
+// Placement says where a zone's calls go: the listed shares to other zones, the rest to its own servers.
 type Placement struct {
 	Mode   Mode    `json:"mode"`
 	Shares []Share `json:"shares,omitempty"` // nearest first
-	// Caps bound the part of a class's calls that may leave the zone, where its budget is less
-	// than what the shares would send.
+	// Caps limit the part of a class's calls that may leave the zone. Only classes whose budget is below the
+	// sum of the shares are listed.
 	Caps map[string]float64 `json:"caps,omitempty"`
 }
 
-// awayShare is the part of the zone's calls that leaves it, before caps.
+// awayShare returns the part of the zone's calls that leaves it, before Caps apply.
 func (p Placement) awayShare() (sum float64) {
 	for _, s := range p.Shares {
 		sum += s.Part
@@ -42,36 +42,36 @@
 	return min(sum, 1)
 }
 
-// State is what a plan remembers of a zone from one decision to the next.
+// State is the health history of a zone that one decision passes on to the next.
 type State struct {
-	Lost bool `json:"lost,omitempty"` // until it has been healthy for the dwell
-	// HealthyUs is since when it is seen healthy; 0 while it is not.
+	Lost bool `json:"lost,omitempty"` // stays set until the zone has been healthy for Settings.DwellUs
+	// HealthyUs is the time since which the zone has been healthy; 0 while it is not.
 	HealthyUs int64 `json:"healthy_us,omitempty"`
-	// BackUs is when it was last taken back; its capacity ramps up from there. 0: never lost.
+	// BackUs is when the zone last recovered, from which time its capacity ramps up; 0: it was never lost.
 	BackUs int64 `json:"back_us,omitempty"`
 }
 
-// Trade is service given up for something else, in calls a second that stay where they will
-// mostly be turned away.
+// Trade reports calls that a plan leaves in a zone which can't carry them, so that most of them will be
+// refused.
 type Trade struct {
 	Zone      string  `json:"zone"`
-	For       string  `json:"for"` // "budget" (with Class), or "capacity": no zone has room
+	For       string  `json:"for"` // reason: "budget" (of Class) or "capacity" (no zone has any left)
 	Class     string  `json:"class,omitempty"`
-	PerSecond float64 `json:"per_second"`
+	PerSecond float64 `json:"per_second"` // calls per second
 }
 
-// Plan is one decision, in force for all agents from its epoch on.
+// Plan is the result of one decision. All agents follow the plan with the highest epoch.
 type Plan struct {
 	Epoch  uint64               `json:"epoch"`
-	AtUs   int64                `json:"at_us"` // on the decider's clock
-	By     string               `json:"by"`    // the decider
+	AtUs   int64                `json:"at_us"` // time of the decision, on the decider's clock
+	By     string               `json:"by"`    // name of the decider
 	Zones  map[string]Placement `json:"zones"`
 	States map[string]State     `json:"states"`
 	Trades []Trade              `json:"trades,omitempty"`
 }
 
-// Decide gives the plan that follows prev; changed is false where prev stays in force. Equal
-// arguments give equal plans, whoever decides.
+// Decide returns the plan that follows prev, or prev itself and changed = false if nothing has to change.
+// Equal arguments give equal plans, whichever machine decides.
 func Decide(prev Plan, t Topology, s Settings, v View, nowUs int64, by string) (next Plan, changed bool) {
 	d := decision{topology: t, settings: s, view: v, nowUs: nowUs, states: map[string]State{}, freeCapacity: map[string]float64{}}
 	for _, z := range t.Zones {
@@ -82,71 +82,71 @@
 	}
 	next = Plan{Epoch: prev.Epoch, AtUs: prev.AtUs, By: prev.By, States: d.states, Zones: d.placeAll()}
 	for zone, p := range next.Zones {
-		if was, ok := prev.Zones[zone]; ok && s.similar(was, p) {
-			next.Zones[zone] = was
+		if previous, ok := prev.Zones[zone]; ok && s.similar(previous, p) {
+			next.Zones[zone] = previous
 		}
 	}
 	next.Trades = d.trades(next.Zones)
 	if reflect.DeepEqual(next.Zones, prev.Zones) && maps.Equal(next.States, prev.States) {
-		return prev, false // trades alone drift with the load: the figures tell them, no epoch
+		return prev, false // Trades vary with the load; a change of them alone needs no new epoch
 	}
 	next.Epoch, next.AtUs, next.By = prev.Epoch+1, nowUs, by
 	return next, true
 }
 
-// decision is one run of Decide.
+// decision holds the inputs and intermediate results of one call of Decide.
 type decision struct {
 	topology     Topology
 	settings     Settings
 	view         View
 	nowUs        int64
 	states       map[string]State
-	freeCapacity map[string]float64 // calls a second that a zone still takes
-	unplaced     map[string]float64 // calls a second of a zone that found no room
+	freeCapacity map[string]float64 // by zone: calls per second that it can still take
+	unplaced     map[string]float64 // by zone: calls per second for which no zone has capacity
 }
 
-// nextState follows a zone's health. Without news of it the state stays: silence of its viewers
-// is no proof against a zone.
-func (d *decision) nextState(zone string, was State) State {
+// nextState returns a zone's state after the current observations. Without any, the state stays as it was:
+// missing reports do not prove that a zone has failed.
+func (d *decision) nextState(zone string, state State) State {
 	h, seen := d.view.bestHealth(zone)
 	if !seen {
-		return was
+		return state
 	}
 	if h.Up < d.settings.LostAt || h.Failing > 1-d.settings.LostAt {
-		return State{Lost: true, BackUs: was.BackUs}
+		return State{Lost: true, BackUs: state.BackUs}
 	}
-	if was.HealthyUs == 0 {
-		was.HealthyUs = d.nowUs
+	if state.HealthyUs == 0 {
+		state.HealthyUs = d.nowUs
 	}
-	if was.Lost && d.nowUs-was.HealthyUs >= d.settings.DwellUs {
-		was.Lost, was.BackUs = false, d.nowUs
+	if state.Lost && d.nowUs-state.HealthyUs >= d.settings.DwellUs {
+		state.Lost, state.BackUs = false, d.nowUs
 	}
-	return was
+	return state
 }
 
-// usableCapacity is the calls a second that a zone may be planned to take, with the margin left free.
-// An unknown capacity is no bound, unless tries there meet "full": then what it takes now is.
+// usableCapacity returns the calls per second that a plan may send to a zone, without the margin. A zone of
+// unknown capacity has no limit unless its servers answer "full"; then the limit is the load it carries now.
 func (d *decision) usableCapacity(zone string) float64 {
 	if d.states[zone].Lost {
 		return 0
 	}
 	h, _ := d.view.bestHealth(zone)
-	room := math.Inf(1)
+	capacity := math.Inf(1)
 	if h.Capacity > 0 {
-		room = h.Capacity * (1 - d.settings.Margin)
+		capacity = h.Capacity * (1 - d.settings.Margin)
 	}
 	if h.Full > d.settings.FullAt {
-		room = min(room, d.view.totalLoad(zone)*(1-h.Full))
+		capacity = min(capacity, d.view.totalLoad(zone)*(1-h.Full))
 	}
-	if back := d.states[zone].BackUs; back > 0 && d.settings.RampUs > 0 && !math.IsInf(room, 1) {
-		warm := float64(d.nowUs-back) / float64(d.settings.RampUs)
-		room *= min(1, d.settings.RampFrom+(1-d.settings.RampFrom)*warm)
+	if recoveredUs := d.states[zone].BackUs; recoveredUs > 0 && d.settings.RampUs > 0 && !math.IsInf(capacity, 1) {
+		rampProgress := float64(d.nowUs-recoveredUs) / float64(d.settings.RampUs)
+		capacity *= min(1, d.settings.RampFrom+(1-d.settings.RampFrom)*rampProgress)
 	}
-	return room
+	return capacity
 }
 
-// reaches tells whether agents of a zone reach another's servers. A zone whose agents say
-// nothing of the other is taken to reach what is healthy.
+// reaches reports whether the agents of one zone can reach the servers of another. Without a report from
+// those agents, any zone that is not lost counts as reachable.
 func (d *decision) reaches(from, to string) bool {
 	if d.states[to].Lost {
 		return false
@@ -157,50 +157,51 @@
 	return true
 }
 
-// zonePair is room that one zone has for another's calls.
+// zonePair is a possible transfer of calls from one zone to another.
 type zonePair struct {
 	from, to       string
 	cost           float64
 	regionsCrossed int
 }
 
-// placeAll fills each zone with its own calls, then moves what is left over, nearest first over
-// all zones alike: within regions, and across only what the regions could not take.
+// placeAll first gives each zone its own calls. It then moves the excess, the cheapest pair of zones first:
+// within regions, and across regions only what the regions could not take.
 func (d *decision) placeAll() map[string]Placement {
 	zones := map[string]Placement{}
-	left, kept := map[string]float64{}, map[string]float64{}
+	excess, kept := map[string]float64{}, map[string]float64{}
 	sent := map[string][]Share{}
 	for _, z := range d.topology.Zones {
 		load := d.demand(z.Name)
 		if d.reaches(z.Name, z.Name) {
 			kept[z.Name] = min(load, d.freeCapacity[z.Name])
 		}
-		left[z.Name] = load - kept[z.Name]
+		excess[z.Name] = load - kept[z.Name]
 		d.freeCapacity[z.Name] -= kept[z.Name]
 	}
-	for _, m := range d.zonePairs() {
-		n := min(left[m.from], d.freeCapacity[m.to])
-		if n <= 0 {
+	for _, pair := range d.zonePairs() {
+		moved := min(excess[pair.from], d.freeCapacity[pair.to])
+		if moved <= 0 {
 			continue
 		}
-		d.freeCapacity[m.to] -= n
-		left[m.from] -= n
-		sent[m.from] = append(sent[m.from], Share{m.to, n / d.demand(m.from)})
+		d.freeCapacity[pair.to] -= moved
+		excess[pair.from] -= moved
+		sent[pair.from] = append(sent[pair.from], Share{pair.to, moved / d.demand(pair.from)})
 	}
-	d.unplaced = left
+	d.unplaced = excess
 	for _, z := range d.topology.Zones {
 		zones[z.Name] = d.placement(z.Name, kept[z.Name], sent[z.Name])
 	}
 	return zones
 }
 
-// minDemandPerS is the load of a zone that has none: it is placed, so that a next call has a way.
+// minDemandPerS is the load assumed for an idle zone, so that its next call has a placement too.
 const minDemandPerS = 1e-6
 
+// demand returns the calls per second of a zone, at least minDemandPerS.
 func (d *decision) demand(zone string) float64 { return max(d.view.totalLoad(zone), minDemandPerS) }
 
-// zonePairs are the pairs of zones in the order in which room is given: near ones before far ones,
-// so that no zone's calls go past another's on the way out.
+// zonePairs returns the pairs of zones in the order in which capacity is assigned. Near pairs come before far
+// ones, so that the capacity of a zone goes to the calls of nearer zones first.
 func (d *decision) zonePairs() (out []zonePair) {
 	for _, a := range d.topology.Zones {
 		for _, b := range d.topology.Zones {
@@ -215,35 +216,35 @@
 	return out
 }
 
-// placement words what became of a zone's calls. What found no room stays at home, where the
-// module turns away what can't be carried; with home lost it goes to the nearest zone that can
-// be reached, for the module there.
+// placement builds the Placement of a zone. Calls for which no zone has capacity stay in their own zone,
+// where package policy refuses the excess. If that zone is lost, they go to the nearest reachable zone and
+// are refused there.
 func (d *decision) placement(zone string, kept float64, sent []Share) Placement {
-	home := d.reaches(zone, zone)
+	homeReachable := d.reaches(zone, zone)
 	p := Placement{Mode: ModeLocal, Shares: sent}
-	if !home {
+	if !homeReachable {
 		p.Shares = d.sendRemainder(zone, sent)
 	}
 	switch {
 	case slices.ContainsFunc(p.Shares, func(s Share) bool { return d.topology.regionsCrossed(zone, s.Zone) > 0 }):
 		p.Mode = ModeRegion
-	case len(p.Shares) > 0 && !home:
+	case len(p.Shares) > 0 && !homeReachable:
 		p.Mode = ModeEvacuate
 	case len(p.Shares) > 0:
 		p.Mode = ModeSpill
 	}
-	for class, most := range d.settings.Budget {
-		if most < p.awayShare() {
+	for class, limit := range d.settings.Budget {
+		if limit < p.awayShare() {
 			if p.Caps == nil {
 				p.Caps = map[string]float64{}
 			}
-			p.Caps[class] = most
+			p.Caps[class] = limit
 		}
 	}
 	return p
 }
 
-// sendRemainder has the rest of a lost zone's calls go to its nearest reachable zone too.
+// sendRemainder adds the unplaced calls of a lost zone to the share of its nearest reachable zone.
 func (d *decision) sendRemainder(zone string, sent []Share) []Share {
 	rest := 1 - Placement{Shares: sent}.awayShare()
 	if rest <= 1e-9 {
@@ -261,31 +262,31 @@
 		}
 		return append([]Share{{to, rest}}, sent...)
 	}
-	return sent // nothing can be reached: home it is, and the module refuses
+	return sent // no zone is reachable: the calls stay in their own zone, where package policy refuses them
 }
 
-// similar tells whether a placement is near enough to the former one to leave that in force.
-// Another mode or zone never is: a share that ends must end.
-func (s Settings) similar(was, now Placement) bool {
-	if was.Mode != now.Mode || len(was.Shares) != len(now.Shares) || !maps.Equal(was.Caps, now.Caps) {
+// similar reports whether a placement differs so little from the previous one that the previous one can stay.
+// A different mode, zone or cap always counts as a change, so that a share that has ended is removed.
+func (s Settings) similar(previous, next Placement) bool {
+	if previous.Mode != next.Mode || len(previous.Shares) != len(next.Shares) || !maps.Equal(previous.Caps, next.Caps) {
 		return false
 	}
-	for i := range was.Shares {
-		if was.Shares[i].Zone != now.Shares[i].Zone || math.Abs(was.Shares[i].Part-now.Shares[i].Part) >= s.Step {
+	for i := range previous.Shares {
+		if previous.Shares[i].Zone != next.Shares[i].Zone || math.Abs(previous.Shares[i].Part-next.Shares[i].Part) >= s.Step {
 			return false
 		}
 	}
 	return true
 }
 
-// trades says plainly what is given up: calls that the budget keeps in a zone which can't
-// carry them, and calls that no zone has room for.
+// trades lists the calls that a class's budget keeps in a zone that can't carry them, and the calls for which
+// no zone has capacity.
 func (d *decision) trades(zones map[string]Placement) (out []Trade) {
 	for _, z := range d.topology.Zones {
 		p := zones[z.Name]
 		for _, class := range slices.Sorted(maps.Keys(p.Caps)) {
-			if n := d.view.Load[z.Name][class] * (p.awayShare() - p.Caps[class]); n > 0 {
-				out = append(out, Trade{Zone: z.Name, For: "budget", Class: class, PerSecond: round(n)})
+			if heldBack := d.view.Load[z.Name][class] * (p.awayShare() - p.Caps[class]); heldBack > 0 {
+				out = append(out, Trade{Zone: z.Name, For: "budget", Class: class, PerSecond: round(heldBack)})
 			}
 		}
 		if d.view.totalLoad(z.Name) > 0 && d.unplaced[z.Name] > 1e-9 {
@@ -295,5 +296,5 @@
 	return out
 }
 
-// round keeps a figure readable; trades are told, not computed with.
+// round rounds to three decimals for display. Trades are only reported, never used in calculations.
 func round(n float64) float64 { return math.Round(n*1000) / 1000 }
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// text4k is a document's text of 4 KiB.
+// text4k is a text of 4 KiB.
 var text4k = bytes.Repeat([]byte("0123456789abcde\n"), 256)
 
-// settledLog is a state of documents everywhere: one in ten for a1, the others each for one of other agents.
+// settledLog returns a state in which all documents are at StageEverywhere. One in ten applies to a1, each of
+// the others to a different agent.
 func settledLog(b *testing.B, documents int) *testLog {
 	l := &testLog{t: b, State: New()}
 	for i := range documents {
@@ -24,6 +25,7 @@
 	return l
 }
 
+// BenchmarkFor looks up the documents of one agent among many.
 func BenchmarkFor(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		l := settledLog(b, n)
@@ -37,7 +39,7 @@
 	}
 }
 
-// testReports is the reports of agents in services of 30.
+// testReports returns reports of agents in services of 30 agents each.
 func testReports(agents int) []Report {
 	out := make([]Report, agents)
 	for i := range out {
@@ -47,6 +49,7 @@
 	return out
 }
 
+// BenchmarkDecide decides without an open revision, with a waiting one and with one at its first stage.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 100, 730, 1460} {
 		reports := testReports(n)
@@ -75,6 +78,7 @@
 	}
 }
 
+// BenchmarkHear stores a report in a table of 1460 agents.
 func BenchmarkHear(b *testing.B) {
 	reports := testReports(1460)
 	t := NewReportTable()
@@ -86,6 +90,7 @@
 	}
 }
 
+// BenchmarkTake receives a reply with three documents, one of them new.
 func BenchmarkTake(b *testing.B) {
 	h := NewDocumentSet(a1)
 	docs := []Document{testDocument(routes, 1, string(text4k)), testDocument(byZone, 2, string(text4k)), {}}
@@ -98,9 +103,9 @@
 	}
 }
 
-// BenchmarkBytes tells sizes: a snapshot of documents of 4 KiB, what an agent keeps of four, a
-// watch that only asks on, its empty answer, and an answer with one document. The gob sizes are
-// of a second message: net/rpc sends the types once a connection.
+// BenchmarkBytes reports sizes: of a snapshot with documents of 4 KiB, of an agent's stored set of four
+// documents, of a watch request, and of replies without, with one and with four documents. The gob sizes are
+// those of a second message, because net/rpc sends the types only once per connection.
 func BenchmarkBytes(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		l := settledLog(b, n)
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -10,149 +10,153 @@
 	"unicode/utf8"
 )
 
-// documentSetMagic begins what an agent keeps on its disk.
+// documentSetMagic starts the file in which an agent stores its documents.
 const documentSetMagic = "WRHELD1\n"
 
-// ErrDocumentSet is a kept set that can't be read: none, torn, corrupt, or another agent's.
-var ErrDocumentSet = errors.New("rollout: held documents")
+// ErrDocumentSet is returned for a stored set that can't be read: it is no such file, truncated, corrupt or
+// of another agent.
+var ErrDocumentSet = errors.New("rollout: stored documents")
 
-// ErrInvalidReply is an answer that a control machine can't have given: a document whose sum is wrong,
-// that is not this agent's, too large, above the answer's version, or under a number that stood
-// for something else. Nothing of it is taken.
-var ErrInvalidReply = errors.New("rollout: answer")
+// ErrInvalidReply is returned for a reply that no correct control machine sends: it has a document whose
+// checksum is wrong, that is not for this agent, that is too large, whose revision is above the reply's
+// version, or whose revision number belonged to something else before. Nothing of such a reply is used.
+var ErrInvalidReply = errors.New("rollout: invalid reply")
 
-// DocumentSet is what one agent holds: of each document the last one accepted, which stays in force
-// until a later one is, and the latest it was told of. It is not safe for use by several
-// goroutines at once. What it returns shares texts with it: nobody may write into them.
+// DocumentSet has the documents of one agent: for each name the last accepted revision, which stays in force
+// until a later one is accepted, and the latest received revision. It is not safe for concurrent use.
+// Returned documents share their texts with the set; callers must not modify them.
 type DocumentSet struct {
 	agent   Agent
-	version uint64
+	version uint64 // highest version of an accepted reply
 	docs    map[Name]*documentRecord
 }
 
-// documentRecord is one document as it is kept.
+// documentRecord is the state of one document at the agent. Its fields are stored as JSON.
 type documentRecord struct {
-	Told     Document  `json:"told"`               // the latest
-	Accepted *Document `json:"accepted,omitempty"` // where that is an earlier one
-	Taken    bool      `json:"taken,omitempty"`    // the latest was accepted
-	Refused  bool      `json:"refused,omitempty"`  // the latest was refused
-	Why      string    `json:"why,omitempty"`
+	Told     Document  `json:"told"`               // the latest received revision
+	Accepted *Document `json:"accepted,omitempty"` // the last accepted revision if it is an earlier one
+	Taken    bool      `json:"taken,omitempty"`    // Told was accepted
+	Refused  bool      `json:"refused,omitempty"`  // Told was refused
+	Why      string    `json:"why,omitempty"`      // reason for the refusal
 }
 
-// accepted is the last document that the loader took; nil: none.
-func (k *documentRecord) accepted() *Document {
-	if k.Taken {
-		return &k.Told
+// accepted returns the last revision that the loader accepted, or nil.
+func (record *documentRecord) accepted() *Document {
+	if record.Taken {
+		return &record.Told
 	}
-	return k.Accepted
+	return record.Accepted
 }
 
-// NewDocumentSet returns the set of an agent that was told nothing yet.
+// NewDocumentSet returns the empty set of an agent.
 func NewDocumentSet(a Agent) *DocumentSet {
 	return &DocumentSet{agent: a, docs: map[Name]*documentRecord{}}
 }
 
-// Receive takes an answer's documents that are newer than what the agent was told of, and returns
-// them in the order of the answer; Accept or Refuse has to follow for each. An error wraps
-// ErrForged and names the document; then nothing is taken. Older or equal numbers are passed
-// over. What a whole answer does not name stays: a document never goes without a removal.
-func (h *DocumentSet) Receive(r WatchReply) (fresh []Document, err error) {
+// Receive adds the documents of a reply that are newer than the received ones and returns them in the order
+// of the reply. The caller then has to call Accept or Refuse for each. Documents with an older or equal
+// revision are ignored. Documents that a whole reply does not list stay: a document is removed only by a
+// revision with Removed set. An error wraps ErrInvalidReply and names the document; in this case nothing is
+// added.
+func (h *DocumentSet) Receive(r WatchReply) (newDocs []Document, err error) {
 	told, named := map[uint64]Name{}, map[Name]bool{}
-	for n, k := range h.docs {
-		told[k.Told.Revision] = n
+	for n, record := range h.docs {
+		told[record.Told.Revision] = n
 	}
 	for _, d := range r.Docs {
-		k := h.docs[d.Name]
-		err := h.checkDocument(d, k, r.Version, told)
+		record := h.docs[d.Name]
+		err := h.checkDocument(d, record, r.Version, told)
 		if named[d.Name] {
-			err = errors.New("field name: twice in one answer")
+			err = errors.New("field name: listed twice in one reply")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%w of %.80q: %.300s revision %d: %w", ErrInvalidReply, r.Machine, d.Name, d.Revision, err)
+			return nil, fmt.Errorf("%w from %.80q: %.300s revision %d: %w", ErrInvalidReply, r.Machine, d.Name, d.Revision, err)
 		}
 		told[d.Revision], named[d.Name] = d.Name, true
-		if k == nil || d.Revision > k.Told.Revision {
-			fresh = append(fresh, d)
+		if record == nil || d.Revision > record.Told.Revision {
+			newDocs = append(newDocs, d)
 		}
 	}
-	for _, d := range fresh {
-		k := h.docs[d.Name]
-		if k == nil {
-			k = &documentRecord{}
-			h.docs[d.Name] = k
+	for _, d := range newDocs {
+		record := h.docs[d.Name]
+		if record == nil {
+			record = &documentRecord{}
+			h.docs[d.Name] = record
 		}
-		*k = documentRecord{Told: d, Accepted: cloneDocument(k.accepted())}
+		*record = documentRecord{Told: d, Accepted: cloneDocument(record.accepted())}
 	}
 	h.version = max(h.version, r.Version)
-	return fresh, nil
+	return newDocs, nil
 }
 
-// checkDocument says what is wrong with a document of an answer; told names what numbers stand for.
-func (h *DocumentSet) checkDocument(d Document, k *documentRecord, version uint64, told map[uint64]Name) error {
-	n, known := told[d.Revision]
+// checkDocument returns an error if a document of a reply is invalid; told has the names of the known
+// revision numbers.
+func (h *DocumentSet) checkDocument(d Document, record *documentRecord, version uint64, told map[uint64]Name) error {
+	known, isKnown := told[d.Revision]
 	switch {
 	case !d.Name.valid() || !d.Name.Scope.Contains(h.agent):
 		return fmt.Errorf("field name: not a document of agent %s", h.agent.Name)
 	case d.Revision == 0 || d.Revision > version:
-		return fmt.Errorf("field revision: outside 1 to %d, the answer's version", version)
+		return fmt.Errorf("field revision: outside 1 to %d, the reply's version", version)
 	case len(d.Text) > MaxTextBytes:
 		return fmt.Errorf("field text: %d bytes, most %d", len(d.Text), MaxTextBytes)
 	case d.Removed && len(d.Text) > 0:
 		return fmt.Errorf("field text: %d bytes of a removed document", len(d.Text))
 	case d.Sum != Sum(d.Text):
 		return fmt.Errorf("field sum: %016x, the text's is %016x", d.Sum, Sum(d.Text))
-	case known && n != d.Name:
-		return fmt.Errorf("field revision: that number is %v", n)
-	case k == nil:
+	case isKnown && known != d.Name:
+		return fmt.Errorf("field revision: number already used for %v", known)
+	case record == nil:
 		return nil
 	}
-	for _, o := range []*Document{&k.Told, k.accepted()} {
-		if o != nil && o.Revision == d.Revision && (o.Sum != d.Sum || o.Removed != d.Removed || string(o.Text) != string(d.Text)) {
-			return errors.New("field text: that number had another text")
+	for _, other := range []*Document{&record.Told, record.accepted()} {
+		if other != nil && other.Revision == d.Revision && (other.Sum != d.Sum || other.Removed != d.Removed || string(other.Text) != string(d.Text)) {
+			return errors.New("field text: differs from the text received under this number")
 		}
 	}
 	return nil
 }
 
-// Accept notes that the loader took a document that Take returned, a removal among them: it is
-// the last known good, and seen. One that the agent was not told of, or that is older than what
-// it accepted, changes nothing.
+// Accept records that the loader accepted a document returned by Receive, which may be a removal. It becomes
+// the last known good revision. A document that was not received, or that is older than the accepted one,
+// changes nothing.
 func (h *DocumentSet) Accept(d Document) {
-	k := h.docs[d.Name]
+	record := h.docs[d.Name]
 	switch {
-	case k == nil || d.Revision > k.Told.Revision:
-	case d.Revision == k.Told.Revision:
-		*k = documentRecord{Told: k.Told, Taken: true}
+	case record == nil || d.Revision > record.Told.Revision:
+	case d.Revision == record.Told.Revision:
+		*record = documentRecord{Told: record.Told, Taken: true}
 	default:
-		if was := k.accepted(); was == nil || was.Revision < d.Revision {
-			k.Accepted = &d
+		if accepted := record.accepted(); accepted == nil || accepted.Revision < d.Revision {
+			record.Accepted = &d
 		}
 	}
 }
 
-// Refuse notes that the loader could not take the latest document of a name, and its words, of
-// which MaxWhy bytes are kept, control characters as blanks. The one accepted before stays. A document that was accepted and
-// is refused now, as a new program may do after a restart, is not accepted any more.
+// Refuse records that the loader refused a document, and at most MaxWhyBytes of its reason, with control
+// characters replaced by blanks. The revision accepted before stays in force. If the refused revision was
+// accepted earlier, which can happen when a new version of the program loads it after a restart, it does not
+// count as accepted any more.
 func (h *DocumentSet) Refuse(d Document, why string) {
-	k := h.docs[d.Name]
-	if k == nil {
+	record := h.docs[d.Name]
+	if record == nil {
 		return
 	}
-	if k.Accepted != nil && k.Accepted.Revision == d.Revision {
-		k.Accepted = nil
+	if record.Accepted != nil && record.Accepted.Revision == d.Revision {
+		record.Accepted = nil
 	}
-	if d.Revision == k.Told.Revision {
-		k.Taken, k.Refused, k.Why = false, true, singleLine(why, MaxWhyBytes)
+	if d.Revision == record.Told.Revision {
+		record.Taken, record.Refused, record.Why = false, true, singleLine(why, MaxWhyBytes)
 	}
 }
 
-// Effective returns the document of a kind that is in force: of those accepted and not removed
-// the one of the narrowest scope. False: none, the agent's own file holds.
+// Effective returns the document of a kind that is in force: of the accepted ones that are not removed, the
+// one with the narrowest scope. It returns false if there is none, so that the agent's own file applies.
 func (h *DocumentSet) Effective(kind string) (Document, bool) {
 	scopes := h.agent.scopes()
 	for _, s := range slices.Backward(scopes[:]) {
-		if k := h.docs[Name{kind, s}]; k != nil {
-			if d := k.accepted(); d != nil && !d.Removed {
+		if record := h.docs[Name{kind, s}]; record != nil {
+			if d := record.accepted(); d != nil && !d.Removed {
 				return *d, true
 			}
 		}
@@ -160,105 +164,108 @@
 	return Document{}, false
 }
 
-// KnownRevisions is what the agent was last told of, by Name.String(), for WatchArgs.Have.
+// KnownRevisions returns the latest received revisions by Name.String(), for WatchArgs.Have.
 func (h *DocumentSet) KnownRevisions() map[string]uint64 {
 	out := make(map[string]uint64, len(h.docs))
-	for n, k := range h.docs {
-		out[n.String()] = k.Told.Revision
+	for n, record := range h.docs {
+		out[n.String()] = record.Told.Revision
 	}
 	return out
 }
 
-// Report is what a report says of documents: the latest accepted of each name, by
-// Name.String(), and the latest ones that were refused, by name.
+// Report returns the document fields of a Report: the last accepted revisions by Name.String(), and the
+// refused ones among the latest revisions, sorted by name.
 func (h *DocumentSet) Report() (seen map[string]uint64, refused []Refusal) {
 	seen = make(map[string]uint64, len(h.docs))
 	for _, n := range h.names() {
-		k := h.docs[n]
-		if d := k.accepted(); d != nil {
+		record := h.docs[n]
+		if d := record.accepted(); d != nil {
 			seen[n.String()] = d.Revision
 		}
-		if k.Refused {
-			refused = append(refused, Refusal{Name: n, Revision: k.Told.Revision, Why: k.Why})
+		if record.Refused {
+			refused = append(refused, Refusal{Name: n, Revision: record.Told.Revision, Why: record.Why})
 		}
 	}
 	return seen, refused
 }
 
-// Pending returns the documents that were told of and neither accepted nor refused yet, by
-// name: after a restart in between the loader has to be asked again.
+// Pending returns the received documents that are neither accepted nor refused yet, sorted by name. After a
+// restart between Receive and Accept or Refuse, they have to be loaded again.
 func (h *DocumentSet) Pending() (out []Document) {
 	for _, n := range h.names() {
-		if k := h.docs[n]; !k.Taken && !k.Refused {
-			out = append(out, k.Told)
+		if record := h.docs[n]; !record.Taken && !record.Refused {
+			out = append(out, record.Told)
 		}
 	}
 	return out
 }
 
-// Version is the highest version of an answer taken.
+// Version returns the highest version of an accepted reply.
 func (h *DocumentSet) Version() uint64 { return h.version }
 
-// IsBehind tells whether the machine that answered has applied less than this agent holds.
+// IsBehind reports whether the replying machine has applied less of the log than the agent has received.
 func (h *DocumentSet) IsBehind(r WatchReply) bool { return r.Version < h.version }
 
+// names returns the names of the documents, sorted.
 func (h *DocumentSet) names() []Name {
 	return slices.SortedFunc(maps.Keys(h.docs), func(a, b Name) int { return strings.Compare(a.String(), b.String()) })
 }
 
+// documentSetImage is the JSON form of a DocumentSet.
 type documentSetImage struct {
 	Agent   Agent             `json:"agent"`
 	Version uint64            `json:"version"`
 	Docs    []*documentRecord `json:"docs,omitempty"`
 }
 
-// Bytes is the set as it is kept on a disk: the magic, the JSON image (documents by name, so
-// that equal sets give equal bytes) and its xxhash64, big-endian, in the last 8 bytes.
+// Bytes encodes the set for storage: the magic, the JSON image (documents sorted by name, so that equal sets
+// give equal bytes) and its xxhash64, big-endian, in the last 8 bytes.
 func (h *DocumentSet) Bytes() []byte {
-	i := documentSetImage{Agent: h.agent, Version: h.version}
+	setImage := documentSetImage{Agent: h.agent, Version: h.version}
 	for _, n := range h.names() {
-		i.Docs = append(i.Docs, h.docs[n])
+		setImage.Docs = append(setImage.Docs, h.docs[n])
 	}
-	img, _ := json.Marshal(i)
+	img, _ := json.Marshal(setImage)
 	return encodeFrame(documentSetMagic, img)
 }
 
-// DecodeDocumentSet reads what Bytes wrote, for the agent that wrote it: an agent that has another
-// name, service, zone or region now has other documents, and fetches them. An error wraps
-// ErrHeld and names the byte, or the field where the checksum holds.
-func DecodeDocumentSet(a Agent, data []byte) (*DocumentSet, error) {
+// DecodeDocumentSet decodes the result of Bytes. It refuses a set of another agent, and also one of this
+// agent with another service, zone or region, since other documents apply there and have to be fetched. An
+// error wraps ErrDocumentSet and names the byte, or the field if the checksum is correct.
+func DecodeDocumentSet(agent Agent, data []byte) (*DocumentSet, error) {
 	img, err := decodeFrame(documentSetMagic, data)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDocumentSet, err)
 	}
-	var i documentSetImage
-	if err := json.Unmarshal(img, &i); err != nil {
+	var setImage documentSetImage
+	if err := json.Unmarshal(img, &setImage); err != nil {
 		return nil, fmt.Errorf("%w: image, %s", ErrDocumentSet, describeJSONError(img, err))
 	}
-	if i.Agent != a {
-		return nil, fmt.Errorf("%w: byte %d, field agent: kept by %+v, read by %+v", ErrDocumentSet, len(documentSetMagic), i.Agent, a)
+	if setImage.Agent != agent {
+		return nil, fmt.Errorf("%w: byte %d, field agent: stored by %+v, loaded by %+v", ErrDocumentSet, len(documentSetMagic), setImage.Agent, agent)
 	}
-	h := NewDocumentSet(a)
-	h.version = i.Version
+	set := NewDocumentSet(agent)
+	set.version = setImage.Version
 	told := map[uint64]Name{}
-	for n, k := range i.Docs {
-		if k == nil || h.docs[k.Told.Name] != nil || k.Taken && (k.Refused || k.Accepted != nil) {
-			return nil, fmt.Errorf("%w: field docs[%d]: missing, twice, or both taken and not", ErrDocumentSet, n)
+	for n, record := range setImage.Docs {
+		if record == nil || set.docs[record.Told.Name] != nil || record.Taken && (record.Refused || record.Accepted != nil) {
+			return nil, fmt.Errorf("%w: field docs[%d]: missing, duplicate or contradictory", ErrDocumentSet, n)
 		}
-		for _, d := range []*Document{k.Accepted, &k.Told} {
+		for _, d := range []*Document{record.Accepted, &record.Told} {
 			if d == nil {
 				continue
 			}
-			if err := h.checkDocument(*d, nil, i.Version, told); err != nil || d.Name != k.Told.Name {
+			if err := set.checkDocument(*d, nil, setImage.Version, told); err != nil || d.Name != record.Told.Name {
 				return nil, fmt.Errorf("%w: field docs[%d]: %w", ErrDocumentSet, n, err)
 			}
 			told[d.Revision] = d.Name
 		}
-		h.docs[k.Told.Name] = k
+		set.docs[record.Told.Name] = record
 	}
-	return h, nil
+	return set, nil
 }
 
+// cloneDocument returns a copy of a document, or nil.
 func cloneDocument(d *Document) *Document {
 	if d == nil {
 		return nil
@@ -267,20 +274,20 @@
 	return &c
 }
 
-// singleLine makes words fit for one line of a console: valid UTF-8 without control characters, of
-// at most n bytes, cut at the end of a rune.
-func singleLine(s string, n int) string {
+// singleLine prepares a text for a console line: it replaces control characters by blanks and invalid UTF-8
+// by "?", and truncates the text to at most maxBytes at the end of a rune.
+func singleLine(s string, maxBytes int) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
 		}
 		return r
-	}, strings.ToValidUTF8(s[:min(len(s), n+utf8.UTFMax)], "?"))
-	if len(s) <= n {
+	}, strings.ToValidUTF8(s[:min(len(s), maxBytes+utf8.UTFMax)], "?"))
+	if len(s) <= maxBytes {
 		return s
 	}
-	for n > 0 && !utf8.RuneStart(s[n]) {
-		n--
+	for maxBytes > 0 && !utf8.RuneStart(s[maxBytes]) {
+		maxBytes--
 	}
-	return s[:n]
+	return s[:maxBytes]
 }
--- a/rollout/held_test.go
+++ b/rollout/held_test.go
@@ -11,39 +11,43 @@
 
 var a1 = Agent{Name: "a1", Service: "s", Zone: "z1", Region: "r"}
 
+// testDocument returns a revision with a correct checksum. An empty text makes it a removal.
 func testDocument(n Name, revision uint64, text string) Document {
 	return Document{Name: n, Revision: revision, Text: []byte(text), Sum: Sum([]byte(text)), Removed: text == ""}
 }
 
-// TestDocumentSet plays orders to an agent's set: "take N:TEXT" tells it of a document, "ok" and "no"
-// are what its loader makes of it; "" as a text is a removal. Wide is routes@all, near routes@zone/z1.
+// TestDocumentSet runs scripts on an agent's set and checks which document is in force and what is reported.
+// In a script, "wide" and "near" select routes@all and routes@zone/z1, N:TEXT receives revision N (an empty
+// text is a removal), and "ok" and "no" accept and refuse it. "old" remembers the last received document;
+// "late" accepts and "undo" refuses the remembered one. After each step the set is encoded and decoded, as at
+// a restart.
 func TestDocumentSet(t *testing.T) {
 	cases := []struct {
-		name, play, force, seen, refused string
+		name, script, wantForce, seen, refused string
 	}{
-		{"nothing told", "", "-", "map[]", ""},
-		{"told, not yet taken", "wide 1:x", "-", "map[]", ""},
+		{"nothing received", "", "-", "map[]", ""},
+		{"received, not yet accepted", "wide 1:x", "-", "map[]", ""},
 		{"accepted", "wide 1:x ok", "1 x", "map[routes@all:1]", ""},
-		{"the latest refused: the former stays", "wide 1:x ok wide 2:y no", "1 x", "map[routes@all:1]", "routes@all 2 no"},
-		{"the next after a refused one", "wide 1:x ok wide 2:y no wide 3:z ok", "3 z", "map[routes@all:3]", ""},
-		{"the narrower wins", "near 1:x ok wide 2:y ok", "1 x", "map[routes@all:2 routes@zone/z1:1]", ""},
-		{"the narrower refused: the wider", "wide 1:x ok near 2:y no", "1 x", "map[routes@all:1]", "routes@zone/z1 2 no"},
-		{"the narrower removed: the wider", "wide 1:x ok near 2:y ok near 3: ok", "1 x", "map[routes@all:1 routes@zone/z1:3]", ""},
-		{"all removed: the own file", "wide 1:x ok wide 2: ok", "-", "map[routes@all:2]", ""},
-		{"older ones are passed over", "wide 3:x ok wide 2:y", "3 x", "map[routes@all:3]", ""},
-		{"accepted, and refused by a new program", "wide 1:x ok no", "-", "map[]", "routes@all 1 no"},
-		{"an older one accepted after a newer", "wide 1:x old wide 2:y ok wide 3:z late", "2 y", "map[routes@all:2]", ""},
-		{"the one in force refused by a new program", "wide 1:x old ok wide 2:y undo", "-", "map[]", ""},
-		{"the former accepted late", "wide 1:x old wide 2:y late", "1 x", "map[routes@all:1]", ""},
+		{"latest refused: the previous one stays", "wide 1:x ok wide 2:y no", "1 x", "map[routes@all:1]", "routes@all 2 no"},
+		{"accepted after a refused one", "wide 1:x ok wide 2:y no wide 3:z ok", "3 z", "map[routes@all:3]", ""},
+		{"the narrower scope is in force", "near 1:x ok wide 2:y ok", "1 x", "map[routes@all:2 routes@zone/z1:1]", ""},
+		{"narrower scope refused: the wider one is in force", "wide 1:x ok near 2:y no", "1 x", "map[routes@all:1]", "routes@zone/z1 2 no"},
+		{"narrower scope removed: the wider one is in force", "wide 1:x ok near 2:y ok near 3: ok", "1 x", "map[routes@all:1 routes@zone/z1:3]", ""},
+		{"all removed: the agent's own file is in force", "wide 1:x ok wide 2: ok", "-", "map[routes@all:2]", ""},
+		{"older revisions are ignored", "wide 3:x ok wide 2:y", "3 x", "map[routes@all:3]", ""},
+		{"accepted, later refused by a new program version", "wide 1:x ok no", "-", "map[]", "routes@all 1 no"},
+		{"an older revision is accepted after a newer one", "wide 1:x old wide 2:y ok wide 3:z late", "2 y", "map[routes@all:2]", ""},
+		{"the revision in force is refused by a new program version", "wide 1:x old ok wide 2:y undo", "-", "map[]", ""},
+		{"the previous revision is accepted late", "wide 1:x old wide 2:y late", "1 x", "map[routes@all:1]", ""},
 	}
 	for _, c := range cases {
 		h := NewDocumentSet(a1)
-		n := routes
+		name := routes
 		var last, old Document
-		for _, w := range strings.Fields(c.play) {
-			switch w {
+		for _, word := range strings.Fields(c.script) {
+			switch word {
 			case "wide", "near":
-				n = map[string]Name{"wide": routes, "near": byZone}[w]
+				name = map[string]Name{"wide": routes, "near": byZone}[word]
 			case "ok":
 				h.Accept(last)
 			case "no":
@@ -56,19 +60,19 @@
 				h.Accept(old)
 			default:
 				var revision uint64
-				number, text, _ := strings.Cut(w, ":")
+				number, text, _ := strings.Cut(word, ":")
 				fmt.Sscan(number, &revision)
-				if fresh, err := h.Receive(WatchReply{Version: revision, Docs: []Document{testDocument(n, revision, text)}}); err != nil {
+				if newDocs, err := h.Receive(WatchReply{Version: revision, Docs: []Document{testDocument(name, revision, text)}}); err != nil {
 					t.Fatalf("%s: %v", c.name, err)
-				} else if len(fresh) > 0 {
-					last = fresh[0]
+				} else if len(newDocs) > 0 {
+					last = newDocs[0]
 				}
 			}
-			back, err := DecodeDocumentSet(a1, h.Bytes())
-			if err != nil || !bytes.Equal(back.Bytes(), h.Bytes()) {
-				t.Fatalf("%s: after %s: %v", c.name, w, err)
+			decoded, err := DecodeDocumentSet(a1, h.Bytes())
+			if err != nil || !bytes.Equal(decoded.Bytes(), h.Bytes()) {
+				t.Fatalf("%s: after %s: %v", c.name, word, err)
 			}
-			h = back
+			h = decoded
 		}
 		force := "-"
 		if d, ok := h.Effective("routes"); ok {
@@ -79,8 +83,8 @@
 		for _, r := range refusals {
 			refused = append(refused, fmt.Sprint(r.Name, " ", r.Revision, " ", r.Why))
 		}
-		if got := strings.Join(refused, ", "); force != c.force || fmt.Sprint(seen) != c.seen || got != c.refused {
-			t.Errorf("%s: in force %s, seen %v, refused %s; want %s, %s, %s", c.name, force, seen, got, c.force, c.seen, c.refused)
+		if got := strings.Join(refused, ", "); force != c.wantForce || fmt.Sprint(seen) != c.seen || got != c.refused {
+			t.Errorf("%s: in force %s, seen %v, refused %s; want %s, %s, %s", c.name, force, seen, got, c.wantForce, c.seen, c.refused)
 		}
 	}
 	h := NewDocumentSet(a1)
@@ -88,8 +92,8 @@
 		t.Fatal(err)
 	}
 	h.Accept(testDocument(routes, 5, "x"))
-	h.Accept(testDocument(routes, 9, "z")) // never told of
-	h.Refuse(testDocument(byZone, 3, "y"), "an older one")
+	h.Accept(testDocument(routes, 9, "z")) // never received
+	h.Refuse(testDocument(byZone, 3, "y"), "an older revision")
 	if p := h.Pending(); len(p) != 1 || p[0].Revision != 4 || h.Version() != 7 || !h.IsBehind(WatchReply{Version: 6}) || h.IsBehind(WatchReply{Version: 7}) ||
 		!maps.Equal(h.KnownRevisions(), map[string]uint64{"routes@all": 5, "routes@zone/z1": 4}) {
 		t.Errorf("pending %v, version %d, have %v", p, h.Version(), h.KnownRevisions())
@@ -105,40 +109,43 @@
 	}
 }
 
+// TestInvalidReplies checks that a reply with one invalid document is refused as a whole and changes nothing.
+// Taking a part of it could give an agent a text that the control group never committed.
 func TestInvalidReplies(t *testing.T) {
-	with := func(d Document, change func(*Document)) Document { change(&d); return d }
+	modified := func(d Document, change func(*Document)) Document { change(&d); return d }
 	good := testDocument(routes, 2, "x")
 	cases := []struct {
 		name string
 		docs []Document
 	}{
-		{"field sum", []Document{with(good, func(d *Document) { d.Sum++ })}},
+		{"field sum", []Document{modified(good, func(d *Document) { d.Sum++ })}},
 		{"not a document of agent a1", []Document{testDocument(Name{"routes", Scope{LevelZone, "z2"}}, 2, "x")}},
 		{"not a document of agent a1", []Document{testDocument(Name{"", Scope{Level: LevelAll}}, 2, "x")}},
 		{"field text: 262145 bytes", []Document{testDocument(routes, 2, strings.Repeat("x", MaxTextBytes+1))}},
 		{"outside 1 to 9", []Document{testDocument(routes, 10, "x")}},
 		{"outside 1 to 9", []Document{testDocument(routes, 0, "x")}},
-		{"had another text", []Document{testDocument(routes, 1, "y")}},
-		{"had another text", []Document{testDocument(routes, 1, "")}},
-		{"that number is routes@all", []Document{testDocument(byZone, 1, "x")}},
-		{"that number is routes@all", []Document{good, testDocument(byZone, 2, "x")}},
-		{"twice in one answer", []Document{testDocument(routes, 3, "x"), good}},
-		{"of a removed document", []Document{with(good, func(d *Document) { d.Removed = true })}},
+		{"differs from the text received under this number", []Document{testDocument(routes, 1, "y")}},
+		{"differs from the text received under this number", []Document{testDocument(routes, 1, "")}},
+		{"number already used for routes@all", []Document{testDocument(byZone, 1, "x")}},
+		{"number already used for routes@all", []Document{good, testDocument(byZone, 2, "x")}},
+		{"listed twice in one reply", []Document{testDocument(routes, 3, "x"), good}},
+		{"of a removed document", []Document{modified(good, func(d *Document) { d.Removed = true })}},
 	}
 	for _, c := range cases {
 		h := NewDocumentSet(a1)
 		if _, err := h.Receive(WatchReply{Version: 1, Docs: []Document{testDocument(routes, 1, "x")}}); err != nil {
 			t.Fatal(err)
 		}
-		was := h.Bytes()
-		fresh, err := h.Receive(WatchReply{Version: 9, Docs: append([]Document{testDocument(Name{"spread", Scope{Level: LevelAll}}, 8, "z")}, c.docs...)})
-		if !errors.Is(err, ErrInvalidReply) || !strings.Contains(err.Error(), c.name) || fresh != nil || !bytes.Equal(was, h.Bytes()) {
-			t.Errorf("%s: %v, %v", c.name, fresh, err)
+		before := h.Bytes()
+		newDocs, err := h.Receive(WatchReply{Version: 9, Docs: append([]Document{testDocument(Name{"spread", Scope{Level: LevelAll}}, 8, "z")}, c.docs...)})
+		if !errors.Is(err, ErrInvalidReply) || !strings.Contains(err.Error(), c.name) || newDocs != nil || !bytes.Equal(before, h.Bytes()) {
+			t.Errorf("%s: %v, %v", c.name, newDocs, err)
 		}
 	}
 }
 
-// TestCorruptDocumentSet: each cut and each flipped byte of what is kept is refused, naming a byte.
+// TestCorruptDocumentSet checks that a stored set is refused, with the byte offset, after any truncation or
+// flipped bit, as a crash or a failing disk can cause, and that the set of another agent or zone is refused.
 func TestCorruptDocumentSet(t *testing.T) {
 	h := NewDocumentSet(a1)
 	for i, text := range []string{"x", "y"} {
--- a/shard/place.go
+++ b/shard/place.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// BuildRing makes groups of size members out of agents, each across as many zones as it can, and
-// tells which agents are left over. The fullest zones are drawn from first, so that no zone's
-// agents are left together at the end; ties go by name, so that the same agents give the same
-// groups whatever their order.
+// BuildRing divides agents into groups of the given size, each spread over as many zones as possible, and
+// returns the ring and the agents that are left over. It takes members from the zones with the most remaining
+// agents first, so that the last groups do not have to be filled from a single zone. Ties are decided by
+// name, so that the same agents give the same groups in whatever order they are listed.
 func BuildRing(agents []Member, size int) (Ring, []Member, error) {
 	if size != 3 && size != 5 {
 		return Ring{}, nil, fmt.Errorf("size %d: %w", size, ErrSize)
 	}
 	zones := byZone(agents)
 	r := Ring{Version: 1}
-	for left := len(agents); left >= size; left -= size {
+	for remainingAgents := len(agents); remainingAgents >= size; remainingAgents -= size {
 		g := Group{ID: fmt.Sprintf("g%d", len(r.Groups)+1)}
 		for len(g.Members) < size {
 			g.Members = append(g.Members, takeMember(zones, g.Members))
@@ -26,6 +26,7 @@
 	return r, remaining(zones), nil
 }
 
+// byZone returns the agents of each zone, sorted by id.
 func byZone(agents []Member) map[string][]Member {
 	zones := map[string][]Member{}
 	for _, m := range agents {
@@ -37,19 +38,19 @@
 	return zones
 }
 
-// takeMember takes the next member from the zone that the group has least of; among these from the
-// one with the most agents left.
+// takeMember removes and returns the next member for a group. It comes from the zone with the fewest members
+// in the group; among these, from the zone with the most remaining agents.
 func takeMember(zones map[string][]Member, group []Member) Member {
-	have := map[string]int{}
+	inGroup := map[string]int{}
 	for _, m := range group {
-		have[m.Zone]++
+		inGroup[m.Zone]++
 	}
 	best := ""
 	for z, ms := range zones {
 		if len(ms) == 0 {
 			continue
 		}
-		if best == "" || cmp.Or(cmp.Compare(have[z], have[best]), cmp.Compare(len(zones[best]), len(ms)), cmp.Compare(z, best)) < 0 {
+		if best == "" || cmp.Or(cmp.Compare(inGroup[z], inGroup[best]), cmp.Compare(len(zones[best]), len(ms)), cmp.Compare(z, best)) < 0 {
 			best = z
 		}
 	}
@@ -58,6 +59,7 @@
 	return m
 }
 
+// remaining returns the agents that are left in any zone, sorted by id.
 func remaining(zones map[string][]Member) (left []Member) {
 	for _, ms := range zones {
 		left = append(left, ms...)
@@ -66,29 +68,28 @@
 	return left
 }
 
-// MembershipChange is one membership change of one group, through the library's own (raft's AddVoter
-// and RemoveServer). Changes are carried out in order, each only once the one before it is
-// committed.
+// MembershipChange is one change of a group's membership, made with raft's AddVoter or RemoveServer. Changes
+// are made in order, each after the previous one has been committed.
 type MembershipChange struct {
 	Group  string
-	Remove string // a member's id; "": none
-	Add    Member // its ID is "" for none
+	Remove string // id of the member to remove; "": none
+	Add    Member // member to add; its ID is "" for none
 }
 
-// ReplaceLost tells how to replace agents that are gone (machine and disk) by spare ones, one change
-// at a time. A spare is taken from the zone the group has least of. The lost member is removed
-// first and the spare added after it: an added voter that must still catch up would raise the
-// majority while one of it is dead. A group that lost its majority can't be mended so and is
-// named in stuck: its remaining members hold what it promised, and an operator decides.
-func ReplaceLost(r Ring, gone map[string]bool, spares []Member) (next Ring, steps []MembershipChange, stuck []string) {
+// ReplaceLost returns the changes that replace lost agents (machine and disk) by spare ones, one at a time,
+// and the resulting ring. A spare comes from the zone with the fewest members in the group. The lost member
+// is removed before the spare is added: an added voter that is still catching up would raise the majority
+// while one member is dead. A group that has lost its majority can't be changed this way and is listed in
+// stuck. Its remaining members still hold its promises; an operator has to decide what to do.
+func ReplaceLost(r Ring, lostIDs map[string]bool, spares []Member) (next Ring, steps []MembershipChange, stuck []string) {
 	zones := byZone(spares)
-	free := len(spares)
+	sparesLeft := len(spares)
 	next = Ring{Version: r.Version, Groups: make([]Group, len(r.Groups))}
 	for i, g := range r.Groups {
 		next.Groups[i] = Group{ID: g.ID, Members: slices.Clone(g.Members)}
 		lost := 0
 		for _, m := range g.Members {
-			if gone[m.ID] {
+			if lostIDs[m.ID] {
 				lost++
 			}
 		}
@@ -97,27 +98,27 @@
 			continue
 		}
 		for _, m := range g.Members {
-			if !gone[m.ID] || free == 0 {
+			if !lostIDs[m.ID] || sparesLeft == 0 {
 				continue
 			}
-			free--
-			kept := slices.DeleteFunc(next.Groups[i].Members, func(k Member) bool { return k.ID == m.ID })
-			add := takeMember(zones, kept)
-			next.Groups[i].Members = append(kept, add)
-			steps = append(steps, MembershipChange{Group: g.ID, Remove: m.ID}, MembershipChange{Group: g.ID, Add: add})
+			sparesLeft--
+			others := slices.DeleteFunc(next.Groups[i].Members, func(k Member) bool { return k.ID == m.ID })
+			spare := takeMember(zones, others)
+			next.Groups[i].Members = append(others, spare)
+			steps = append(steps, MembershipChange{Group: g.ID, Remove: m.ID}, MembershipChange{Group: g.ID, Add: spare})
 		}
 	}
 	return next, steps, stuck
 }
 
-// MovedShare is the share of calls, of those given, whose group differs between two rings.
+// MovedShare returns the share of the given calls whose group differs between two rings.
 func MovedShare(a, b Ring, calls []string) float64 {
-	n := 0
+	moved := 0
 	for _, c := range calls {
-		i, j := a.Owner(c), b.Owner(c)
-		if i < 0 || j < 0 || a.Groups[i].ID != b.Groups[j].ID {
-			n++
+		ownerA, ownerB := a.Owner(c), b.Owner(c)
+		if ownerA < 0 || ownerB < 0 || a.Groups[ownerA].ID != b.Groups[ownerB].ID {
+			moved++
 		}
 	}
-	return float64(n) / float64(max(len(calls), 1))
+	return float64(moved) / float64(max(len(calls), 1))
 }
