--- a/policy/api.go
+++ b/policy/api.go
@@ -258,7 +258,7 @@
 		if d.Rate > 0 {
 			r := EmptyReport()
 			r.AcceptRate, r.RefuseShare = d.Rate, v.Hold
-			c.probed(ReportReceived{Server: d.Server, Result: OK, Solicited: true, Report: r})
+			c.handleReport(ReportReceived{Server: d.Server, Result: OK, Solicited: true, Report: r})
 		}
 	}
 	return c.Handle(now, ReportReceived{Solicited: true})
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -30,9 +30,9 @@
 		}
 	}
 	for i, s := range c.servers {
-		s.room = 4
+		s.window = 4
 		if measured {
-			s.mu = float64(40 + i%7)
+			s.capacity = float64(40 + i%7)
 		}
 	}
 	return c, now
@@ -98,13 +98,13 @@
 		{"suspect=all", func(c *Controller, now Time) { suspectServers(c, now, len(c.servers)) }},
 		{"held=50", func(c *Controller, now Time) {
 			for _, s := range c.servers {
-				s.shutTill = now + time.Hour
+				s.closedUntil = now + time.Hour
 			}
 			for i := range 50 {
 				c.Handle(now, Arrival{ID: fmt.Sprint(i), Class: "look", TimeLeft: time.Hour, Pool: -1})
 			}
 			for _, cl := range c.held {
-				cl.at = now + time.Hour // they wait on
+				cl.arrivedAt = now + time.Hour // they wait on
 			}
 		}},
 	} {
@@ -117,7 +117,7 @@
 					c.Handle(now, Tick{})
 					if now > 2*time.Hour { // before the held calls are given up
 						b.StopTimer()
-						c, now = newLoadedController(b, len(c.servers), c.servers[0].mu > 0)
+						c, now = newLoadedController(b, len(c.servers), c.servers[0].capacity > 0)
 						tc.set(c, now)
 						b.StartTimer()
 					}
@@ -130,7 +130,7 @@
 // suspectServers makes the first n servers suspect, as a zone's loss does.
 func suspectServers(c *Controller, now Time, n int) {
 	for _, s := range c.servers[:n] {
-		s.suspect, s.since, s.flow, s.inst = true, now, 0, 0
+		s.suspect, s.suspectSince, s.flow, s.latestFlow = true, now, 0, 0
 	}
 }
 
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -14,73 +14,74 @@
 		(cl.pools == nil || slices.Contains(cl.pools, s.Pool))
 }
 
-// route picks a call's server; stay: none has room now but one may soon.
-func (c *Controller) route(cl *call) (to *server, stay bool) {
+// chooseServer picks a call's server; stay: none has room now but one may soon.
+func (c *Controller) chooseServer(cl *call) (to *server, stay bool) {
 	var best *server
 	var most float64
-	part := c.own.Allowed(c.now, c.joint().Flow, c.set.Senders, c.aim, len(c.servers))
-	for _, s := range c.each() {
+	part := c.ownShare.Allowed(c.now, c.fleetTotals().Flow, c.settings.Senders, c.shortestAim, len(c.servers))
+	for _, s := range c.visitServers() {
 		if !c.allows(cl, s) || s.b > 0 && c.blocks(s, cl) {
 			continue
 		}
 		stay = true
-		left := s.allowed.Available(c.now, part, s.mu, float64(c.set.Rank+s.Pool)*0.618)
-		if !c.open(s) || s == cl.last && best != nil || s.Pool != cl.pool && s.mu > 0 && left < 1 {
+		left := s.allowance.Available(c.now, part, s.capacity, float64(c.settings.Rank+s.Pool)*0.618)
+		if !c.open(s) || s == cl.lastServer && best != nil || s.Pool != cl.pool && s.capacity > 0 && left < 1 {
 			continue
 		}
-		if s.Pool == cl.pool && s != cl.last {
+		if s.Pool == cl.pool && s != cl.lastServer {
 			return s, true
 		}
-		o := c.spread.Priority(c.now, s.ID, &s.seat, c.spare(s))
-		if best == nil || best == cl.last || len(s.waiting) < len(best.waiting) ||
-			len(s.waiting) == len(best.waiting) && o > most {
+		o := c.spread.Priority(c.now, s.ID, &s.seat, c.spareCapacity(s))
+		if best == nil || best == cl.lastServer || len(s.unanswered) < len(best.unanswered) ||
+			len(s.unanswered) == len(best.unanswered) && o > most {
 			best, most = s, o
 		}
 	}
 	return best, stay
 }
 
-// spare is what a server's processor and lines can take beyond its flow. Ties between companions
+// spareCapacity is what a server's processor and lines can take beyond its flow. Ties between companions
 // are drawn by it: in the order of the list all senders would turn to one server at once.
-func (c *Controller) spare(s *server) float64 {
-	mu, flow, room := c.capacity(s), max(s.flow, s.inst), math.Inf(1)
+func (c *Controller) spareCapacity(s *server) float64 {
+	mu, flow, room := c.estimateCapacity(s), max(s.flow, s.latestFlow), math.Inf(1)
 	if mu != 0 { // 0: not known yet; its lines tell
 		room = spread.GrowthFactor*mu - flow
 	}
-	lines := spread.SpareRate(s.total, s.lines, flow, c.hold, c.now-s.linesAt, c.pace)
+	lines := spread.SpareRate(s.totalLines, s.busyLines, flow, c.meanHoldSeconds, c.now-s.linesReadAt,
+		c.reportPace)
 	return max(min(room, lines, 1e6), mu/50, 0.01)
 }
 
-// linesOf words what a server tells of its lines for package spread.
-func (c *Controller) linesOf(s *server) spread.Lines {
-	return spread.Lines{Total: s.total, Busy: s.lines, Flow: max(s.flow, s.inst), Hold: c.hold,
-		ReportedAt: s.linesAt, Exhausted: s.noLines}
+// lineState words what a server tells of its lines for package spread.
+func (c *Controller) lineState(s *server) spread.Lines {
+	return spread.Lines{Total: s.totalLines, Busy: s.busyLines, Flow: max(s.flow, s.latestFlow),
+		Hold: c.meanHoldSeconds, ReportedAt: s.linesReadAt, Exhausted: s.outOfLines}
 }
 
-// lineGap is the time in which one line of a full server comes free for this sender.
-func (c *Controller) lineGap(s *server) time.Duration {
-	return cmp.Or(c.linesOf(s).FreeInterval(c.set.Senders), fullHold)
+// lineInterval is the time in which one line of a full server comes free for this sender.
+func (c *Controller) lineInterval(s *server) time.Duration {
+	return cmp.Or(c.lineState(s).FreeInterval(c.settings.Senders), fullInterval)
 }
 
-// target is the delay above which an answer tells of a queue.
-func (c *Controller) target(s *server) time.Duration {
-	if c.set.Repeat > 0 {
-		return s.base + time.Duration(targetShare*float64(c.set.Repeat))
+// targetDelay is the delay above which an answer tells of a queue.
+func (c *Controller) targetDelay(s *server) time.Duration {
+	if c.settings.Repeat > 0 {
+		return s.baseDelay + time.Duration(targetShareOfRepeat*float64(c.settings.Repeat))
 	}
-	return s.base + time.Duration(targetOfAim*float64(c.aim))
+	return s.baseDelay + time.Duration(targetShareOfAim*float64(c.shortestAim))
 }
 
 // open tells whether a server has room for one more set-up.
 func (c *Controller) open(s *server) bool {
-	if s.State != Up || c.now < s.shutTill || !c.coldRoom(s) ||
-		c.now < s.lineAt && c.linesOf(s).NearlyFull(c.now, c.pace) {
+	if s.State != Up || c.now < s.closedUntil || !c.coldBudgetAllows(s) ||
+		c.now < s.nextLineAt && c.lineState(s).NearlyFull(c.now, c.reportPace) {
 		return false
 	}
 	if s.suspect {
-		return c.now >= s.trialAt && (len(s.waiting) == 0 || c.age(s) > c.lost(s))
+		return c.now >= s.nextTrialAt && (len(s.unanswered) == 0 || c.oldestUnanswered(s) > c.lossTimeout(s))
 	}
-	if c.age(s) > c.target(s) {
+	if c.oldestUnanswered(s) > c.targetDelay(s) {
 		return false
 	}
-	return float64(len(s.waiting)) < math.Floor(s.room)
+	return float64(len(s.unanswered)) < math.Floor(s.window)
 }
--- a/policy/design_test.go
+++ b/policy/design_test.go
@@ -23,8 +23,8 @@
 func TestOptimumAndRescaleB(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.mu = 20
-	beta := badShare / (1.5 * 20)
+	s.capacity = 20
+	beta := giveUpRateShare / (1.5 * 20)
 	rho := 1 + beta - math.Sqrt(beta*(1+beta))
 	for _, tc := range []struct {
 		name   string
@@ -37,10 +37,10 @@
 		{"twice the load", 0, 2, 1 - rho/2},
 		{"rescaled by the old b", 0.5, 1, 1 - rho/2},
 		{"no load", 0.7, 0, 0},
-		{"capped", 0.9, 100, bCap},
+		{"capped", 0.9, 100, maxB},
 	} {
-		s.b, s.meanB, s.updated = tc.old, tc.old, b.now
-		b.c.rescale(s, tc.u)
+		s.b, s.meanB, s.bUpdatedAt = tc.old, tc.old, b.now
+		b.c.rescaleB(s, tc.u)
 		if math.Abs(s.b-tc.want) > 1e-9 {
 			t.Errorf("%s: b = %v, want %v", tc.name, s.b, tc.want)
 		}
@@ -84,7 +84,7 @@
 func TestZeroWaitOpensServer(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.mu, s.flow, s.lines, s.total = 5, 20, 100, 1000
+	s.capacity, s.flow, s.busyLines, s.totalLines = 5, 20, 100, 1000
 	b.c.setB(s, 0.5)
 	b.deliverReport(s.ID, report(func(r *Report) { r.WaitSeconds = 0 }))
 	if s.b != 0 {
@@ -96,12 +96,12 @@
 func TestFullCountsOncePerInterval(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	s := b.c.servers[0]
-	s.mu = 20
-	b.c.full(s, 0)
+	s.capacity = 20
+	b.c.handleFull(s, 0)
 	once := s.b
 	b.now += 50 * ms
 	b.c.now = b.now
-	b.c.full(s, 0)
+	b.c.handleFull(s, 0)
 	if s.b != once || once <= 0 {
 		t.Errorf("b = %v after one full, %v after a second within 200 ms", once, s.b)
 	}
@@ -112,7 +112,7 @@
 	}
 	b.now += 200 * ms
 	b.c.now = b.now
-	b.c.full(s, 0)
+	b.c.handleFull(s, 0)
 	if s.b <= once {
 		t.Errorf("b = %v after a full 250 ms later", s.b)
 	}
@@ -148,7 +148,7 @@
 func TestBSettlesOnLateReports(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.mu = 20
+	s.capacity = 20
 	const load, late = 1.6, 40 // offered over capacity; steps of 10 ms by which reports are late
 	var past []float64
 	least, most := 1.0, 0.0
@@ -164,7 +164,7 @@
 			least, most = min(least, s.b), max(most, s.b)
 		}
 	}
-	want := 1 - b.c.optimum(s)/load
+	want := 1 - b.c.optimalUtilisation(s)/load
 	if least < want-0.12 || most > want+0.12 {
 		t.Errorf("b goes from %.2f to %.2f at a steady load that asks for %.2f", least, most, want)
 	}
@@ -175,7 +175,7 @@
 func TestQueueReportedInStall(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.mu = 20
+	s.capacity = 20
 	for i := range 5 {
 		b.now += 100 * ms
 		b.deliverReport(s.ID, report(func(r *Report) { r.QueueLength = float64(30 + i) }))
@@ -221,7 +221,7 @@
 	for i := range 4000 {
 		b.now += 10 * ms
 		class := []string{"look", "look", "look", "hold"}[i%4]
-		s.b, s.updated, s.reported = 0.3, b.now, b.now
+		s.b, s.bUpdatedAt, s.reportedAt = 0.3, b.now, b.now
 		id := fmt.Sprint(i)
 		out := b.handle(Arrival{ID: id, Class: class, TimeLeft: time.Second, Pool: 0})
 		of[class]++
@@ -259,7 +259,7 @@
 // TestNoLines: a server without a free line is passed over without touching b or trust.
 func TestNoLines(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
-	b.c.retries = 1
+	b.c.retryBudget = 1
 	b.call("1")
 	b.now += 30 * ms
 	out := b.handle(Ended{ID: "1", Server: "10.0.0.0:1", Result: NoLines, Report: EmptyReport()})
@@ -270,8 +270,8 @@
 	if s.b != 0 || s.suspect {
 		t.Errorf("b = %v, suspect %v", s.b, s.suspect)
 	}
-	if s.room > 1 || b.c.open(s) {
-		t.Errorf("room %v, open %v just after the last line went", s.room, b.c.open(s))
+	if s.window > 1 || b.c.open(s) {
+		t.Errorf("room %v, open %v just after the last line went", s.window, b.c.open(s))
 	}
 }
 
@@ -282,14 +282,14 @@
 	set.Classes[0].Hold = 100 * ms
 	b := newHarness(t, set, upServers(1)...)
 	s := b.c.servers[0]
-	s.total, s.room, s.delay, b.c.hold = 400, 20, 12*ms, 0.1
+	s.totalLines, s.window, s.meanDelay, b.c.meanHoldSeconds = 400, 20, 12*ms, 0.1
 	b.call("1")
 	b.now += 10 * ms
 	if sent := actionsOf[Send](b.handle(Ended{ID: "1", Server: s.ID, Result: NoLines, Report: EmptyReport()})); len(sent) > 0 {
 		t.Error("sent again before a line can have come free")
 	}
-	if sent := actionsOf[Send](b.advance(30 * ms)); len(sent) != 1 || s.room < 10 || s.room >= 20 {
-		t.Errorf("sent %v, room %v when a line comes free each ms for this sender", sent, s.room)
+	if sent := actionsOf[Send](b.advance(30 * ms)); len(sent) != 1 || s.window < 10 || s.window >= 20 {
+		t.Errorf("sent %v, room %v when a line comes free each ms for this sender", sent, s.window)
 	}
 }
 
@@ -319,8 +319,8 @@
 		t.Errorf("%d set-ups to a silent server in 4 s", sends)
 	}
 	b.handle(Standing{ID: "1", Server: s.ID})
-	if s.suspect || s.room > 1.5 {
-		t.Errorf("suspect %v, room %v after an answer", s.suspect, s.room)
+	if s.suspect || s.window > 1.5 {
+		t.Errorf("suspect %v, room %v after an answer", s.suspect, s.window)
 	}
 }
 
@@ -340,8 +340,8 @@
 func TestOvertakenSetUpIsCancelled(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.base, s.room = 50*ms, 4
-	b.c.retries = 3
+	s.baseDelay, s.window = 50*ms, 4
+	b.c.retryBudget = 3
 	b.call("lost")
 	b.now += 20 * ms
 	b.call("2")
@@ -368,8 +368,8 @@
 func TestLateAnswerAloneIsNoQueue(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.base, s.delay, s.room = 50*ms, 50*ms, 4
-	b.c.retries = 3
+	s.baseDelay, s.meanDelay, s.window = 50*ms, 50*ms, 4
+	b.c.retryBudget = 3
 	b.call("late")
 	b.now += 20 * ms
 	b.call("2")
@@ -380,8 +380,8 @@
 	}
 	b.now += 600 * ms
 	b.handle(Standing{ID: "late", Server: s.ID}) // it crosses the cancel
-	if s.room < 4 || s.queue > 0 || s.delay > 60*ms {
-		t.Errorf("one answer alone late: room %v, queue %v, delay %v", s.room, s.queue, s.delay)
+	if s.window < 4 || s.queueWait > 0 || s.meanDelay > 60*ms {
+		t.Errorf("one answer alone late: room %v, queue %v, delay %v", s.window, s.queueWait, s.meanDelay)
 	}
 }
 
@@ -412,7 +412,7 @@
 	set := testSettings()
 	b := newHarness(t, set, upServers(2)...)
 	s := b.c.servers[0]
-	s.mu = 20
+	s.capacity = 20
 	b.handle(ServerList{Servers: []Server{{ID: s.ID, ReadyAt: b.now}}})
 	var sends []Time
 	start := b.now
@@ -469,7 +469,7 @@
 // answer in the next event, and nothing is sent for them.
 func TestClockStep(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
-	b.c.servers[0].shutTill = b.now + time.Second
+	b.c.servers[0].closedUntil = b.now + time.Second
 	b.call("1")
 	b.now += 20 * time.Second
 	out := b.handle(Tick{})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -21,30 +21,30 @@
 
 // Controller decides for one gateway. It is not safe for concurrent use.
 type Controller struct {
-	set              Settings
-	rng              *rand.Rand
-	now              Time
-	servers          []*server
-	byID             map[string]*server
-	calls            map[string]*call
-	held             []*call
-	busy             map[string]engaged // numbers whose lines were all busy lately
-	groups           []group
-	classes, tenants map[string]int
-	retries          float64
-	weighed          Time
-	hold             float64 // mean length of the calls that come here, in seconds
-	wakeAt           Time
-	woke             Time          // when this gateway last came back from a stand-still
-	aim              time.Duration // the shortest aim
-	acts             []Action
-	pace             spread.ReportInterval // at which servers tell of their lines
-	own              spread.FlowShare      // of all calls
-	spread           *spread.State
-	fleet            spread.ServerTotals // sums over the servers,
-	summed           bool                // as they are now
-	openAt           int                 // in a watch: no server before this place is trusted and open
-	looks            int                 // at servers, for the test that counts them
+	settings                Settings
+	rng                     *rand.Rand
+	now                     Time
+	servers                 []*server
+	byID                    map[string]*server
+	calls                   map[string]*call
+	held                    []*call
+	busyNumbers             map[string]busyNumber // numbers whose lines were all busy lately
+	groups                  []callGroup
+	classIndex, tenantIndex map[string]int
+	retryBudget             float64
+	worthsUpdatedAt         Time
+	meanHoldSeconds         float64 // mean length of the calls that come here, in seconds
+	wakeAt                  Time
+	resumedAt               Time          // when this gateway last came back from a stand-still
+	shortestAim             time.Duration // the shortest aim
+	actions                 []Action
+	reportPace              spread.ReportInterval // at which servers tell of their lines
+	ownShare                spread.FlowShare      // of all calls
+	spread                  *spread.State
+	totals                  spread.ServerTotals // sums over the servers,
+	totalsValid             bool                // as they are now
+	nextOpenIndex           int                 // in a watch: no server before this place is trusted and open
+	serverVisits            int                 // at servers, for the test that counts them
 }
 
 // New returns the controller of one gateway, or tells why the settings can't be used.
@@ -71,82 +71,82 @@
 	}
 	set.Spread.Rank, set.Spread.Senders, set.Spread.Seed = set.Rank, set.Senders, seed
 	c := &Controller{spread: spread.New(set.Spread),
-		set: set, rng: rand.New(rand.NewPCG(seed, uint64(set.Rank))),
-		byID: map[string]*server{}, calls: map[string]*call{}, busy: map[string]engaged{},
-		classes: map[string]int{}, tenants: map[string]int{},
-		aim: set.Classes[0].Aim, hold: set.Classes[0].Hold.Seconds(),
+		settings: set, rng: rand.New(rand.NewPCG(seed, uint64(set.Rank))),
+		byID: map[string]*server{}, calls: map[string]*call{}, busyNumbers: map[string]busyNumber{},
+		classIndex: map[string]int{}, tenantIndex: map[string]int{},
+		shortestAim: set.Classes[0].Aim, meanHoldSeconds: set.Classes[0].Hold.Seconds(),
 	}
 	for i, cl := range set.Classes {
 		if cl.Aim <= 0 || cl.Deadline <= 0 || cl.Hold < 0 || !(cl.Worth >= 0) {
 			return nil, fmt.Errorf("policy: class %q: aim %v, deadline %v, hold %v, worth %v",
 				cl.Name, cl.Aim, cl.Deadline, cl.Hold, cl.Worth)
 		}
-		c.classes[cl.Name] = i
-		c.aim = min(c.aim, cl.Aim)
+		c.classIndex[cl.Name] = i
+		c.shortestAim = min(c.shortestAim, cl.Aim)
 		for t := range len(set.Tenants) + 1 {
-			g := group{class: &c.set.Classes[i], tenant: t, worth: cl.Worth}
+			g := callGroup{class: &c.settings.Classes[i], tenant: t, worth: cl.Worth}
 			c.groups = append(c.groups, g, g)
-			c.groups[len(c.groups)-1].again = true
+			c.groups[len(c.groups)-1].redial = true
 		}
 	}
 	for i, t := range set.Tenants {
-		c.tenants[t.Name] = i
+		c.tenantIndex[t.Name] = i
 	}
 	return c, nil
 }
 
 // Handle takes one event and returns what to do, in order, valid until the next call.
 func (c *Controller) Handle(now Time, ev Event) []Action {
-	c.acts, c.summed = c.acts[:0], false
-	if now-c.now > stallGap {
-		c.woke = now
+	c.actions, c.totalsValid = c.actions[:0], false
+	if now-c.now > stallThreshold {
+		c.resumedAt = now
 	}
 	c.now = max(c.now, now)
 	switch e := ev.(type) {
 	case Arrival:
-		c.arrive(e)
+		c.handleArrival(e)
 	case Standing:
-		c.stand(e)
+		c.handleStanding(e)
 	case Ended:
-		c.end(e)
+		c.handleEnded(e)
 	case Departed:
-		c.depart(e)
+		c.handleDeparted(e)
 	case ServerList:
-		c.list(e)
+		c.handleServerList(e)
 	case ReportReceived:
-		if c.probed(e); !e.Solicited { // told of every server each second: nothing to decide at once
-			return c.acts
+		if c.handleReport(e); !e.Solicited { // told of every server each second: nothing to decide at once
+			return c.actions
 		}
 	case Tick:
 		if c.now < c.wakeAt { // an old timer: each would set one of its own
-			return c.acts
+			return c.actions
 		}
 	}
-	c.watch()
+	c.checkServers()
 	c.dispatch()
-	c.rest()
-	return c.acts
+	c.scheduleWake()
+	return c.actions
 }
 
-// each is the servers, for a walk over all of them.
-func (c *Controller) each() []*server { c.looks += len(c.servers); return c.servers }
+// visitServers is the servers, for a walk over all of them.
+func (c *Controller) visitServers() []*server { c.serverVisits += len(c.servers); return c.servers }
 
-func (c *Controller) do(a Action) { c.acts = append(c.acts, a) }
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Controller) logf(format string, args ...any) { c.do(Log{fmt.Sprintf(format, args...)}) }
+func (c *Controller) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
-func (c *Controller) part(from float64, d time.Duration) time.Duration {
+func (c *Controller) jitter(from float64, d time.Duration) time.Duration {
 	return time.Duration((from + c.rng.Float64()) * float64(d))
 }
 
-// rest asks to be woken when there is something to look at.
-func (c *Controller) rest() {
-	gap := busyTick
+// scheduleWake asks to be woken when there is something to look at.
+func (c *Controller) scheduleWake() {
+	gap := wakeInterval
 	for _, cl := range c.held {
-		gap = max(min(gap, waitTick, c.latest(cl)-c.now), c.set.Tick, time.Millisecond)
+		gap = max(min(gap, heldWakeInterval, c.holdDeadline(cl)-c.now), c.settings.Tick, time.Millisecond)
 	}
 	if c.wakeAt <= c.now || c.now+gap < c.wakeAt {
 		c.wakeAt = c.now + gap
-		c.do(Wake{gap})
+		c.emit(Wake{gap})
 	}
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -7,78 +7,81 @@
 	"woodrouter/spread"
 )
 
-func (c *Controller) probed(e ReportReceived) {
+func (c *Controller) handleReport(e ReportReceived) {
 	s := c.byID[e.Server]
 	if s == nil {
 		return
 	}
 	if !e.Solicited {
-		c.count(s, e.Report)
+		c.readLines(s, e.Report)
 		return
 	}
 	if e.Result != OK { // a pressed server is spared the work
-		s.probeAt = max(s.probeAt, c.now+probeLeast)
+		s.nextProbeAt = max(s.nextProbeAt, c.now+failedProbeBackoff)
 		return
 	}
-	c.read(s, e.Report)
+	c.readReport(s, e.Report)
 }
 
 func usable(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// count reads the calls in progress: growth and ends tell the flow from all senders.
-func (c *Controller) count(s *server, r Report) {
+// readLines reads the calls in progress: growth and ends tell the flow from all senders.
+func (c *Controller) readLines(s *server, r Report) {
 	if !usable(r.FreeLines) || !usable(r.TotalLines) || r.TotalLines <= 0 {
 		return
 	}
 	n := max(r.TotalLines-r.FreeLines, 0)
-	dt := (c.now - s.linesAt).Seconds()
-	if s.linesAt != 0 && dt < 0.4 {
+	dt := (c.now - s.linesReadAt).Seconds()
+	if s.linesReadAt != 0 && dt < 0.4 {
 		return
 	}
-	if s.linesAt != 0 {
-		c.pace.Observe(c.now - s.linesAt)
+	if s.linesReadAt != 0 {
+		c.reportPace.Observe(c.now - s.linesReadAt)
 	}
-	if hold := c.hold; hold > 0 {
-		if s.linesAt == 0 || s.lines == 0 && s.flow == 0 {
-			s.flow, s.inst = n/hold, n/hold
+	if hold := c.meanHoldSeconds; hold > 0 {
+		if s.linesReadAt == 0 || s.busyLines == 0 && s.flow == 0 {
+			s.flow, s.latestFlow = n/hold, n/hold
 		} else {
-			s.inst = max((n-s.lines)/dt+(n+s.lines)/2/hold, 0)
-			s.flow += fading(c.now-s.linesAt, flowSpan) * (s.inst - s.flow)
+			s.latestFlow = max((n-s.busyLines)/dt+(n+s.busyLines)/2/hold, 0)
+			s.flow += decayWeight(c.now-s.linesReadAt, loadTimeConstant) * (s.latestFlow - s.flow)
 		}
 	}
-	if s.waits && !s.cold(c.now) { // what a server does without a queue it can do
-		if can := min(s.flow, s.inst); s.queue == 0 {
-			s.mu = max(s.mu, can)
-		} else if s.linesAt != 0 {
-			s.mu = blend(s.mu, s.inst, fading(c.now-s.linesAt, muSpan))
+	if s.reportsWait && !s.cold(c.now) { // what a server does without a queue it can do
+		if can := min(s.flow, s.latestFlow); s.queueWait == 0 {
+			s.capacity = max(s.capacity, can)
+		} else if s.linesReadAt != 0 {
+			s.capacity = smooth(s.capacity, s.latestFlow, decayWeight(c.now-s.linesReadAt, capacityTimeConstant))
 		}
 	}
-	if n > s.lines {
-		s.roseAt = c.now
+	if n > s.busyLines {
+		s.linesRoseAt = c.now
 	}
-	s.lines, s.linesAt, s.total, s.noLines, c.summed = n, c.now, r.TotalLines, false, false
-	s.reported = c.now
-	c.throttle(s)
+	s.busyLines, s.linesReadAt, s.totalLines, s.outOfLines, c.totalsValid = n, c.now, r.TotalLines, false, false
+	s.reportedAt = c.now
+	c.updateB(s)
 }
 
-// read turns a refreshed report into one utilisation and lets it set b.
-func (c *Controller) read(s *server, r Report) {
-	c.count(s, r)
+// readReport turns a refreshed report into one utilisation and lets it set b.
+func (c *Controller) readReport(s *server, r Report) {
+	c.readLines(s, r)
 	now := r
 	now.FreeLines, now.TotalLines = NotReported, NotReported
-	if now == EmptyReport() || now == s.last {
+	if now == EmptyReport() || now == s.lastReport {
 		return
 	}
-	gap := c.now - s.loadAt
-	c.spread.RecordReport(c.now, s.ID, spread.Seen{Lines: s.total, Util: r.Utilisation, Wait: r.WaitSeconds})
-	s.last, s.reported, s.loadAt, c.summed = now, c.now, c.now, false
-	s.period = time.Duration(blend(float64(s.period), float64(gap), 0.125))
+	gap := c.now - s.loadReadAt
+	c.spread.RecordReport(c.now, s.ID,
+		spread.Seen{Lines: s.totalLines, Util: r.Utilisation, Wait: r.WaitSeconds})
+	s.lastReport, s.reportedAt, s.loadReadAt, c.totalsValid = now, c.now, c.now, false
+	s.reportInterval = time.Duration(smooth(float64(s.reportInterval), float64(gap), 0.125))
 	switch {
 	case s.cold(c.now): // tells little of the warm server
 	case usable(r.AcceptRate) && r.AcceptRate > 0:
-		s.mu, s.muAt = blend(s.mu, r.AcceptRate, fading(c.now-s.muAt, muSpan)), c.now
+		s.capacity, s.capacityReadAt = smooth(s.capacity, r.AcceptRate,
+			decayWeight(c.now-s.capacityReadAt, capacityTimeConstant)), c.now
 	case usable(r.Utilisation) && r.Utilisation > 0.3 && s.flow > 0:
-		s.mu, s.muAt = blend(s.mu, s.flow/min(r.Utilisation, 1), fading(c.now-s.muAt, muSpan)/2), c.now
+		s.capacity, s.capacityReadAt = smooth(s.capacity, s.flow/min(r.Utilisation, 1),
+			decayWeight(c.now-s.capacityReadAt, capacityTimeConstant)/2), c.now
 	}
 	if usable(r.RefuseShare) {
 		c.setB(s, r.RefuseShare)
@@ -87,52 +90,52 @@
 	u := max(r.Utilisation, NotReported)
 	if usable(r.QueueLength) {
 		u = max(u, r.QueueLength/(1+r.QueueLength))
-		if mu := c.capacity(s); mu > 0 {
-			c.queued(s, min(c.aim/2, time.Duration(r.QueueLength/mu*float64(time.Second))))
+		if mu := c.estimateCapacity(s); mu > 0 {
+			c.recordQueue(s, min(c.shortestAim/2, time.Duration(r.QueueLength/mu*float64(time.Second))))
 		}
 	}
 	if usable(r.WaitSeconds) { // counted in set-ups of the length that an idle server takes
 		wait := time.Duration(r.WaitSeconds * float64(time.Second))
-		u = max(u, float64(wait)/float64(wait+max(s.base, c.set.Tick)))
-		c.queued(s, wait)
-		s.waits = true
+		u = max(u, float64(wait)/float64(wait+max(s.baseDelay, c.settings.Tick)))
+		c.recordQueue(s, wait)
+		s.reportsWait = true
 	}
 	if u > 0 && s.load > 0 {
-		u = s.load + fading(gap, flowSpan)*(u-s.load)
+		u = s.load + decayWeight(gap, loadTimeConstant)*(u-s.load)
 	}
 	if usable(u) {
 		s.load = u
 	}
-	c.throttle(s)
+	c.updateB(s)
 }
 
-func (c *Controller) queued(s *server, wait time.Duration) {
-	s.queue, s.queueAt = max(wait-c.target(s)+s.base, 0), c.now
+func (c *Controller) recordQueue(s *server, wait time.Duration) {
+	s.queueWait, s.queueSeenAt = max(wait-c.targetDelay(s)+s.baseDelay, 0), c.now
 }
 
-func blend(old, x, w float64) float64 {
+func smooth(old, x, w float64) float64 {
 	if old == 0 {
 		return x
 	}
 	return old + w*(x-old)
 }
 
-// capacity is what a server takes a second when warm: measured, else by its lines.
-func (c *Controller) capacity(s *server) float64 {
-	if s.mu > 0 {
-		return s.mu
+// estimateCapacity is what a server takes a second when warm: measured, else by its lines.
+func (c *Controller) estimateCapacity(s *server) float64 {
+	if s.capacity > 0 {
+		return s.capacity
 	}
-	return c.joint().EstimateRate(s.total)
+	return c.fleetTotals().EstimateRate(s.totalLines)
 }
 
-// joint is what all servers are known to take, and the flow there, of all senders. It is summed
+// fleetTotals is what all servers are known to take, and the flow there, of all senders. It is summed
 // once in an event, and again where a figure changed in it.
-func (c *Controller) joint() *spread.ServerTotals {
-	if !c.summed {
-		c.fleet, c.summed = spread.ServerTotals{}, true
-		for _, s := range c.each() {
-			c.fleet.Add(s.mu, s.total, s.flow)
+func (c *Controller) fleetTotals() *spread.ServerTotals {
+	if !c.totalsValid {
+		c.totals, c.totalsValid = spread.ServerTotals{}, true
+		for _, s := range c.visitServers() {
+			c.totals.Add(s.capacity, s.totalLines, s.flow)
 		}
 	}
-	return &c.fleet
+	return &c.totals
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -97,7 +97,7 @@
 	got := map[string]int{}
 	for _, b := range newSenders(t, 240, list...) {
 		for i, s := range b.c.servers[1:] {
-			s.mu, s.flow = 60, 50
+			s.capacity, s.flow = 60, 50
 			if i == 3 {
 				s.flow = 20
 			}
@@ -124,9 +124,9 @@
 		n := 0
 		for _, b := range newSenders(t, senders, upServers(1)...) {
 			s := b.c.servers[0]
-			s.mu = 60
+			s.capacity = 60
 			b.c.now = b.now
-			b.c.doubt(s, 0)
+			b.c.markSuspect(s, 0)
 			for i := range 200 {
 				b.now += 100 * ms
 				n += len(actionsOf[Send](b.call(fmt.Sprint(i))))
@@ -161,18 +161,18 @@
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
 	b.call("1")
-	s.shutTill = b.now + 100*ms
+	s.closedUntil = b.now + 100*ms
 	b.call("2")
 	b.now += 2 * time.Second
 	out := b.handle(Standing{ID: "1", Server: s.ID, Delay: 40 * ms})
-	if s.suspect || s.b > 0 || s.queue > 0 {
-		t.Errorf("after the gateway's own stall: suspect %v, b %v, queue %v", s.suspect, s.b, s.queue)
+	if s.suspect || s.b > 0 || s.queueWait > 0 {
+		t.Errorf("after the gateway's own stall: suspect %v, b %v, queue %v", s.suspect, s.b, s.queueWait)
 	}
 	if r := actionsOf[Refuse](out); len(r) != 1 || r[0].ID != "2" {
 		t.Errorf("the overdue call was not refused at once: %v", out)
 	}
-	if s.delay > 100*ms {
-		t.Errorf("delay %v taken from the gateway's own clock", s.delay)
+	if s.meanDelay > 100*ms {
+		t.Errorf("delay %v taken from the gateway's own clock", s.meanDelay)
 	}
 }
 
@@ -216,7 +216,7 @@
 	refused, of := map[bool]int{}, map[bool]int{}
 	for i := range 3000 {
 		b.now += 10 * ms
-		s.b, s.updated, s.reported = 0.5, b.now, b.now
+		s.b, s.bUpdatedAt, s.reportedAt = 0.5, b.now, b.now
 		again := i%2 == 1
 		id := fmt.Sprint(i)
 		out := b.handle(Arrival{ID: id, Class: "look", TimeLeft: time.Second, Redial: again})
@@ -258,7 +258,7 @@
 		b.handle(ServerList{Servers: []Server{s, old}})
 		old = s
 	}
-	if n := len(b.c.servers); n > goneMost+1 || n != len(b.c.byID) {
+	if n := len(b.c.servers); n > maxGoneServers+1 || n != len(b.c.byID) {
 		t.Errorf("%d servers are kept, %d by their ids", n, len(b.c.byID))
 	}
 	b.handle(Ended{ID: "1", Server: upServers(1)[0].ID, Result: Cut, Complete: true, Report: EmptyReport()})
@@ -296,7 +296,7 @@
 				t.Errorf("%d senders, %d servers: %d sent, %d refused", senders, servers, sent, refused)
 			}
 			for _, s := range b.c.servers {
-				if !(s.b >= 0 && s.b <= bCap) || s.flow != s.flow {
+				if !(s.b >= 0 && s.b <= maxB) || s.flow != s.flow {
 					t.Errorf("%d senders, %d servers: b %v, flow %v", senders, servers, s.b, s.flow)
 				}
 			}
@@ -309,7 +309,7 @@
 func TestFullFadesWithoutLoad(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
-	s.mu = 40
+	s.capacity = 40
 	b.handle(linesReport(s.ID, 80, 400))
 	b.call("1")
 	b.now += 30 * ms
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -9,57 +9,57 @@
 
 type server struct {
 	Server
-	b        float64
-	meanB    float64       // mean of b over flowSpan: what the load was measured under
-	updated  Time          // of meanB
-	reported Time          // when the latest report came
-	period   time.Duration // between reports, as they reach this sender
-	waits    bool          // its reports tell of the wait
-	load     float64       // utilisation as reported, over flowSpan; None: not reported
-	loadAt   Time
-	queue    time.Duration // wait that the latest late answer or queue told of
-	queueAt  Time
-	last     Report
-	fullAt   Time
-	shutTill Time // heard full
+	b              float64
+	meanB          float64       // mean of b over flowSpan: what the load was measured under
+	bUpdatedAt     Time          // of meanB
+	reportedAt     Time          // when the latest report came
+	reportInterval time.Duration // between reports, as they reach this sender
+	reportsWait    bool          // its reports tell of the wait
+	load           float64       // utilisation as reported, over flowSpan; None: not reported
+	loadReadAt     Time
+	queueWait      time.Duration // wait that the latest late answer or queue told of
+	queueSeenAt    Time
+	lastReport     Report
+	fullAt         Time
+	closedUntil    Time // heard full
 
-	mu      float64 // set-ups a second that it can take
-	muAt    Time
-	flow    float64 // calls a second that come to stand there, from all senders, over flowSpan
-	inst    float64 // and since the last count
-	lines   float64 // calls in progress at linesAt
-	linesAt Time
-	total   float64 // its lines
-	noLines bool    // it had none for a set-up since
-	lineAt  Time    // while they are short: no set-up before this
-	allowed spread.Allowance
-	roseAt  Time // when its calls in progress last grew
+	capacity       float64 // set-ups a second that it can take
+	capacityReadAt Time
+	flow           float64 // calls a second that come to stand there, from all senders, over flowSpan
+	latestFlow     float64 // and since the last count
+	busyLines      float64 // calls in progress at linesAt
+	linesReadAt    Time
+	totalLines     float64 // its lines
+	outOfLines     bool    // it had none for a set-up since
+	nextLineAt     Time    // while they are short: no set-up before this
+	allowance      spread.Allowance
+	linesRoseAt    Time // when its calls in progress last grew
 
-	waiting  []*call // its unanswered set-ups, oldest first
-	room     float64
-	cutAt    Time          // when a late answer last took of it
-	base     time.Duration // delay of an answer that meets no queue
-	delay    time.Duration // of answers lately
-	answered Time          // its latest answer to a set-up
-	heard    Time          // the latest release of a call there
+	unanswered  []*call // its unanswered set-ups, oldest first
+	window      float64
+	windowCutAt Time          // when a late answer last took of it
+	baseDelay   time.Duration // delay of an answer that meets no queue
+	meanDelay   time.Duration // of answers lately
+	answeredAt  Time          // its latest answer to a set-up
+	releasedAt  Time          // the latest release of a call there
 
-	overtaken          Time // when the latest answered set-up went out
-	suspect            bool
-	since              Time // suspect since
-	trialAt            Time // no trial before this
-	coldFrom, coldTill Time // its warming
-	probeAt            Time
-	seat               spread.ServerRef
+	lastAnsweredSentAt  Time // when the latest answered set-up went out
+	suspect             bool
+	suspectSince        Time // suspect since
+	nextTrialAt         Time // no trial before this
+	coldFrom, coldUntil Time // its warming
+	nextProbeAt         Time
+	seat                spread.ServerRef
 }
 
-func (c *Controller) list(e ServerList) {
+func (c *Controller) handleServerList(e ServerList) {
 	listed := map[string]bool{}
 	for _, n := range e.Servers {
 		listed[n.ID] = true
 		s := c.byID[n.ID]
 		if s == nil {
-			s = &server{load: NotReported, room: 1, reported: c.now, updated: c.now, loadAt: c.now, answered: c.now,
-				probeAt: c.now + c.part(0, probeMost)}
+			s = &server{load: NotReported, window: 1, reportedAt: c.now, bUpdatedAt: c.now, loadReadAt: c.now,
+				answeredAt: c.now, nextProbeAt: c.now + c.jitter(0, minProbeInterval)}
 			c.byID[n.ID] = s
 			c.servers = append(c.servers, s)
 		}
@@ -70,7 +70,7 @@
 		s.Server = n
 		c.spread.UpdateServer(n.ID, n.State == Up)
 		if restarted {
-			c.chill(s, n.ReadyAt, c.set.Rules.WarmUp)
+			c.startWarmUp(s, n.ReadyAt, c.settings.Rules.WarmUp)
 		}
 	}
 	for _, s := range c.servers {
@@ -80,14 +80,14 @@
 			c.logf("server %s has left the list", s.ID)
 		}
 	}
-	c.forget()
+	c.evictGoneServers()
 }
 
-// forget drops servers that are gone, oldest first, where ids never come again. A few stay:
+// evictGoneServers drops servers that are gone, oldest first, where ids never come again. A few stay:
 // what they carried is the guide for a new one.
-func (c *Controller) forget() {
-	gone := func(s *server) bool { return s.State == Gone && len(s.waiting) == 0 }
-	n := -goneMost
+func (c *Controller) evictGoneServers() {
+	gone := func(s *server) bool { return s.State == Gone && len(s.unanswered) == 0 }
+	n := -maxGoneServers
 	for _, s := range c.servers {
 		if gone(s) {
 			n++
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -106,7 +106,7 @@
 		case k == 18 && rng.IntN(30) == 0: // a zone's loss
 			for _, o := range b.c.servers[:rng.IntN(len(b.c.servers))] {
 				b.c.now = b.now
-				b.c.doubt(o, 0)
+				b.c.markSuspect(o, 0)
 			}
 		case k == 19 && rng.IntN(40) == 0:
 			take(b.handle(ServerList{Whole: true, Servers: upServers(n)[:1+rng.IntN(n)]}))
@@ -130,28 +130,28 @@
 	for seed := range uint64(8) {
 		n := 3 + int(seed)*5
 		randomEvents(t, seed, n, 3000, func(c *Controller, _ []Action) {
-			if !c.summed {
+			if !c.totalsValid {
 				return
 			}
 			var mu, lines, known, flow float64
 			for _, s := range c.servers {
 				flow += s.flow
-				if s.mu > 0 {
-					mu, lines, known = mu+s.mu, lines+s.total, known+1
+				if s.capacity > 0 {
+					mu, lines, known = mu+s.capacity, lines+s.totalLines, known+1
 				}
 			}
-			if got := c.joint().Flow; got != flow {
+			if got := c.fleetTotals().Flow; got != flow {
 				t.Fatalf("seed %d: flow %v kept, %v afresh", seed, got, flow)
 			}
 			for _, s := range c.servers {
 				want := mu / max(known, 1)
 				switch {
-				case s.mu > 0:
-					want = s.mu
-				case lines > 0 && s.total > 0:
-					want = mu * s.total / lines
+				case s.capacity > 0:
+					want = s.capacity
+				case lines > 0 && s.totalLines > 0:
+					want = mu * s.totalLines / lines
 				}
-				if got := c.capacity(s); got != want {
+				if got := c.estimateCapacity(s); got != want {
 					t.Fatalf("seed %d, server %s: capacity %v by what is kept, %v afresh", seed, s.ID, got, want)
 				}
 			}
@@ -169,7 +169,7 @@
 			b.now += 60 * ms // past the timer that was asked for
 			for _, s := range b.c.servers {
 				if s.suspect = rng.IntN(8) > 0; rng.IntN(4) == 0 {
-					s.shutTill = b.now + 30*ms
+					s.closedUntil = b.now + 30*ms
 				}
 			}
 			b.handle(Tick{})
@@ -177,7 +177,7 @@
 			for _, s := range b.c.servers {
 				found = found || !s.suspect && b.c.open(s)
 			}
-			if got := b.c.elsewhere(); got != found {
+			if got := b.c.anyTrustedOpen(); got != found {
 				t.Fatalf("seed %d: open elsewhere %v, by a walk over all %v", seed, got, found)
 			}
 		}
@@ -225,10 +225,10 @@
 			most := 0.0
 			for _, n := range []int{100, 730} {
 				c, now := newLoadedController(t, n, measured, Tenant{"t", 100}, Tenant{"u", 100})
-				c.looks = 0
+				c.serverVisits = 0
 				tc.do(c, now)
-				if most = max(most, float64(c.looks)/float64(n)); float64(c.looks) > 4*float64(n)+4 {
-					t.Errorf("%s, measured %v: %d looks at %d servers", tc.name, measured, c.looks, n)
+				if most = max(most, float64(c.serverVisits)/float64(n)); float64(c.serverVisits) > 4*float64(n)+4 {
+					t.Errorf("%s, measured %v: %d looks at %d servers", tc.name, measured, c.serverVisits, n)
 				}
 			}
 			t.Logf("%s, measured %v: %.2f looks at each server", tc.name, measured, most)
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// optimum is Berger's rho for a server: the utilisation that serves most calls in time.
-func (c *Controller) optimum(s *server) float64 {
-	beta := badShare / max(c.aim.Seconds()*c.capacity(s), 1)
+// optimalUtilisation is Berger's rho for a server: the utilisation that serves most calls in time.
+func (c *Controller) optimalUtilisation(s *server) float64 {
+	beta := giveUpRateShare / max(c.shortestAim.Seconds()*c.estimateCapacity(s), 1)
 	return 1 + beta - math.Sqrt(beta*(1+beta))
 }
 
 func (c *Controller) setB(s *server, b float64) {
-	s.meanB += fading(c.now-s.updated, flowSpan) * (s.b - s.meanB)
-	s.b, s.updated = min(max(b, 0), bCap), c.now
+	s.meanB += decayWeight(c.now-s.bUpdatedAt, loadTimeConstant) * (s.b - s.meanB)
+	s.b, s.bUpdatedAt = min(max(b, 0), maxB), c.now
 }
 
-// fading is the weight of what happened in the last d for a memory of span.
-func fading(d, span time.Duration) float64 { return 1 - math.Exp(-float64(d)/float64(span)) }
+// decayWeight is the weight of what happened in the last d for a memory of span.
+func decayWeight(d, span time.Duration) float64 { return 1 - math.Exp(-float64(d)/float64(span)) }
 
-// rescale applies DESIGN's rule; what waits already is to be worked off in drainSpan.
-func (c *Controller) rescale(s *server, u float64) {
+// rescaleB applies DESIGN's rule; what waits already is to be worked off in drainSpan.
+func (c *Controller) rescaleB(s *server, u float64) {
 	c.setB(s, s.b)
 	if u <= 0 {
 		c.setB(s, 0)
 		return
 	}
-	free := max(1-float64(c.backlog(s))/float64(drainSpan), 1-bCap)
-	c.setB(s, 1-c.optimum(s)*free*(1-s.meanB)/u)
+	free := max(1-float64(c.backlog(s))/float64(queueDrainTime), 1-maxB)
+	c.setB(s, 1-c.optimalUtilisation(s)*free*(1-s.meanB)/u)
 }
 
 // backlog is the wait at a server: the last that was seen fades, the oldest set-up grows.
 func (c *Controller) backlog(s *server) time.Duration {
-	q := time.Duration(float64(s.queue) * (1 - fading(c.now-s.queueAt, drainSpan)))
-	if c.serves(s) {
+	q := time.Duration(float64(s.queueWait) * (1 - decayWeight(c.now-s.queueSeenAt, queueDrainTime)))
+	if c.visiblyServing(s) {
 		return q
 	}
-	return max(q, c.age(s)-s.base, 0)
+	return max(q, c.oldestUnanswered(s)-s.baseDelay, 0)
 }
 
-// throttle sets b from the flow of all senders' calls over capacity, or as reported.
-func (c *Controller) throttle(s *server) {
+// updateB sets b from the flow of all senders' calls over capacity, or as reported.
+func (c *Controller) updateB(s *server) {
 	u := s.load
-	if s.flow > 0 && !s.waits {
-		if mu := c.capacity(s); mu > 0 {
+	if s.flow > 0 && !s.reportsWait {
+		if mu := c.estimateCapacity(s); mu > 0 {
 			u = max(u, s.flow/mu)
 		}
-		u = max(u, s.lines/s.total)
+		u = max(u, s.busyLines/s.totalLines)
 	}
 	if u >= 0 {
-		c.rescale(s, u)
+		c.rescaleB(s, u)
 	}
 }
 
-// full takes a 'processor full' as u = 1, once in fullHold.
-func (c *Controller) full(s *server, wait time.Duration) {
-	s.shutTill = max(s.shutTill, c.now+max(fullHold, min(wait, c.aim)))
-	if s.fullAt != 0 && c.now < s.fullAt+fullHold {
+// handleFull takes a 'processor full' as u = 1, once in fullHold.
+func (c *Controller) handleFull(s *server, wait time.Duration) {
+	s.closedUntil = max(s.closedUntil, c.now+max(fullInterval, min(wait, c.shortestAim)))
+	if s.fullAt != 0 && c.now < s.fullAt+fullInterval {
 		return
 	}
-	s.fullAt, s.reported = c.now, c.now
-	c.queued(s, max(wait, c.aim))
-	c.rescale(s, 1)
-	c.doubt(s, c.aim/2)
+	s.fullAt, s.reportedAt = c.now, c.now
+	c.recordQueue(s, max(wait, c.shortestAim))
+	c.rescaleB(s, 1)
+	c.markSuspect(s, c.shortestAim/2)
 }
