--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// holdDeadline is when a waiting call is given up: it could no longer stand in time.
+// holdDeadline returns the time at which a waiting call is refused, because it could no longer
+// stand in time.
 func (c *Controller) holdDeadline(cl *call) Time {
 	t := cl.arrivedAt + time.Duration(holdShareOfAim*float64(cl.group.class.Aim))
 	if cl.attempts > 0 {
@@ -16,6 +17,7 @@
 	return min(t, cl.deadline-2*c.settings.Tick)
 }
 
+// mayRetry tells whether a call may get a further attempt that could still stand in time.
 func (c *Controller) mayRetry(cl *call) bool {
 	if cl.attempts >= cl.maxAttempts || c.retryBudget < 1 && !cl.freeRetry {
 		return false
@@ -23,19 +25,20 @@
 	return max(cl.retryAt, c.now)+c.shortestAim/8 < c.holdDeadline(cl)
 }
 
+// lossTimeout returns the time after which an unanswered set-up counts as lost.
 func (c *Controller) lossTimeout(s *server) time.Duration {
 	return time.Duration(max(lostAfterTargets*float64(c.targetDelay(s)), lostAfterDelays*float64(s.meanDelay)))
 }
 
-// cancelLost cancels set-ups taken for lost while another attempt could stand in time. It
-// guards against lost set-ups, lost answers and dead servers. In a jam it must stay
-// its hand, for what is given up may still be worked on and feeds it.
+// cancelLost cancels set-ups that count as lost while another attempt could still stand in time. It
+// guards against lost set-ups, lost answers and dead servers. It cancels nothing at an overloaded server:
+// the server may still work on a cancelled set-up, and the next attempt would add to the overload.
 func (c *Controller) cancelLost(s *server) {
 	dead := s.suspect && s.flow < 1 && c.anyTrustedOpen()
 	for _, cl := range s.unanswered {
 		over := cl.sentAt < s.lastAnsweredSentAt
 		after, next := c.lossTimeout(s), c.targetDelay(s)
-		if over { // no queue holds it back, nor will one hold the next
+		if over { // a later set-up was answered first: no queue delays this one or the next
 			after, next = max(time.Duration(overtakenShareOfAim*float64(c.shortestAim)),
 				lostAfterDelays*s.meanDelay), 2*s.meanDelay
 		}
@@ -47,7 +50,8 @@
 	}
 }
 
-// anyTrustedOpen tells whether any trusted server is open. None comes to be so in the course of a watch.
+// anyTrustedOpen tells whether any trusted server is open. The scan resumes at nextOpenIndex, as no server
+// becomes trusted or open while checkServers runs.
 func (c *Controller) anyTrustedOpen() bool {
 	for ; c.nextOpenIndex < len(c.servers); c.nextOpenIndex++ {
 		c.serverVisits++
@@ -58,7 +62,8 @@
 	return false
 }
 
-// dispatch sends the waiting calls that find room, the most worth first.
+// dispatch sends the waiting calls for which a server is open, those of most worth first, and refuses
+// those that have waited too long.
 func (c *Controller) dispatch() {
 	slices.SortStableFunc(c.held, func(a, b *call) int {
 		return cmp.Or(cmp.Compare(b.group.worth, a.group.worth), cmp.Compare(a.arrivedAt, b.arrivedAt))
@@ -77,7 +82,7 @@
 	}
 }
 
-// send is the only place where an attempt starts, and keeps the rules for all of them.
+// send starts an attempt. All attempts start here, so that the rules for attempts are checked in one place.
 func (c *Controller) send(cl *call, s *server) {
 	if cl.closed || cl.unanswered || c.now < cl.retryAt || c.now >= cl.deadline || s.State != Up ||
 		cl.attempts >= cl.maxAttempts || !c.coldBudgetAllows(s) {
@@ -88,7 +93,7 @@
 	} else if !cl.freeRetry {
 		c.retryBudget--
 	}
-	if cl.freeRetry = s.suspect; s.suspect { // a trial
+	if cl.freeRetry = s.suspect; s.suspect { // this attempt is a trial
 		s.nextTrialAt = c.now + max(c.shortestAim, c.trialInterval(s))
 	}
 	cl.attempts++
@@ -102,7 +107,8 @@
 	c.emit(Send{cl.id, s.ID, cl.deadline})
 }
 
-// rejectCall is the only place where a call is given up: at once, with advice when to return.
+// rejectCall refuses a call at once and says when to try again, or fails it after its deadline. All
+// refusals and failures are issued here.
 func (c *Controller) rejectCall(cl *call) {
 	if cl.closed || cl.unanswered {
 		return
@@ -116,7 +122,7 @@
 	c.emit(Refuse{cl.id, c.jitter(0.5, c.settings.Limits.MaxRetryAfter/2)})
 }
 
-// recordAnswer takes a set-up's answer as the freshest sign of its server's state.
+// recordAnswer updates the state of a server from the answer to a set-up, the newest evidence of its load.
 func (c *Controller) recordAnswer(cl *call, d time.Duration) {
 	s := cl.lastServer
 	if d <= 0 || d > c.now-cl.sentAt {
@@ -127,7 +133,7 @@
 	if s.answeredAt = c.now; s.suspect {
 		c.clearSuspect(s, silent)
 	}
-	if cl.sentAt < s.lastAnsweredSentAt && d > c.targetDelay(s) { // it alone was late: no sign of a queue
+	if cl.sentAt < s.lastAnsweredSentAt && d > c.targetDelay(s) { // overtaken by a later one: no sign of a queue
 		return
 	}
 	s.lastAnsweredSentAt = max(s.lastAnsweredSentAt, cl.sentAt)
@@ -138,7 +144,7 @@
 	s.meanDelay += (d - s.meanDelay) / 4
 	t := c.targetDelay(s)
 	c.recordQueue(s, d-s.baseDelay)
-	// With a queue a server serves what it can: its flow is its capacity.
+	// A server with a queue works at its capacity, so that its flow measures the capacity.
 	if d > t && s.flow > 0 && !s.cold(c.now) && (s.capacity == 0 || c.settings.Reports == WhenProbed) {
 		s.capacity, c.totalsValid = smooth(s.capacity, min(s.latestFlow, max(s.capacity, s.flow)), 0.3), false
 	}
@@ -146,7 +152,7 @@
 	s.allowance.Refund(d <= t, s.capacity*c.shortestAim.Seconds()/float64(c.settings.Senders))
 	switch {
 	case d > t:
-		if c.now >= s.windowCutAt+d { // the answers of one stall count once
+		if c.now >= s.windowCutAt+d { // late answers of the same stall shrink the window only once
 			s.window, s.windowCutAt = max(s.window*max(float64(t)/float64(d), minWindowFactor), 1), c.now
 		}
 	case float64(len(s.unanswered)+1) >= math.Floor(s.window):
@@ -154,6 +160,7 @@
 	}
 }
 
+// endAttempt takes the latest attempt out of its server's unanswered set-ups.
 func (c *Controller) endAttempt(cl *call) {
 	cl.unanswered = false
 	cl.lastServer.unanswered = withoutCall(cl.lastServer.unanswered, cl)
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -7,36 +7,38 @@
 	"time"
 )
 
-// callGroup is the traffic of one class and tenant at this sender, redials apart.
+// callGroup is the traffic of one class and tenant at this sender. First tries and redials are
+// separate groups.
 type callGroup struct {
 	class       *Class
-	tenant      int // the place of its tenant; past the last: none
+	tenant      int // index of its tenant; one past the last: no tenant
 	redial      bool
-	recentCalls float64 // that came, over rateSpan
-	worth       float64 // of a call, with what lies beyond the allowance taken off
+	recentCalls float64 // calls that arrived, decaying with arrivalTimeConstant
+	worth       float64 // of one call, lowered for traffic beyond the tenant's allowance
 }
 
+// call is a call that waits, has an unanswered attempt or stands.
 type call struct {
 	id, number          string
 	group               *callGroup
 	pool                int
 	arrivedAt, deadline Time
 	attempts            int
-	lastServer          *server // the server of the latest attempt
+	lastServer          *server // server of the latest attempt
 	sentAt              Time
-	unanswered          bool // an attempt is unanswered
-	cancelled           bool // and called off
+	unanswered          bool // the latest attempt has no answer yet
+	cancelled           bool // and is cancelled
 	stands              bool
-	freeRetry           bool // the next attempt is off the budget: no queue ended the latest one
-	closed              bool // has its final answer, or needs none
-	retryAt             Time // no further attempt before this
+	freeRetry           bool // no queue ended the latest attempt: the next does not count against the budget
+	closed              bool // has its final answer or needs none
+	retryAt             Time // no further attempt before this time
 	draw                float64
-	maxAttempts         int           // attempts, by the settings and its route
-	retryDelay          time.Duration // after a give-up, by the rules and its route
-	pools               []int         // of its route; nil: any its class may use
+	maxAttempts         int           // by the settings and the call's route
+	retryDelay          time.Duration // by the rules and the call's route
+	pools               []int         // pools of the call's route; nil: all pools of its class
 }
 
-// busyNumber tells until when a busy number is not tried again.
+// busyNumber says until when no call is sent to a number whose lines were all busy.
 type busyNumber struct {
 	gap   time.Duration
 	until Time
@@ -79,7 +81,7 @@
 
 func (c *Controller) handleEnded(e Ended) {
 	s := c.byID[e.Server]
-	if s != nil && e.Result != NoLines { // that one comes when all lines are busy: no fair sample
+	if s != nil && e.Result != NoLines { // reports with NoLines all show a full server: a biased sample
 		c.readReport(s, e.Report)
 	}
 	cl := c.calls[e.ID]
@@ -100,17 +102,19 @@
 				c.markSuspect(s, 0)
 			}
 		}
-	} else if e.Result == OK { // a released call, too, shows that the server lives
+	} else if e.Result == OK { // the release of a call also shows that the server is alive
 		s.releasedAt = c.now
 	}
 	switch e.Result {
 	case Busy:
 		c.markNumberBusy(cl)
-	case NoLines: // cost little; no more out than this sender's part of the lines that come free
+	case NoLines:
+		// It cost the server little. The window is limited to this sender's share of the lines
+		// that become free within a delay.
 		gap := c.lineInterval(s)
 		cl.freeRetry, s.outOfLines, s.nextLineAt = true, true, c.now+c.jitter(0.5, gap)
 		s.window = min(s.window, max(float64(s.meanDelay)/float64(gap), 1))
-	case Full: // a trial, too, that found a queue spends the budget if it goes on
+	case Full: // after a queue even a trial's next attempt counts against the retry budget
 		cl.freeRetry = false
 		c.handleFull(s, e.Wait)
 	case TimedOut, Cut, Cancelled:
@@ -148,8 +152,8 @@
 	return slices.DeleteFunc(calls, func(o *call) bool { return o == cl })
 }
 
-// markNumberBusy spaces the calls to a number whose lines are all busy, as each would end the
-// same way at any server; it hurts where a line comes free within the gap.
+// markNumberBusy holds off calls to a number whose lines are all busy, as they would fail at any server.
+// A call is refused needlessly if a line becomes free within the gap.
 func (c *Controller) markNumberBusy(cl *call) {
 	if cl.number == "" {
 		return
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -9,12 +9,14 @@
 	"woodrouter/spread"
 )
 
+// allows tells whether a server is up and in a pool that the call may use.
 func (c *Controller) allows(cl *call, s *server) bool {
 	return s.State == Up && (cl.group.class.Pools == nil || slices.Contains(cl.group.class.Pools, s.Pool)) &&
 		(cl.pools == nil || slices.Contains(cl.pools, s.Pool))
 }
 
-// chooseServer picks a call's server; stay: none has room now but one may soon.
+// chooseServer returns the server for a call's next attempt, or nil. stay is true if some server may
+// take the call, now or soon.
 func (c *Controller) chooseServer(cl *call) (to *server, stay bool) {
 	var best *server
 	var most float64
@@ -40,11 +42,11 @@
 	return best, stay
 }
 
-// spareCapacity is what a server's processor and lines can take beyond its flow. Ties between companions
-// are drawn by it: in the order of the list all senders would turn to one server at once.
+// spareCapacity returns the set-ups a second that a server's processor and lines can take beyond its flow.
+// It breaks ties between servers: in list order all senders would turn to the same server at once.
 func (c *Controller) spareCapacity(s *server) float64 {
 	mu, flow, room := c.estimateCapacity(s), max(s.flow, s.latestFlow), math.Inf(1)
-	if mu != 0 { // 0: not known yet; its lines tell
+	if mu != 0 { // 0: not known yet, so that only its lines count
 		room = spread.GrowthFactor*mu - flow
 	}
 	lines := spread.SpareRate(s.totalLines, s.busyLines, flow, c.meanHoldSeconds, c.now-s.linesReadAt,
@@ -52,18 +54,18 @@
 	return max(min(room, lines, 1e6), mu/50, 0.01)
 }
 
-// lineState words what a server tells of its lines for package spread.
+// lineState converts a server's report of its lines for package spread.
 func (c *Controller) lineState(s *server) spread.Lines {
 	return spread.Lines{Total: s.totalLines, Busy: s.busyLines, Flow: max(s.flow, s.latestFlow),
 		Hold: c.meanHoldSeconds, ReportedAt: s.linesReadAt, Exhausted: s.outOfLines}
 }
 
-// lineInterval is the time in which one line of a full server comes free for this sender.
+// lineInterval returns the mean time in which a line of a full server becomes free for this sender.
 func (c *Controller) lineInterval(s *server) time.Duration {
 	return cmp.Or(c.lineState(s).FreeInterval(c.settings.Senders), fullInterval)
 }
 
-// targetDelay is the delay above which an answer tells of a queue.
+// targetDelay returns the delay above which an answer shows a queue.
 func (c *Controller) targetDelay(s *server) time.Duration {
 	if c.settings.Repeat > 0 {
 		return s.baseDelay + time.Duration(targetShareOfRepeat*float64(c.settings.Repeat))
@@ -71,7 +73,7 @@
 	return s.baseDelay + time.Duration(targetShareOfAim*float64(c.shortestAim))
 }
 
-// open tells whether a server has room for one more set-up.
+// open tells whether a server may get one more set-up now.
 func (c *Controller) open(s *server) bool {
 	if s.State != Up || c.now < s.closedUntil || !c.coldBudgetAllows(s) ||
 		c.now < s.nextLineAt && c.lineState(s).NearlyFull(c.now, c.reportPace) {
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -2,56 +2,109 @@
 
 import "time"
 
+// Percent blocking (Berger).
 const (
-	maxB               = 0.95                   // DESIGN: b's cap
-	fullInterval       = 200 * time.Millisecond // DESIGN: one 'full' a server counts in this time
-	reportMaxAge       = time.Second            // DESIGN: b halves after this long without a report,
-	reportMaxIntervals = 3                      // or so many of the intervals at which reports reach this sender
+	maxB = 0.95 // largest blocking share b
 
-	giveUpRateShare = 0.1 // of Berger's give-up rate 1/aim is real, as waits are kept far below the aim
+	// A "processor full" answer counts once for each server in this time, and keeps the server closed for
+	// at least as long.
+	fullInterval = 200 * time.Millisecond
 
-	targetShareOfRepeat = 0.6  // of the repeat gap: answers later than this shrink a server's room
-	targetShareOfAim    = 0.2  // of the shortest aim, where set-ups are never repeated
-	maxWindow           = 32.0 // keeps an idle server's room from growing without end
-	minWindowFactor     = 0.6  // most that one late answer takes away
-	windowGain          = 0.3  // gain of one answer in time while the room is in use
+	// b is halved after the longer of this time and so many report intervals without a report.
+	reportMaxAge       = time.Second
+	reportMaxIntervals = 3
 
-	lossEvidence     = 3               // set-ups without an answer: no chance
-	servingFlowShare = 0.6             // of its flow lately, and
-	servingMaxAge    = 3 * time.Second // calls in progress that grew so lately: a server serves the others
+	// Berger assumes that callers give up at the rate 1/aim. Waits are kept far below the aim, so that only
+	// this share of the rate occurs.
+	giveUpRateShare = 0.1
 
-	suspectAfterAims   = 0.5  // of the shortest aim: so long unanswered, a server is suspect
-	restartAfterAims   = 3.0  // aims: after so long without an answer a server comes back as cold,
-	restartWarmUpShare = 0.25 // but only for this part of the warming, in which the list would tell of a restart
+	// Time in which a server's queue should be worked off, and time constant of an observed wait.
+	queueDrainTime = 2 * time.Second
+)
 
-	redialWorthShare = 0.5 // of a first try: what a redial counts for
-	holdShareOfAim   = 0.6 // of the aim: how long a call may wait at the gateway for room
+// Time constants of exponential smoothing.
+const (
+	arrivalTimeConstant  = 15 * time.Second // calls that arrive in each group
+	loadTimeConstant     = 3 * time.Second  // load and flow of a server, and the b while they were measured
+	capacityTimeConstant = 4 * time.Second  // capacity of a server
+)
 
-	retriesPerCall  = 0.25 // further attempts earned by each first attempt,
-	maxSavedRetries = 4.0  // and saved up at most
-	busyGapDivisor  = 8    // the first gap of a busy number is the aim over this; it doubles up to the aim
+// Window of a server: the number of unanswered set-ups that it may have from this sender.
+const (
+	// An answer is late, and shrinks the window, if its delay exceeds that of an idle server by this
+	// share of the repeat interval, or of the shortest aim where set-ups are not repeated.
+	targetShareOfRepeat = 0.6
+	targetShareOfAim    = 0.2
 
-	trialCapacityShare  = 0.05 // of a server's capacity, or
-	trialFlowShare      = 0.25 // of the flow it shows: what all senders' trials together may take
-	lostAfterTargets    = 2    // a set-up unanswered for so many targets
-	lostAfterDelays     = 3    // and for so many delays is taken for lost,
-	overtakenShareOfAim = 0.15 // or for this part of the shortest aim when a later one was answered before it
+	maxWindow       = 32.0 // keeps the window of an idle server from growing without bound
+	minWindowFactor = 0.6  // a late answer shrinks the window to no less than this share of it
+	windowGain      = 0.3  // an answer in time grows a fully used window by this, divided by the window
+)
+
+// Suspect servers.
+const (
+	// A server whose oldest set-up is unanswered for this share of the shortest aim becomes suspect.
+	suspectAfterAims = 0.5
+
+	// A server is not made suspect while its reports show that it serves calls: while fewer than
+	// lossEvidence set-ups of this sender are unanswered (so many are unlikely to be lost by
+	// chance), its latest flow is at least this share of the mean flow, and its calls in progress
+	// grew within servingMaxAge.
+	lossEvidence     = 3
+	servingFlowShare = 0.6
+	servingMaxAge    = 3 * time.Second
+
+	// A server that was silent for this many shortest aims may have restarted, so that it is treated as
+	// cold, but only for this share of the warm-up: by then the server list would have told of a restart.
+	restartAfterAims   = 3.0
+	restartWarmUpShare = 0.25
+
+	// The trials of a suspect server from all senders together take the larger of this share of its
+	// capacity and this share of the flow that it serves.
+	trialCapacityShare = 0.05
+	trialFlowShare     = 0.25
 
-	maxGoneServers     = 8               // servers that are gone are remembered
 	minLoggedSuspicion = 5 * time.Second // the end of a shorter suspicion is not logged
+)
 
-	coldBudgetShare = 0.4 // of the fall multiple: what all senders spend of a cold server's budget
+// Lost set-ups.
+const (
+	// A set-up counts as lost when it is unanswered for the longer of this many target delays
+	// and this many mean delays of its server's answers.
+	lostAfterTargets = 2
+	lostAfterDelays  = 3
+
+	// If a later set-up was answered first, this share of the shortest aim replaces the target delays.
+	overtakenShareOfAim = 0.15
+)
+
+// Waiting calls and further attempts.
+const (
+	redialWorthShare = 0.5 // worth of a redial, as a share of that of a first try
+	holdShareOfAim   = 0.6 // a call waits at the gateway for at most this share of its aim
 
-	arrivalTimeConstant  = 15 * time.Second // memory of the arrivals
-	loadTimeConstant     = 3 * time.Second  // memory of a server's load, and of the b it was measured under
-	capacityTimeConstant = 4 * time.Second  // memory of a server's capacity
+	retriesPerCall  = 0.25 // further attempts that each first attempt adds to the budget
+	maxSavedRetries = 4.0  // largest budget of further attempts
 
-	queueDrainTime = 2 * time.Second // a queue is to be worked off in this time, and word of it fades in it
+	// The first gap between tries of a busy number is this part of the shortest aim. The gap doubles with
+	// each try, up to the aim.
+	busyGapDivisor = 8
+)
+
+// coldBudgetShare is the share of a cold server's budget that all senders together use at a steady rate;
+// the rest is for rights that were saved up.
+const coldBudgetShare = 0.4
+
+// maxGoneServers is the number of servers that are remembered after they have left the list.
+const maxGoneServers = 8
+
+// Timers and probes.
+const (
+	heldWakeInterval = 20 * time.Millisecond  // longest time to the next wake-up while a call waits
+	wakeInterval     = 50 * time.Millisecond  // and while none waits
+	stallThreshold   = 500 * time.Millisecond // after this long without an event the gateway itself had stalled
 
-	heldWakeInterval     = 20 * time.Millisecond  // look again this soon while a call waits
-	wakeInterval         = 50 * time.Millisecond  // and otherwise
-	stallThreshold       = 500 * time.Millisecond // no event for so long: the gateway itself stood still
-	jointProbesPerSecond = 20.0                   // probes a second that a server gets from all senders,
-	minProbeInterval     = 2 * time.Second        // but no more than one in this time from one of them,
-	failedProbeBackoff   = 8 * time.Second        // nor in this time after one that failed
+	jointProbesPerSecond = 20.0            // probes of one server by all senders together
+	minProbeInterval     = 2 * time.Second // between probes of one server by one sender
+	failedProbeBackoff   = 8 * time.Second // until the next probe after one that failed
 )
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -19,7 +19,7 @@
 	"woodrouter/spread"
 )
 
-// Controller decides for one gateway. It is not safe for concurrent use.
+// Controller makes the decisions of one gateway. It is not safe for concurrent use.
 type Controller struct {
 	settings                Settings
 	rng                     *rand.Rand
@@ -28,26 +28,26 @@
 	byID                    map[string]*server
 	calls                   map[string]*call
 	held                    []*call
-	busyNumbers             map[string]busyNumber // numbers whose lines were all busy lately
+	busyNumbers             map[string]busyNumber // by the called number
 	groups                  []callGroup
 	classIndex, tenantIndex map[string]int
 	retryBudget             float64
 	worthsUpdatedAt         Time
-	meanHoldSeconds         float64 // mean length of the calls that come here, in seconds
+	meanHoldSeconds         float64 // mean length of the calls that arrive here
 	wakeAt                  Time
-	resumedAt               Time          // when this gateway last came back from a stand-still
-	shortestAim             time.Duration // the shortest aim
+	resumedAt               Time          // when this gateway last resumed after a stall
+	shortestAim             time.Duration // shortest aim of all classes
 	actions                 []Action
-	reportPace              spread.ReportInterval // at which servers tell of their lines
-	ownShare                spread.FlowShare      // of all calls
+	reportPace              spread.ReportInterval // mean interval at which servers report their lines
+	ownShare                spread.FlowShare      // this sender's share of all calls
 	spread                  *spread.State
-	totals                  spread.ServerTotals // sums over the servers,
-	totalsValid             bool                // as they are now
-	nextOpenIndex           int                 // in a watch: no server before this place is trusted and open
-	serverVisits            int                 // at servers, for the test that counts them
+	totals                  spread.ServerTotals // sums over all servers
+	totalsValid             bool                // totals match the servers' present state
+	nextOpenIndex           int                 // in checkServers: no server before it is trusted and open
+	serverVisits            int                 // how often a server was looked at; a test bounds it
 }
 
-// New returns the controller of one gateway, or tells why the settings can't be used.
+// New returns the controller of one gateway, or an error if the settings are invalid.
 func New(set Settings, seed uint64) (*Controller, error) {
 	switch {
 	case len(set.Classes) == 0:
@@ -57,7 +57,7 @@
 	case set.Rank < 0 || set.Rank >= set.Senders:
 		return nil, fmt.Errorf("policy: rank %d is outside 0 to %d", set.Rank, set.Senders-1)
 	case set.Limits.MaxAttempts < 1:
-		return nil, fmt.Errorf("policy: %d attempts allowed", set.Limits.MaxAttempts)
+		return nil, fmt.Errorf("policy: at most %d attempts: at least 1 needed", set.Limits.MaxAttempts)
 	}
 	r := set.Rules
 	times := []time.Duration{set.Repeat, set.Tick, set.Limits.MaxRetryAfter, r.RetryDelay, r.WarmUp, r.LoadSpan}
@@ -67,7 +67,8 @@
 		}
 	}
 	if !(r.ColdShare >= 0 && r.ColdShare <= 1) || !(r.CollapseLoad >= 0) || math.IsInf(r.CollapseLoad, 0) {
-		return nil, fmt.Errorf("policy: cold start from %v, fall multiple %v", r.ColdShare, r.CollapseLoad)
+		return nil, fmt.Errorf("policy: invalid cold start: capacity share %v, collapse load %v",
+			r.ColdShare, r.CollapseLoad)
 	}
 	set.Spread.Rank, set.Spread.Senders, set.Spread.Seed = set.Rank, set.Senders, seed
 	c := &Controller{spread: spread.New(set.Spread),
@@ -78,7 +79,7 @@
 	}
 	for i, cl := range set.Classes {
 		if cl.Aim <= 0 || cl.Deadline <= 0 || cl.Hold < 0 || !(cl.Worth >= 0) {
-			return nil, fmt.Errorf("policy: class %q: aim %v, deadline %v, hold %v, worth %v",
+			return nil, fmt.Errorf("policy: class %q is invalid: aim %v, deadline %v, hold %v, worth %v",
 				cl.Name, cl.Aim, cl.Deadline, cl.Hold, cl.Worth)
 		}
 		c.classIndex[cl.Name] = i
@@ -95,7 +96,8 @@
 	return c, nil
 }
 
-// Handle takes one event and returns what to do, in order, valid until the next call.
+// Handle processes one event and returns the actions to carry out, in order. The slice is
+// valid until the next call of Handle.
 func (c *Controller) Handle(now Time, ev Event) []Action {
 	c.actions, c.totalsValid = c.actions[:0], false
 	if now-c.now > stallThreshold {
@@ -114,11 +116,11 @@
 	case ServerList:
 		c.handleServerList(e)
 	case ReportReceived:
-		if c.handleReport(e); !e.Solicited { // told of every server each second: nothing to decide at once
+		if c.handleReport(e); !e.Solicited { // arrives for every server each second and needs no decision at once
 			return c.actions
 		}
 	case Tick:
-		if c.now < c.wakeAt { // an old timer: each would set one of its own
+		if c.now < c.wakeAt { // an outdated timer: it would start a second chain of timers
 			return c.actions
 		}
 	}
@@ -128,18 +130,19 @@
 	return c.actions
 }
 
-// visitServers is the servers, for a walk over all of them.
+// visitServers returns all servers for a scan and counts them in serverVisits.
 func (c *Controller) visitServers() []*server { c.serverVisits += len(c.servers); return c.servers }
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
 func (c *Controller) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
+// jitter returns d times a random factor between from and from+1.
 func (c *Controller) jitter(from float64, d time.Duration) time.Duration {
 	return time.Duration((from + c.rng.Float64()) * float64(d))
 }
 
-// scheduleWake asks to be woken when there is something to look at.
+// scheduleWake requests the next Tick: sooner while calls wait.
 func (c *Controller) scheduleWake() {
 	gap := wakeInterval
 	for _, cl := range c.held {
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -16,16 +16,18 @@
 		c.readLines(s, e.Report)
 		return
 	}
-	if e.Result != OK { // a pressed server is spared the work
+	if e.Result != OK { // a server that fails a probe may be overloaded: probe it less often
 		s.nextProbeAt = max(s.nextProbeAt, c.now+failedProbeBackoff)
 		return
 	}
 	c.readReport(s, e.Report)
 }
 
+// usable tells whether a report contains the figure x.
 func usable(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// readLines reads the calls in progress: growth and ends tell the flow from all senders.
+// readLines reads a report of the calls in progress. Their growth, and the number that must have ended
+// meanwhile, give the flow from all senders.
 func (c *Controller) readLines(s *server, r Report) {
 	if !usable(r.FreeLines) || !usable(r.TotalLines) || r.TotalLines <= 0 {
 		return
@@ -46,7 +48,7 @@
 			s.flow += decayWeight(c.now-s.linesReadAt, loadTimeConstant) * (s.latestFlow - s.flow)
 		}
 	}
-	if s.reportsWait && !s.cold(c.now) { // what a server does without a queue it can do
+	if s.reportsWait && !s.cold(c.now) { // without a queue its flow is a lower bound of its capacity
 		if can := min(s.flow, s.latestFlow); s.queueWait == 0 {
 			s.capacity = max(s.capacity, can)
 		} else if s.linesReadAt != 0 {
@@ -61,7 +63,7 @@
 	c.updateB(s)
 }
 
-// readReport turns a refreshed report into one utilisation and lets it set b.
+// readReport derives a utilisation from a new report and updates b with it.
 func (c *Controller) readReport(s *server, r Report) {
 	c.readLines(s, r)
 	now := r
@@ -75,7 +77,7 @@
 	s.lastReport, s.reportedAt, s.loadReadAt, c.totalsValid = now, c.now, c.now, false
 	s.reportInterval = time.Duration(smooth(float64(s.reportInterval), float64(gap), 0.125))
 	switch {
-	case s.cold(c.now): // tells little of the warm server
+	case s.cold(c.now): // says little about the capacity of the warm server
 	case usable(r.AcceptRate) && r.AcceptRate > 0:
 		s.capacity, s.capacityReadAt = smooth(s.capacity, r.AcceptRate,
 			decayWeight(c.now-s.capacityReadAt, capacityTimeConstant)), c.now
@@ -94,7 +96,7 @@
 			c.recordQueue(s, min(c.shortestAim/2, time.Duration(r.QueueLength/mu*float64(time.Second))))
 		}
 	}
-	if usable(r.WaitSeconds) { // counted in set-ups of the length that an idle server takes
+	if usable(r.WaitSeconds) { // relative to the time that an idle server takes for a set-up
 		wait := time.Duration(r.WaitSeconds * float64(time.Second))
 		u = max(u, float64(wait)/float64(wait+max(s.baseDelay, c.settings.Tick)))
 		c.recordQueue(s, wait)
@@ -109,10 +111,12 @@
 	c.updateB(s)
 }
 
+// recordQueue records the part of a wait that exceeds the target delay.
 func (c *Controller) recordQueue(s *server, wait time.Duration) {
 	s.queueWait, s.queueSeenAt = max(wait-c.targetDelay(s)+s.baseDelay, 0), c.now
 }
 
+// smooth moves old towards x by the weight w. If old is 0, not known yet, it returns x.
 func smooth(old, x, w float64) float64 {
 	if old == 0 {
 		return x
@@ -120,7 +124,8 @@
 	return old + w*(x-old)
 }
 
-// estimateCapacity is what a server takes a second when warm: measured, else by its lines.
+// estimateCapacity returns the set-ups a second that a warm server can take: measured, else estimated
+// from its lines.
 func (c *Controller) estimateCapacity(s *server) float64 {
 	if s.capacity > 0 {
 		return s.capacity
@@ -128,8 +133,8 @@
 	return c.fleetTotals().EstimateRate(s.totalLines)
 }
 
-// fleetTotals is what all servers are known to take, and the flow there, of all senders. It is summed
-// once in an event, and again where a figure changed in it.
+// fleetTotals returns the sums of capacity, lines and flow over all servers. It computes them once
+// in an event, and again after a figure has changed.
 func (c *Controller) fleetTotals() *spread.ServerTotals {
 	if !c.totalsValid {
 		c.totals, c.totalsValid = spread.ServerTotals{}, true
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -7,47 +7,48 @@
 	"woodrouter/spread"
 )
 
+// server is what the controller knows of a listed server.
 type server struct {
 	Server
 	b              float64
-	meanB          float64       // mean of b over flowSpan: what the load was measured under
-	bUpdatedAt     Time          // of meanB
-	reportedAt     Time          // when the latest report came
-	reportInterval time.Duration // between reports, as they reach this sender
-	reportsWait    bool          // its reports tell of the wait
-	load           float64       // utilisation as reported, over flowSpan; None: not reported
+	meanB          float64       // mean of b over loadTimeConstant: the b under which the load was measured
+	bUpdatedAt     Time          // when b was set and meanB updated
+	reportedAt     Time          // time of the latest report, or since then of the latest halving of b
+	reportInterval time.Duration // mean time between reports that reach this sender
+	reportsWait    bool          // its reports contain the processor's wait
+	load           float64       // reported utilisation, smoothed over loadTimeConstant; NotReported: none yet
 	loadReadAt     Time
-	queueWait      time.Duration // wait that the latest late answer or queue told of
+	queueWait      time.Duration // wait shown by the latest late answer or reported queue
 	queueSeenAt    Time
 	lastReport     Report
 	fullAt         Time
-	closedUntil    Time // heard full
+	closedUntil    Time // no set-up before this time, as it answered that it is full
 
-	capacity       float64 // set-ups a second that it can take
+	capacity       float64 // measured set-ups a second that it can take; 0: not measured
 	capacityReadAt Time
-	flow           float64 // calls a second that come to stand there, from all senders, over flowSpan
-	latestFlow     float64 // and since the last count
-	busyLines      float64 // calls in progress at linesAt
+	flow           float64 // new calls a second there from all senders, smoothed over loadTimeConstant
+	latestFlow     float64 // the same between the last two reports of its lines
+	busyLines      float64 // calls in progress at linesReadAt
 	linesReadAt    Time
-	totalLines     float64 // its lines
-	outOfLines     bool    // it had none for a set-up since
-	nextLineAt     Time    // while they are short: no set-up before this
+	totalLines     float64 // all its lines
+	outOfLines     bool    // it refused a set-up for want of a line since linesReadAt
+	nextLineAt     Time    // while few lines are free: no set-up before this time
 	allowance      spread.Allowance
-	linesRoseAt    Time // when its calls in progress last grew
+	linesRoseAt    Time // when its number of calls in progress last grew
 
-	unanswered  []*call // its unanswered set-ups, oldest first
+	unanswered  []*call // unanswered set-ups, oldest first
 	window      float64
-	windowCutAt Time          // when a late answer last took of it
-	baseDelay   time.Duration // delay of an answer that meets no queue
-	meanDelay   time.Duration // of answers lately
-	answeredAt  Time          // its latest answer to a set-up
-	releasedAt  Time          // the latest release of a call there
+	windowCutAt Time          // when a late answer last shrank the window
+	baseDelay   time.Duration // delay of an answer that met no queue
+	meanDelay   time.Duration // smoothed delay of its answers
+	answeredAt  Time          // time of its latest answer to a set-up
+	releasedAt  Time          // time of the latest release of a call there
 
-	lastAnsweredSentAt  Time // when the latest answered set-up went out
+	lastAnsweredSentAt  Time // when the latest of the answered set-ups was sent
 	suspect             bool
-	suspectSince        Time // suspect since
-	nextTrialAt         Time // no trial before this
-	coldFrom, coldUntil Time // its warming
+	suspectSince        Time
+	nextTrialAt         Time // no trial before this time
+	coldFrom, coldUntil Time // its warm-up
 	nextProbeAt         Time
 	seat                spread.ServerRef
 }
@@ -83,8 +84,8 @@
 	c.evictGoneServers()
 }
 
-// evictGoneServers drops servers that are gone, oldest first, where ids never come again. A few stay:
-// what they carried is the guide for a new one.
+// evictGoneServers removes servers that are gone, oldest first, because their ids may never return.
+// maxGoneServers of them stay: their measured capacities serve as the estimate for new servers.
 func (c *Controller) evictGoneServers() {
 	gone := func(s *server) bool { return s.State == Gone && len(s.unanswered) == 0 }
 	n := -maxGoneServers
@@ -104,7 +105,8 @@
 	})
 }
 
-// CountServers tells how many servers are listed, and how many of these get no calls but trials.
+// CountServers returns how many servers are listed, and how many of these get no calls
+// except trials.
 func (c *Controller) CountServers() (listed, avoided int) {
 	for _, s := range c.servers {
 		if s.State != Gone {
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -6,9 +6,9 @@
 	"woodrouter/spread"
 )
 
-// checkServers looks after every server's signs: age of its oldest set-up, age of its report.
+// checkServers checks every server for overdue answers and overdue reports, and sends probes.
 func (c *Controller) checkServers() {
-	if c.now == c.resumedAt { // what came meanwhile is read first
+	if c.now == c.resumedAt { // events that arrived during the stall are read before servers are judged
 		return
 	}
 	c.nextOpenIndex = 0
@@ -35,14 +35,16 @@
 	}
 }
 
-// visiblyServing tells whether a server visibly takes calls, whoever sends them. It guards against
-// shutting it on the evidence of one lost call; it is late by a count or two.
+// visiblyServing tells whether a server's reports show that it takes calls from any sender, so that
+// a few lost set-ups do not make it suspect. It lags by one or two reports.
 func (c *Controller) visiblyServing(s *server) bool {
 	return len(s.unanswered) < lossEvidence && s.queueWait == 0 && s.flow > 0 &&
 		s.latestFlow >= servingFlowShare*s.flow && s.latestFlow < c.estimateCapacity(s) &&
 		c.now < s.linesRoseAt+servingMaxAge
 }
 
+// oldestUnanswered returns the age of the oldest unanswered set-up. Set-ups that a later one has
+// overtaken do not count.
 func (c *Controller) oldestUnanswered(s *server) time.Duration {
 	for _, cl := range s.unanswered {
 		if cl.sentAt >= s.lastAnsweredSentAt {
@@ -52,7 +54,7 @@
 	return 0
 }
 
-// markSuspect makes a server suspect: it gets spaced trials until one is answered.
+// markSuspect makes a server suspect: it gets only spaced trials until one is answered.
 func (c *Controller) markSuspect(s *server, gap time.Duration) {
 	if !s.suspect {
 		s.suspect, s.suspectSince = true, c.now
@@ -60,6 +62,8 @@
 	s.nextTrialAt = max(s.nextTrialAt, c.now+gap+c.jitter(0, c.trialInterval(s)))
 }
 
+// clearSuspect trusts a server again. After a long silence it may have restarted, and is treated as
+// cold for a part of the warm-up.
 func (c *Controller) clearSuspect(s *server, silent time.Duration) {
 	s.suspect = false
 	s.window = 1
@@ -71,8 +75,9 @@
 	}
 }
 
-// trialInterval is the time between this sender's trials of a suspect server: all senders'
-// together can't keep it full, and grow with the calls that it is seen to take.
+// trialInterval returns the time between this sender's trials of a suspect server. The trials of
+// all senders together cannot keep the server full, and become more frequent with the flow that it
+// is seen to serve.
 func (c *Controller) trialInterval(s *server) time.Duration {
 	return spread.SenderInterval(c.settings.Senders,
 		max(trialCapacityShare*c.estimateCapacity(s), trialFlowShare*min(s.latestFlow, s.flow)))
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -5,21 +5,24 @@
 	"time"
 )
 
-// optimalUtilisation is Berger's rho for a server: the utilisation that serves most calls in time.
+// optimalUtilisation returns Berger's rho for a server: the utilisation at which it serves the most
+// calls in time.
 func (c *Controller) optimalUtilisation(s *server) float64 {
 	beta := giveUpRateShare / max(c.shortestAim.Seconds()*c.estimateCapacity(s), 1)
 	return 1 + beta - math.Sqrt(beta*(1+beta))
 }
 
+// setB sets b within its bounds and updates its mean.
 func (c *Controller) setB(s *server, b float64) {
 	s.meanB += decayWeight(c.now-s.bUpdatedAt, loadTimeConstant) * (s.b - s.meanB)
 	s.b, s.bUpdatedAt = min(max(b, 0), maxB), c.now
 }
 
-// decayWeight is the weight of what happened in the last d for a memory of span.
+// decayWeight returns the weight of the last d in exponential smoothing with the time constant span.
 func decayWeight(d, span time.Duration) float64 { return 1 - math.Exp(-float64(d)/float64(span)) }
 
-// rescaleB applies DESIGN's rule; what waits already is to be worked off in drainSpan.
+// rescaleB sets b so that utilisation u falls to the optimum, less what is needed to work off
+// the server's backlog within queueDrainTime. u was measured under the mean of b.
 func (c *Controller) rescaleB(s *server, u float64) {
 	c.setB(s, s.b)
 	if u <= 0 {
@@ -30,7 +33,8 @@
 	c.setB(s, 1-c.optimalUtilisation(s)*free*(1-s.meanB)/u)
 }
 
-// backlog is the wait at a server: the last that was seen fades, the oldest set-up grows.
+// backlog returns the estimated wait at a server: the last observed wait, which decays, or the age of the
+// oldest unanswered set-up if that is longer.
 func (c *Controller) backlog(s *server) time.Duration {
 	q := time.Duration(float64(s.queueWait) * (1 - decayWeight(c.now-s.queueSeenAt, queueDrainTime)))
 	if c.visiblyServing(s) {
@@ -39,7 +43,8 @@
 	return max(q, c.oldestUnanswered(s)-s.baseDelay, 0)
 }
 
-// updateB sets b from the flow of all senders' calls over capacity, or as reported.
+// updateB sets b from the reported utilisation. Unless the server reports its wait, the flow of all
+// senders' calls over its capacity, or the share of its lines that are busy, counts if it is higher.
 func (c *Controller) updateB(s *server) {
 	u := s.load
 	if s.flow > 0 && !s.reportsWait {
@@ -53,7 +58,7 @@
 	}
 }
 
-// handleFull takes a 'processor full' as u = 1, once in fullHold.
+// handleFull treats a "processor full" answer as a utilisation of 1, once in fullInterval.
 func (c *Controller) handleFull(s *server, wait time.Duration) {
 	s.closedUntil = max(s.closedUntil, c.now+max(fullInterval, min(wait, c.shortestAim)))
 	if s.fullAt != 0 && c.now < s.fullAt+fullInterval {
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startWarmUp starts a server's cold budget.
+// startWarmUp starts a server's warm-up, during which a budget limits its set-ups.
 func (c *Controller) startWarmUp(s *server, from Time, long time.Duration) {
 	s.coldFrom, s.coldUntil = from, max(s.coldUntil, from+long)
 	if s.cold(c.now) {
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// blocks draws against b, whose mean is kept but spent on the calls of least worth.
+// blocks tells whether b refuses a call at a server. The mean share refused is b, but the calls of
+// least worth are refused first. All draws of a call use the same random number.
 func (c *Controller) blocks(s *server, cl *call) bool {
 	var below, same, all float64
 	for i := range c.groups {
@@ -18,10 +19,10 @@
 	return cl.draw*max(same, 1e-9) < s.b*all-below
 }
 
-// updateWorths counts a call and sets the worth of each group. A tenant's share of the calls
-// here is its share of the joint flow; what lies beyond its allowance, by more than
-// the chance of so few calls, is worth little. A redial is refused before a first try:
-// who dials again and heeds nothing gets no second ticket.
+// updateWorths counts a new call and sets the worth of each group. A tenant's share of the calls at
+// this sender is taken as its share of the flow of all senders. Traffic beyond its allowance, by
+// more than the statistical error of so few calls, is worth little. Redials are refused before
+// first tries, so that callers gain nothing by redialling at once.
 func (c *Controller) updateWorths(now *callGroup) {
 	tenants := make([]float64, len(c.settings.Tenants)+1)
 	keep := 1 - decayWeight(c.now-c.worthsUpdatedAt, arrivalTimeConstant)
