--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -36,14 +36,14 @@
 func (c *Controller) cancelLost(s *server) {
 	dead := s.suspect && s.flow < 1 && c.anyTrustedOpen()
 	for _, cl := range s.unanswered {
-		over := cl.sentAt < s.lastAnsweredSentAt
-		after, next := c.lossTimeout(s), c.targetDelay(s)
-		if over { // a later set-up was answered first: no queue delays this one or the next
-			after, next = max(time.Duration(overtakenShareOfAim*float64(c.shortestAim)),
+		overtaken := cl.sentAt < s.lastAnsweredSentAt
+		timeout, nextDelay := c.lossTimeout(s), c.targetDelay(s)
+		if overtaken { // a later set-up was answered first: no queue delays this one or the next
+			timeout, nextDelay = max(time.Duration(overtakenShareOfAim*float64(c.shortestAim)),
 				lostAfterDelays*s.meanDelay), 2*s.meanDelay
 		}
-		if !cl.cancelled && c.now-cl.sentAt > after && (over || c.visiblyServing(s) || dead) &&
-			c.now+cl.retryDelay+next <= cl.arrivedAt+cl.group.class.Aim && c.retryBudget >= 1 {
+		if !cl.cancelled && c.now-cl.sentAt > timeout && (overtaken || c.visiblyServing(s) || dead) &&
+			c.now+cl.retryDelay+nextDelay <= cl.arrivedAt+cl.group.class.Aim && c.retryBudget >= 1 {
 			cl.cancelled = true
 			c.emit(Cancel{cl.id, cl.attempts - 1})
 		}
@@ -142,18 +142,18 @@
 	}
 	s.baseDelay += s.baseDelay / 200
 	s.meanDelay += (d - s.meanDelay) / 4
-	t := c.targetDelay(s)
+	target := c.targetDelay(s)
 	c.recordQueue(s, d-s.baseDelay)
 	// A server with a queue works at its capacity, so that its flow measures the capacity.
-	if d > t && s.flow > 0 && !s.cold(c.now) && (s.capacity == 0 || c.settings.Reports == WhenProbed) {
+	if d > target && s.flow > 0 && !s.cold(c.now) && (s.capacity == 0 || c.settings.Reports == WhenProbed) {
 		s.capacity, c.totalsValid = smooth(s.capacity, min(s.latestFlow, max(s.capacity, s.flow)), 0.3), false
 	}
 	c.updateB(s)
-	s.allowance.Refund(d <= t, s.capacity*c.shortestAim.Seconds()/float64(c.settings.Senders))
+	s.allowance.Refund(d <= target, s.capacity*c.shortestAim.Seconds()/float64(c.settings.Senders))
 	switch {
-	case d > t:
+	case d > target:
 		if c.now >= s.windowCutAt+d { // late answers of the same stall shrink the window only once
-			s.window, s.windowCutAt = max(s.window*max(float64(t)/float64(d), minWindowFactor), 1), c.now
+			s.window, s.windowCutAt = max(s.window*max(float64(target)/float64(d), minWindowFactor), 1), c.now
 		}
 	case float64(len(s.unanswered)+1) >= math.Floor(s.window):
 		s.window = min(s.window+windowGain/s.window, maxWindow)
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -19,24 +19,24 @@
 // take the call, now or soon.
 func (c *Controller) chooseServer(cl *call) (to *server, stay bool) {
 	var best *server
-	var most float64
-	part := c.ownShare.Allowed(c.now, c.fleetTotals().Flow, c.settings.Senders, c.shortestAim, len(c.servers))
+	var bestPriority float64
+	allowed := c.ownShare.Allowed(c.now, c.fleetTotals().Flow, c.settings.Senders, c.shortestAim, len(c.servers))
 	for _, s := range c.visitServers() {
 		if !c.allows(cl, s) || s.b > 0 && c.blocks(s, cl) {
 			continue
 		}
 		stay = true
-		left := s.allowance.Available(c.now, part, s.capacity, float64(c.settings.Rank+s.Pool)*0.618)
-		if !c.open(s) || s == cl.lastServer && best != nil || s.Pool != cl.pool && s.capacity > 0 && left < 1 {
+		available := s.allowance.Available(c.now, allowed, s.capacity, float64(c.settings.Rank+s.Pool)*0.618)
+		if !c.open(s) || s == cl.lastServer && best != nil || s.Pool != cl.pool && s.capacity > 0 && available < 1 {
 			continue
 		}
 		if s.Pool == cl.pool && s != cl.lastServer {
 			return s, true
 		}
-		o := c.spread.Priority(c.now, s.ID, &s.seat, c.spareCapacity(s))
+		priority := c.spread.Priority(c.now, s.ID, &s.seat, c.spareCapacity(s))
 		if best == nil || best == cl.lastServer || len(s.unanswered) < len(best.unanswered) ||
-			len(s.unanswered) == len(best.unanswered) && o > most {
-			best, most = s, o
+			len(s.unanswered) == len(best.unanswered) && priority > bestPriority {
+			best, bestPriority = s, priority
 		}
 	}
 	return best, stay
@@ -45,13 +45,13 @@
 // spareCapacity returns the set-ups a second that a server's processor and lines can take beyond its flow.
 // It breaks ties between servers: in list order all senders would turn to the same server at once.
 func (c *Controller) spareCapacity(s *server) float64 {
-	mu, flow, room := c.estimateCapacity(s), max(s.flow, s.latestFlow), math.Inf(1)
+	mu, flow, processor := c.estimateCapacity(s), max(s.flow, s.latestFlow), math.Inf(1)
 	if mu != 0 { // 0: not known yet, so that only its lines count
-		room = spread.GrowthFactor*mu - flow
+		processor = spread.GrowthFactor*mu - flow
 	}
 	lines := spread.SpareRate(s.totalLines, s.busyLines, flow, c.meanHoldSeconds, c.now-s.linesReadAt,
 		c.reportPace)
-	return max(min(room, lines, 1e6), mu/50, 0.01)
+	return max(min(processor, lines, 1e6), mu/50, 0.01)
 }
 
 // lineState converts a server's report of its lines for package spread.
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -6,8 +6,8 @@
 )
 
 // startWarmUp starts a server's warm-up, during which a budget limits its set-ups.
-func (c *Controller) startWarmUp(s *server, from Time, long time.Duration) {
-	s.coldFrom, s.coldUntil = from, max(s.coldUntil, from+long)
+func (c *Controller) startWarmUp(s *server, from Time, length time.Duration) {
+	s.coldFrom, s.coldUntil = from, max(s.coldUntil, from+length)
 	if s.cold(c.now) {
 		s.suspect, s.window = false, 1
 		c.spread.StartWarmUp(s.ID)
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -41,17 +41,17 @@
 	}
 	c.meanHoldSeconds = hold / all
 	for i := range c.groups {
-		g, in := &c.groups[i], 1.0
+		g, withinShare := &c.groups[i], 1.0
 		if g.tenant < len(c.settings.Tenants) && tenants[g.tenant] > 0 {
 			n := tenants[g.tenant]
 			if a, r := c.settings.Tenants[g.tenant].Allowance, c.fleetTotals().Flow*n/all; a > 0 &&
 				r > a*(1+1/math.Sqrt(n)) {
-				in = a / r
+				withinShare = a / r
 			}
 		}
 		if g.redial {
-			in *= redialWorthShare
+			withinShare *= redialWorthShare
 		}
-		g.worth = g.class.Worth * (in + (1-in)*c.settings.OverAllowanceWorth)
+		g.worth = g.class.Worth * (withinShare + (1-withinShare)*c.settings.OverAllowanceWorth)
 	}
 }
