--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts gateways on the simulator's wire: batches of events on
-// standard input, replies on standard output.
+// Command wirehost runs simulated gateways. It reads batches of events in the simulator's line
+// protocol from standard input, and writes the replies to standard output.
 package main
 
 import (
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's text wire: it turns lines into events of
-// package policy, actions into lines, and hosts one controller an instance. It
-// decides nothing.
+// Package wire implements the simulator's line protocol: it decodes lines into events of package
+// policy, encodes actions as lines, and runs one controller for each instance of the gateway. It makes
+// no decisions.
 package wire
 
 import (
@@ -14,25 +14,27 @@
 	"woodrouter/policy"
 )
 
-// fieldReader walks over the values of one line and keeps the first error.
+// fieldReader reads the values of one line in order and keeps the first error.
 type fieldReader struct {
 	rest string
-	more bool // values are left
+	more bool // values remain
 	err  error
 }
 
+// splitLine returns the first word of a line, and a reader of the values after it.
 func splitLine(line string) (string, *fieldReader) {
-	name, rest, open := strings.Cut(line, " ")
-	return name, &fieldReader{rest: rest, more: open}
+	name, rest, more := strings.Cut(line, " ")
+	return name, &fieldReader{rest: rest, more: more}
 }
 
+// fail records an error of a field unless there is one already.
 func (f *fieldReader) fail(field, format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %s", field, fmt.Sprintf(format, args...))
 	}
 }
 
-// next returns the next value as it stands.
+// next returns the next value unchanged.
 func (f *fieldReader) next(field string) string {
 	if f.err != nil {
 		return ""
@@ -59,7 +61,7 @@
 	return v
 }
 
-// required returns a value that must be there.
+// required returns a value that must not be absent ("-").
 func (f *fieldReader) required(field string) string {
 	v := f.next(field)
 	if v == "-" {
@@ -68,7 +70,7 @@
 	return v
 }
 
-// optionalText returns a value, or "" where it is absent.
+// optionalText returns a value, or "" if it is absent.
 func (f *fieldReader) optionalText(field string) string {
 	if v := f.next(field); v != "-" {
 		return v
@@ -76,6 +78,7 @@
 	return ""
 }
 
+// int reads an integer between least and most.
 func (f *fieldReader) int(field string, least, most int64) int64 {
 	v := f.required(field)
 	if f.err != nil {
@@ -83,14 +86,14 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		f.fail(field, "%q is no whole number", v)
+		f.fail(field, "%q is not an integer", v)
 	} else if n < least || n > most {
 		f.fail(field, "%d is outside %d to %d", n, least, most)
 	}
 	return n
 }
 
-// optionalInt is an int that may be absent, and is then none.
+// optionalInt reads an integer that may be absent; it then returns none.
 func (f *fieldReader) optionalInt(field string, least, most, none int64) int64 {
 	if f.more && (f.rest == "-" || strings.HasPrefix(f.rest, "- ")) {
 		f.next(field)
@@ -99,8 +102,10 @@
 	return f.int(field, least, most)
 }
 
+// maxMicros is half of the longest time that a time.Duration can hold, in microseconds.
 const maxMicros = math.MaxInt64 / int64(time.Microsecond) / 2
 
+// micros reads a time in microseconds, 0 if absent.
 func (f *fieldReader) micros(field string) time.Duration {
 	return settings.Micros(f.optionalInt(field, 0, maxMicros, 0))
 }
@@ -108,7 +113,7 @@
 func (f *fieldReader) float(field, v string) float64 {
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil {
-		f.fail(field, "%q is no number", v)
+		f.fail(field, "%q is not a number", v)
 	}
 	return x
 }
@@ -124,6 +129,7 @@
 	return false
 }
 
+// end returns the first error, or an error if values remain.
 func (f *fieldReader) end() error {
 	if f.err == nil && f.more {
 		f.fail("after the last", "surplus %q", f.rest)
@@ -131,6 +137,7 @@
 	return f.err
 }
 
+// results holds the wire words of the results.
 var results = map[string]policy.Result{
 	"OK": policy.OK, "INTERNAL": policy.Faulted, "RESOURCE_EXHAUSTED": policy.Full,
 	"DEADLINE_EXCEEDED": policy.TimedOut, "UNAVAILABLE": policy.Unreachable, "ABORTED": policy.Cut,
@@ -146,10 +153,11 @@
 	return r
 }
 
+// states holds the wire words of the states of servers.
 var states = map[string]policy.State{"on": policy.Up, "fading": policy.Draining, "off": policy.Gone}
 
-// report reads a row of figures in the order of names; figures without a place
-// in policy.Report are checked and skipped.
+// report reads a row of figures in the order of names. Figures that policy.Report has no field
+// for are checked and skipped.
 func (f *fieldReader) report(field string, names []string) policy.Report {
 	r := policy.EmptyReport()
 	row := f.optionalText(field)
@@ -158,7 +166,7 @@
 	}
 	values := strings.Split(row, ",")
 	if len(values) != len(names) {
-		f.fail(field, "%d figures, not %d", len(values), len(names))
+		f.fail(field, "%d figures, expected %d", len(values), len(names))
 		return r
 	}
 	for i, v := range values {
@@ -186,10 +194,11 @@
 	return r
 }
 
-const redialFlag = 2 // bit of flags: dialled again
+const redialFlag = 2 // bit of the field flags that marks a redialled call
 
 func (f *fieldReader) arrival() policy.Arrival {
-	a := policy.Arrival{ID: f.required("requestId"), Class: f.required("grade"), Tenant: f.optionalText("project")}
+	a := policy.Arrival{ID: f.required("requestId"), Class: f.required("grade"),
+		Tenant: f.optionalText("project")}
 	a.Number = f.optionalText("nameKey")
 	a.TimeLeft = f.micros("grace")
 	f.optionalInt("workHint", 0, maxMicros, 0)
@@ -206,7 +215,8 @@
 	return s
 }
 
-// Values of clearCode; a full processor adds 16 times a wait in milliseconds.
+// Values of the field clearCode. Those of a full processor also hold a wait: 16 times its milliseconds
+// are added to fullCode.
 const (
 	noLinesCode = 1
 	fullCode    = 3
@@ -230,7 +240,8 @@
 }
 
 func (f *fieldReader) probed(names []string) policy.ReportReceived {
-	p := policy.ReportReceived{Result: f.result("rc"), Server: f.required("switch"), Delay: f.micros("delaySeen")}
+	p := policy.ReportReceived{Result: f.result("rc"), Server: f.required("switch"),
+		Delay: f.micros("delaySeen")}
 	p.Report = f.report("metrics", names)
 	p.Solicited = p.Result != policy.OK || p.Delay > 0
 	return p
@@ -254,10 +265,10 @@
 	return s
 }
 
-// wakeToken names the one kind of timer that the module uses.
+// wakeToken is the token of every timer, as the controller uses only one kind.
 const wakeToken = "look"
 
-// appendAction writes one action as a line.
+// appendAction appends an action as one line.
 func appendAction(b []byte, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Send:
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -15,13 +15,13 @@
 // maxListNumber is the highest number of a server list.
 const maxListNumber = 15
 
-// instance is one hosted gateway.
+// instance is one simulated gateway.
 type instance struct {
 	ctrl         *policy.Controller
 	reportFields []string
 }
 
-// Host runs the controllers of many gateways on one wire.
+// Host runs the controllers of many gateways on one connection to the simulator.
 type Host struct {
 	in             *bufio.Reader
 	out            *bufio.Writer
@@ -33,18 +33,18 @@
 	listed         [maxListNumber + 1]bool
 	current        int64
 	instanceChosen bool
-	replyInstance  int64 // the instance that the reply speaks for
+	replyInstance  int64 // the instance whose actions the reply currently lists
 	replyStarted   bool
 	buf            []byte
 }
 
-// NewHost returns a host that reads batches from in and writes replies to out.
+// NewHost returns a Host that reads batches from in and writes replies to out.
 func NewHost(in io.Reader, out io.Writer) *Host {
 	return &Host{in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		instances: map[int64]*instance{}}
 }
 
-// Run answers batches until the input ends. An error names the line and field at fault.
+// Run answers batches until the input ends. Its errors name the invalid line and field.
 func (h *Host) Run() error {
 	for {
 		line, err := h.readLine()
@@ -63,6 +63,7 @@
 	}
 }
 
+// readLine returns the next line without its line break.
 func (h *Host) readLine() (string, error) {
 	line, err := h.in.ReadString('\n')
 	if err == io.EOF && line != "" {
@@ -75,7 +76,7 @@
 	return strings.TrimSuffix(line, "\n"), nil
 }
 
-// handleLine handles one line and, for a list or the end of a batch, what belongs to it.
+// handleLine handles one line, and for a server list also the lines of its rows.
 func (h *Host) handleLine(line string) error {
 	name, f := splitLine(line)
 	if name == "clock" {
@@ -114,6 +115,7 @@
 	return nil
 }
 
+// directory reads a server list and stores it under its number.
 func (h *Host) directory(f *fieldReader) error {
 	list, rows := f.int("rosterId", 0, maxListNumber), f.int("rows", 0, math.MaxInt32)
 	if err := f.end(); err != nil {
@@ -127,7 +129,7 @@
 		}
 		mark, e := splitLine(line)
 		if mark != "m" {
-			return fmt.Errorf("field rows: %q where an m line is due", mark)
+			return fmt.Errorf("field rows: %q where an m line is expected", mark)
 		}
 		s := e.entry()
 		if err := e.end(); err != nil {
@@ -139,10 +141,10 @@
 	return nil
 }
 
-// event handles one event of the chosen instance.
+// event handles one event of the instance that switch_to selected.
 func (h *Host) event(name string, f *fieldReader) error {
 	if !h.instanceChosen {
-		return errors.New("no switch_to before it")
+		return errors.New("no switch_to before this event")
 	}
 	if name == "boot" {
 		return h.boot(f)
@@ -189,12 +191,13 @@
 	return nil
 }
 
+// boot starts the selected instance with the settings in the rest of the line.
 func (h *Host) boot(f *fieldReader) error {
 	seed := f.required("entropy")
 	var n uint64
 	if f.err == nil {
 		if _, err := fmt.Sscanf(seed, "%d", &n); err != nil {
-			f.fail("entropy", "%q is no whole number", seed)
+			f.fail("entropy", "%q is not an integer", seed)
 		}
 	}
 	text := f.remainder("info")
@@ -217,7 +220,7 @@
 	return nil
 }
 
-// listUpdate words news of the list; a failed call to discovery brings none.
+// listUpdate reads an update of the server list. It returns nil if the query to discovery failed.
 func (h *Host) listUpdate(f *fieldReader) policy.Event {
 	kind := f.required("kind")
 	f.optionalInt("stamp", 0, math.MaxInt64, 0)
@@ -239,7 +242,7 @@
 	return policy.ServerList{Whole: kind != "incr", Servers: h.lists[n]}
 }
 
-// writeActions writes actions for the chosen instance.
+// writeActions writes the actions of the selected instance.
 func (h *Host) writeActions(actions []policy.Action) {
 	if len(actions) == 0 {
 		return
@@ -252,6 +255,7 @@
 	h.out.Write(h.buf)
 }
 
+// writeInstanceHeader names the selected instance in the reply, unless the reply already lists its actions.
 func (h *Host) writeInstanceHeader() {
 	if !h.replyStarted || h.replyInstance != h.current {
 		h.replyInstance, h.replyStarted = h.current, true
@@ -259,7 +263,7 @@
 	}
 }
 
-// Fatal declares on the wire that the decision code has failed.
+// Fatal reports to the simulator that the decision code has failed.
 func (h *Host) Fatal(reason any) {
 	fmt.Fprintf(h.out, "fatal %s\nnext\n", strings.ReplaceAll(fmt.Sprint(reason), "\n", " "))
 	h.out.Flush()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 	"woodrouter/policy"
 )
 
-// testInfo is the settings object of these tests, with keys that nobody knows.
+// testInfo is the settings object of these tests. It contains some unknown keys.
 const testInfo = `{"nInstances":2,"rank":%d,"unknownKey":{"a":[1]},"resolution":5000,` +
 	`"profiles":[{"name":"look","goalTime":1500000,"deadline":9000000,"worth":1.0,"extra":3}],` +
 	`"customers":[{"name":"north","allowancePerS":9.5}],"callers":{"marksRetry":true},` +
@@ -24,7 +24,7 @@
 
 func id(n int) string { return fmt.Sprintf("%08d-0000-4000-8000-000000000000", n) }
 
-// start opens a batch in which the numbered instances boot and learn of two servers.
+// start returns a batch in which the given instances boot and receive a list of two servers.
 func start(instances ...int) string {
 	var b strings.Builder
 	b.WriteString("clock 1000000\n")
@@ -52,6 +52,7 @@
 	return out
 }
 
+// TestEventsDecode checks the decoding of each kind of event line.
 func TestEventsDecode(t *testing.T) {
 	names := []string{"spare", "total", "util", "latency_ms"}
 	call := id(1)
@@ -74,7 +75,8 @@
 			func(f *fieldReader) policy.Event { return f.ended(names) },
 			policy.Ended{ID: call, Server: "10.0.0.1:1", Result: policy.Full, Delay: 18500 * time.Microsecond,
 				Wait: 120 * time.Millisecond, Report: policy.Report{FreeLines: 4, TotalLines: 9, Utilisation: 0.5,
-					QueueLength: policy.NotReported, AcceptRate: policy.NotReported, RefuseShare: policy.NotReported, WaitSeconds: 0.25}}},
+					QueueLength: policy.NotReported, AcceptRate: policy.NotReported,
+					RefuseShare: policy.NotReported, WaitSeconds: 0.25}}},
 		{"attempt_end " + call + " 0 10.0.0.1:1 RESOURCE_EXHAUSTED 18500 0 1 -",
 			func(f *fieldReader) policy.Event { return f.ended(names) },
 			policy.Ended{ID: call, Server: "10.0.0.1:1", Result: policy.NoLines, Delay: 18500 * time.Microsecond,
@@ -85,11 +87,13 @@
 				Report: policy.EmptyReport()}},
 		{"probe_done OK 10.0.0.1:1 0 4,9,-1,-",
 			func(f *fieldReader) policy.Event { return f.probed(names) },
-			policy.ReportReceived{Server: "10.0.0.1:1", Report: policy.Report{FreeLines: 4, TotalLines: 9, Utilisation: -1,
-				QueueLength: policy.NotReported, AcceptRate: policy.NotReported, RefuseShare: policy.NotReported, WaitSeconds: policy.NotReported}}},
+			policy.ReportReceived{Server: "10.0.0.1:1", Report: policy.Report{FreeLines: 4, TotalLines: 9,
+				Utilisation: -1, QueueLength: policy.NotReported, AcceptRate: policy.NotReported,
+				RefuseShare: policy.NotReported, WaitSeconds: policy.NotReported}}},
 		{"probe_done UNAVAILABLE 10.0.0.1:1 0 -",
 			func(f *fieldReader) policy.Event { return f.probed(names) },
-			policy.ReportReceived{Server: "10.0.0.1:1", Result: policy.Unreachable, Solicited: true, Report: policy.EmptyReport()}},
+			policy.ReportReceived{Server: "10.0.0.1:1", Result: policy.Unreachable, Solicited: true,
+				Report: policy.EmptyReport()}},
 	} {
 		_, f := splitLine(tc.line)
 		got := tc.read(f)
@@ -132,6 +136,7 @@
 	}
 }
 
+// TestActionsEncode checks the line of each kind of action.
 func TestActionsEncode(t *testing.T) {
 	for _, tc := range []struct {
 		action policy.Action
@@ -151,21 +156,23 @@
 	}
 }
 
+// TestCallIsSentAndStands checks the replies to a call that stands at its first choice.
 func TestCallIsSentAndStands(t *testing.T) {
-	in := start(0) + "clock 1005000\nswitch_to 0\ningress " + id(1) + " look north - 3000000 - 1 1 -1 0\ncommit\n" +
+	in := start(0) + "clock 1005000\nswitch_to 0\ningress " + id(1) +
+		" look north - 3000000 - 1 1 -1 0\ncommit\n" +
 		"clock 1055000\nswitch_to 0\nfirst " + id(1) + " 10.0.0.2:1 50000 0\ncommit\n" +
 		"clock 1500000\ncommit\n"
 	out := mustRun(t, in)
 	if !strings.Contains(out, "pass_on "+id(1)+" 10.0.0.2:1 ") {
-		t.Errorf("the call did not go to its first choice:\n%s", out)
+		t.Errorf("call not sent to its first choice:\n%s", out)
 	}
 	if !strings.HasSuffix(out, "next\nnext\n") || strings.Count(out, "next\n") != 4 {
-		t.Errorf("not one reply a batch, or an empty batch had actions:\n%s", out)
+		t.Errorf("want one reply for each batch, and no actions for the empty one:\n%s", out)
 	}
 }
 
-// Lists reused under one number in a batch, a lost list, stop and start in one
-// batch, and a batch of megabytes are all legal.
+// TestOddButLegal checks rare input that is legal: several lists under one number in a batch, a lost list,
+// an instance that stops and starts in one batch, and a batch of megabytes.
 func TestOddButLegal(t *testing.T) {
 	var big strings.Builder
 	big.WriteString("clock 3000000\nswitch_to 0\n")
@@ -179,17 +186,19 @@
 		"destroy\nboot 5 "+fmt.Sprintf(testInfo, 0)+"\ndirectory_update warm_copy 4 0\n"+
 		"neighbour_says 1 aGkgNw==\nexpired "+id(1)+"\ncommit\n"+big.String()+"commit\n")
 	if !strings.Contains(out, "not_now "+id(1)) {
-		t.Errorf("a call without any server was not refused:\n%.600s", out)
+		t.Errorf("call without any server not refused:\n%.600s", out)
 	}
 	if n := strings.Count(out, "not_now "); n < 20000 {
 		t.Errorf("%d refusals of 20001 calls without any server", n)
 	}
 }
 
-// The same events give the same actions, hosted together or apart.
+// TestHostedTogetherOrApart checks that an instance acts the same whether it is hosted alone or with
+// others: no state may leak from one instance to another.
 func TestHostedTogetherOrApart(t *testing.T) {
 	event := func(i, n int) string {
-		return fmt.Sprintf("switch_to %d\ningress %s look north %016x 2500000 - %d 1 -1 0\n", i, id(1000*i+n), n%7, n%2)
+		return fmt.Sprintf("switch_to %d\ningress %s look north %016x 2500000 - %d 1 -1 0\n",
+			i, id(1000*i+n), n%7, n%2)
 	}
 	actions := func(out string, i int) string {
 		var kept []string
@@ -220,11 +229,12 @@
 	for i := range 2 {
 		apart := actions(mustRun(t, batches(i)), i)
 		if apart == "" || actions(together, i) != apart {
-			t.Errorf("instance %d acts otherwise when alone", i)
+			t.Errorf("instance %d acts differently when hosted alone", i)
 		}
 	}
 }
 
+// TestMalformedInput checks that malformed input ends the host with an error that names the line and field.
 func TestMalformedInput(t *testing.T) {
 	good := start(0) + "clock 2000000\nswitch_to 0\n"
 	for _, tc := range []struct{ in, want string }{
@@ -263,9 +273,10 @@
 	}
 }
 
-// FuzzHost looks for input that makes the host panic or hang.
+// FuzzHost searches for input that makes the host panic or hang, or fail without naming a line.
 func FuzzHost(f *testing.F) {
-	f.Add(start(0, 1) + "clock 1005000\nswitch_to 0\ningress " + id(1) + " look north - 3000000 - 1 1 -1 0\ncommit\n")
+	f.Add(start(0, 1) + "clock 1005000\nswitch_to 0\ningress " + id(1) +
+		" look north - 3000000 - 1 1 -1 0\ncommit\n")
 	f.Add(start(1) + "clock 2\nswitch_to 1\nattempt_end a 0 10.0.0.1:1 OK 5 1 - 1,2,NaN,Inf\ndue x\ncommit\n")
 	f.Add("clock 1\ncommit\n")
 	f.Add("clock 1\ndirectory 15 1\nm a b c 1 fading 1 7\ncommit\n")
@@ -273,7 +284,7 @@
 		var out bytes.Buffer
 		err := NewHost(strings.NewReader(in), &out).Run()
 		if err != nil && !strings.HasPrefix(err.Error(), "line ") {
-			t.Errorf("an error that names no line: %v", err)
+			t.Errorf("error names no line: %v", err)
 		}
 	})
 }
