--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,11 +8,11 @@
 	"woodrouter/spread"
 )
 
-// serverCounts are the numbers of servers that the benchmarks of one decision go through.
+// serverCounts are the numbers of servers with which the benchmarks run.
 var serverCounts = []int{10, 27, 100, 300, 730, 1460}
 
-// newLoadedController returns a controller with n servers that have told of their lines, and, where measured, each
-// with a capacity of its own.
+// newLoadedController returns a controller with n servers that have reported their lines and, if
+// measured is set, each have a capacity.
 func newLoadedController(tb testing.TB, n int, measured bool, tenants ...Tenant) (*Controller, Time) {
 	tb.Helper()
 	set := testSettings()
@@ -38,7 +38,7 @@
 	return c, now
 }
 
-// forEachSize runs a benchmark at every size, with and without measured capacities.
+// forEachSize runs a benchmark with every number of servers, with and without measured capacities.
 func forEachSize(b *testing.B, f func(b *testing.B, c *Controller, now Time)) {
 	for _, measured := range []bool{true, false} {
 		for _, n := range serverCounts {
@@ -52,8 +52,8 @@
 	}
 }
 
-// BenchmarkArrival takes a call through its life, a call each millisecond; ns/decision is its
-// arrival alone, with the choice of its server.
+// BenchmarkArrival takes calls through their whole life, one each millisecond. ns/decision covers only
+// the arrival with the choice of a server.
 func BenchmarkArrival(b *testing.B) {
 	for _, first := range []bool{true, false} {
 		b.Run(fmt.Sprintf("first=%v", first), func(b *testing.B) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// BenchmarkTick is a timer's event with nothing to do; with three quarters of the servers suspect;
-// with all of them suspect; and with 50 calls held that find no room.
+// BenchmarkTick handles a timer event with nothing to do, with three quarters of the servers suspect,
+// with all of them suspect, and with 50 waiting calls that no server has a window for.
 func BenchmarkTick(b *testing.B) {
 	for _, tc := range []struct {
 		name string
@@ -104,7 +104,7 @@
 				c.Handle(now, Arrival{ID: fmt.Sprint(i), Class: "look", TimeLeft: time.Hour, Pool: -1})
 			}
 			for _, cl := range c.held {
-				cl.arrivedAt = now + time.Hour // they wait on
+				cl.arrivedAt = now + time.Hour // keeps them waiting
 			}
 		}},
 	} {
@@ -115,7 +115,7 @@
 				for range b.N {
 					now = max(now, c.wakeAt)
 					c.Handle(now, Tick{})
-					if now > 2*time.Hour { // before the held calls are given up
+					if now > 2*time.Hour { // before the waiting calls are refused
 						b.StopTimer()
 						c, now = newLoadedController(b, len(c.servers), c.servers[0].capacity > 0)
 						tc.set(c, now)
@@ -127,14 +127,14 @@
 	}
 }
 
-// suspectServers makes the first n servers suspect, as a zone's loss does.
+// suspectServers makes the first n servers suspect, as the loss of a zone does.
 func suspectServers(c *Controller, now Time, n int) {
 	for _, s := range c.servers[:n] {
 		s.suspect, s.suspectSince, s.flow, s.latestFlow = true, now, 0, 0
 	}
 }
 
-// BenchmarkLinesReport is a server's unasked news of its lines.
+// BenchmarkLinesReport handles unsolicited reports of a server's lines.
 func BenchmarkLinesReport(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		for i := range b.N {
@@ -147,19 +147,20 @@
 	})
 }
 
-// BenchmarkProbeAnswer is the answer to a probe.
+// BenchmarkProbeAnswer handles answers to probes.
 func BenchmarkProbeAnswer(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		for i := range b.N {
 			now += ms
 			r := EmptyReport()
 			r.Utilisation = 0.3 + float64(i%9)/100
-			c.Handle(now, ReportReceived{Server: c.servers[i%len(c.servers)].ID, Result: OK, Solicited: true, Report: r})
+			c.Handle(now, ReportReceived{Server: c.servers[i%len(c.servers)].ID, Result: OK, Solicited: true,
+				Report: r})
 		}
 	})
 }
 
-// BenchmarkServerList is the news of a whole list.
+// BenchmarkServerList handles updates with the whole server list.
 func BenchmarkServerList(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		list := upServers(len(c.servers))
@@ -170,7 +171,7 @@
 	})
 }
 
-// BenchmarkApplyView is a steward's view of all servers.
+// BenchmarkApplyView handles a steward's view of all servers.
 func BenchmarkApplyView(b *testing.B) {
 	forEachSize(b, func(b *testing.B, c *Controller, now Time) {
 		for i := range b.N {
--- a/policy/design_test.go
+++ b/policy/design_test.go
@@ -14,12 +14,12 @@
 	return r
 }
 
-// deliverReport hands a server's report over in the end of a call that this gateway does not know.
+// deliverReport delivers a server's report with the end of a call that this gateway does not know.
 func (b *harness) deliverReport(server string, r Report) {
 	b.handle(Ended{ID: "elsewhere", Server: server, Result: OK, Report: r})
 }
 
-// TestOptimumAndRescaleB checks Berger's optimum and DESIGN's rule for b.
+// TestOptimumAndRescaleB checks Berger's optimum and the formula that sets b.
 func TestOptimumAndRescaleB(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -47,14 +47,15 @@
 	}
 }
 
-// TestReportKinds checks the reading of each kind of report, and of none.
+// TestReportKinds checks what each kind of report, and an empty or invalid one, makes of b.
 func TestReportKinds(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		set  func(*Report)
 		want func(b float64) bool
 	}{
-		{"util over 1", func(r *Report) { r.Utilisation = 1.5 }, func(b float64) bool { return b > 0.3 && b < 0.5 }},
+		{"util over 1", func(r *Report) { r.Utilisation = 1.5 },
+			func(b float64) bool { return b > 0.3 && b < 0.5 }},
 		{"util low", func(r *Report) { r.Utilisation = 0.4 }, func(b float64) bool { return b == 0 }},
 		{"queue long", func(r *Report) { r.QueueLength = 400 }, func(b float64) bool { return b > 0 && b < 0.5 }},
 		{"queue short", func(r *Report) { r.QueueLength = 2 }, func(b float64) bool { return b == 0 }},
@@ -68,7 +69,8 @@
 		{"none", func(*Report) {}, func(b float64) bool { return b == 0 }},
 		{"NaN", func(r *Report) { r.Utilisation = math.NaN() }, func(b float64) bool { return b == 0 }},
 		{"infinite", func(r *Report) { r.QueueLength = math.Inf(1) }, func(b float64) bool { return b == 0 }},
-		{"negative", func(r *Report) { r.Utilisation, r.RefuseShare = -3, -0.5 }, func(b float64) bool { return b == 0 }},
+		{"negative", func(r *Report) { r.Utilisation, r.RefuseShare = -3, -0.5 },
+			func(b float64) bool { return b == 0 }},
 	} {
 		b := newHarness(t, testSettings(), upServers(1)...)
 		b.advance(500 * ms)
@@ -79,8 +81,8 @@
 	}
 }
 
-// TestZeroWaitOpensServer: a capacity that was measured while a server ran slow must not keep it
-// shut when its reports tell that nothing waits there any more.
+// TestZeroWaitOpensServer guards against a server that stays blocked: a capacity measured while it ran
+// slow must not count once its reports show that nothing waits there.
 func TestZeroWaitOpensServer(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -88,11 +90,12 @@
 	b.c.setB(s, 0.5)
 	b.deliverReport(s.ID, report(func(r *Report) { r.WaitSeconds = 0 }))
 	if s.b != 0 {
-		t.Errorf("b = %v at a server that is idle", s.b)
+		t.Errorf("b = %v at an idle server", s.b)
 	}
 }
 
-// TestFullCountsOncePerInterval: one 'full' a server in 200 ms moves b, and the server is avoided.
+// TestFullCountsOncePerInterval checks that a server's full answers raise b once in 200 ms, and that
+// calls avoid the server meanwhile.
 func TestFullCountsOncePerInterval(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	s := b.c.servers[0]
@@ -107,19 +110,19 @@
 	}
 	for _, a := range actionsOf[Send](b.call("a")) {
 		if a.Server == s.ID {
-			t.Error("a call went to a server just heard full")
+			t.Error("call sent to a server that has just answered full")
 		}
 	}
 	b.now += 200 * ms
 	b.c.now = b.now
 	b.c.handleFull(s, 0)
 	if s.b <= once {
-		t.Errorf("b = %v after a full 250 ms later", s.b)
+		t.Errorf("b = %v after another full 250 ms later", s.b)
 	}
 }
 
-// TestBHalvesWithoutReports: b halves after a second without reports, or after three of the intervals
-// at which reports reach this sender where those are longer.
+// TestBHalvesWithoutReports checks that b halves after a second without reports, or after three report
+// intervals if that is longer.
 func TestBHalvesWithoutReports(t *testing.T) {
 	for _, tc := range []struct{ every, lasts time.Duration }{
 		{200 * ms, 950 * ms},
@@ -143,19 +146,19 @@
 	}
 }
 
-// TestBSettlesOnLateReports feeds late, repeated and noisy reports of a steady overload:
-// b must settle near what the formula asks, without swinging open or shut.
+// TestBSettlesOnLateReports feeds late, repeated and noisy reports of a steady overload. b must settle
+// near the value of the formula and must not oscillate between open and closed.
 func TestBSettlesOnLateReports(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
 	s.capacity = 20
-	const load, late = 1.6, 40 // offered over capacity; steps of 10 ms by which reports are late
+	const load, late = 1.6, 40 // offered load over capacity; delay of reports in steps of 10 ms
 	var past []float64
 	least, most := 1.0, 0.0
 	for i := range 3000 {
 		b.now += 10 * ms
 		past = append(past, s.b)
-		if i%5 == 0 && i > late { // each figure is told several times before the next
+		if i%5 == 0 && i > late { // each figure is reported several times before the next
 			at := (i - late) / 30 * 30
 			noise := 1 + 0.05*math.Sin(float64(at))
 			b.deliverReport(s.ID, report(func(r *Report) { r.Utilisation = load * (1 - past[at]) * noise }))
@@ -166,12 +169,12 @@
 	}
 	want := 1 - b.c.optimalUtilisation(s)/load
 	if least < want-0.12 || most > want+0.12 {
-		t.Errorf("b goes from %.2f to %.2f at a steady load that asks for %.2f", least, most, want)
+		t.Errorf("b ranges from %.2f to %.2f at a steady load, want about %.2f", least, most, want)
 	}
 }
 
-// TestQueueReportedInStall: a queue read during a stall moves b by a step, not to its cap, and
-// the empty queue after it does not throw it open in the negative.
+// TestQueueReportedInStall checks that a queue reported during a stall raises b by a step and not to
+// its bound, and that the short queue after it does not make b negative.
 func TestQueueReportedInStall(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -181,7 +184,7 @@
 		b.deliverReport(s.ID, report(func(r *Report) { r.QueueLength = float64(30 + i) }))
 	}
 	if s.b > 0.3 {
-		t.Errorf("b leapt to %v in half a second of stall", s.b)
+		t.Errorf("b rose to %v in half a second of stall", s.b)
 	}
 	b.now += 300 * ms
 	b.deliverReport(s.ID, report(func(r *Report) { r.QueueLength = 4 }))
@@ -190,7 +193,8 @@
 	}
 }
 
-// TestChooseServer: first choice, else the allowed server with the fewest unanswered set-ups.
+// TestChooseServer checks that a call goes to its first choice, else to the allowed server with the
+// fewest unanswered set-ups.
 func TestChooseServer(t *testing.T) {
 	set := testSettings()
 	set.Classes = append(set.Classes, Class{Name: "only", Aim: time.Second, Deadline: 9 * time.Second,
@@ -202,18 +206,22 @@
 		}
 		return "nowhere"
 	}
-	if got := to(b.handle(Arrival{ID: "1", Class: "look", TimeLeft: time.Second, Pool: 1})); got != "10.0.0.1:1" {
+	if got := to(b.handle(Arrival{ID: "1", Class: "look", TimeLeft: time.Second,
+		Pool: 1})); got != "10.0.0.1:1" {
 		t.Errorf("first choice 1 went to %s", got)
 	}
-	if got := to(b.handle(Arrival{ID: "2", Class: "look", TimeLeft: time.Second, Pool: 1})); got != "10.0.0.0:1" {
-		t.Errorf("with server 1 in use, the companion was %s", got)
+	if got := to(b.handle(Arrival{ID: "2", Class: "look", TimeLeft: time.Second,
+		Pool: 1})); got != "10.0.0.0:1" {
+		t.Errorf("with server 1 in use, sent to %s", got)
 	}
-	if got := to(b.handle(Arrival{ID: "3", Class: "only", TimeLeft: time.Second, Pool: 1})); got != "10.0.0.2:1" {
-		t.Errorf("a class allowed at server 2 only went to %s", got)
+	if got := to(b.handle(Arrival{ID: "3", Class: "only", TimeLeft: time.Second,
+		Pool: 1})); got != "10.0.0.2:1" {
+		t.Errorf("class that only server 2 may take sent to %s", got)
 	}
 }
 
-// TestLeastWorthFirst: the mean share refused is b, spent on the class of least worth.
+// TestLeastWorthFirst checks that the mean share refused is b, and that it falls on the class of least
+// worth.
 func TestLeastWorthFirst(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -232,31 +240,35 @@
 		}
 	}
 	if refused["hold"] > 0 {
-		t.Errorf("%d calls of most worth refused while others stood", refused["hold"])
+		t.Errorf("%d calls of most worth refused while others were sent", refused["hold"])
 	}
 	if share := float64(refused["look"]) / 4000; math.Abs(share-0.3) > 0.03 {
 		t.Errorf("%.2f of the calls refused at b = 0.3", share)
 	}
 }
 
-// TestBusyNumber: calls to a number whose lines are all busy are spaced, and no
-// server is blamed for it.
+// TestBusyNumber checks that calls to a number whose lines are all busy are held off, and that no
+// server is blamed for them.
 func TestBusyNumber(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	b.handle(Arrival{ID: "1", Class: "look", TimeLeft: 3 * time.Second, Number: "hot"})
 	b.now += 30 * ms
-	if out := b.handle(Ended{ID: "1", Server: "10.0.0.0:1", Result: Busy, Report: EmptyReport()}); len(actionsOf[Refuse](out)) != 1 {
-		t.Errorf("a call to a busy number was not answered at once: %v", out)
+	if out := b.handle(Ended{ID: "1", Server: "10.0.0.0:1", Result: Busy,
+		Report: EmptyReport()}); len(actionsOf[Refuse](out)) != 1 {
+		t.Errorf("call to a busy number not refused at once: %v", out)
 	}
-	if out := b.handle(Arrival{ID: "2", Class: "look", TimeLeft: 3 * time.Second, Number: "hot"}); len(actionsOf[Refuse](out)) != 1 {
-		t.Errorf("the next call to it was not refused: %v", out)
+	if out := b.handle(Arrival{ID: "2", Class: "look", TimeLeft: 3 * time.Second,
+		Number: "hot"}); len(actionsOf[Refuse](out)) != 1 {
+		t.Errorf("next call to the busy number not refused: %v", out)
 	}
-	if out := b.handle(Arrival{ID: "3", Class: "look", TimeLeft: 3 * time.Second, Number: "other"}); len(actionsOf[Send](out)) != 1 {
-		t.Errorf("a call to another number was held up: %v", out)
+	if out := b.handle(Arrival{ID: "3", Class: "look", TimeLeft: 3 * time.Second,
+		Number: "other"}); len(actionsOf[Send](out)) != 1 {
+		t.Errorf("call to another number not sent: %v", out)
 	}
 }
 
-// TestNoLines: a server without a free line is passed over without touching b or trust.
+// TestNoLines checks that a call passes over a server without a free line, and that this neither
+// raises b nor makes the server suspect.
 func TestNoLines(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	b.c.retryBudget = 1
@@ -264,19 +276,20 @@
 	b.now += 30 * ms
 	out := b.handle(Ended{ID: "1", Server: "10.0.0.0:1", Result: NoLines, Report: EmptyReport()})
 	if s := actionsOf[Send](out); len(s) != 1 || s[0].Server != "10.0.0.1:1" {
-		t.Errorf("the call did not go elsewhere at once: %v", out)
+		t.Errorf("call not sent to the other server at once: %v", out)
 	}
 	s := b.c.servers[0]
 	if s.b != 0 || s.suspect {
 		t.Errorf("b = %v, suspect %v", s.b, s.suspect)
 	}
 	if s.window > 1 || b.c.open(s) {
-		t.Errorf("room %v, open %v just after the last line went", s.window, b.c.open(s))
+		t.Errorf("window %v, open %v just after the last line was taken", s.window, b.c.open(s))
 	}
 }
 
-// TestFullServerReopensAsLinesFree: with many lines and short calls a full server has room again within
-// milliseconds. Shut for 200 ms and held to one set-up out, it stood idle.
+// TestFullServerReopensAsLinesFree guards against an idle server: with many lines and short calls a
+// full server has free lines again within milliseconds, but was closed for 200 ms and limited to a
+// window of one.
 func TestFullServerReopensAsLinesFree(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Hold = 100 * ms
@@ -285,16 +298,17 @@
 	s.totalLines, s.window, s.meanDelay, b.c.meanHoldSeconds = 400, 20, 12*ms, 0.1
 	b.call("1")
 	b.now += 10 * ms
-	if sent := actionsOf[Send](b.handle(Ended{ID: "1", Server: s.ID, Result: NoLines, Report: EmptyReport()})); len(sent) > 0 {
-		t.Error("sent again before a line can have come free")
+	if sent := actionsOf[Send](b.handle(Ended{ID: "1", Server: s.ID, Result: NoLines,
+		Report: EmptyReport()})); len(sent) > 0 {
+		t.Error("sent again before a line can be free")
 	}
 	if sent := actionsOf[Send](b.advance(30 * ms)); len(sent) != 1 || s.window < 10 || s.window >= 20 {
-		t.Errorf("sent %v, room %v when a line comes free each ms for this sender", sent, s.window)
+		t.Errorf("sent %v, window %v when a line becomes free each ms for this sender", sent, s.window)
 	}
 }
 
-// TestSilentServer: a server that stops answering is found by the age of its set-ups
-// and gets single trials; when it answers it is taken up again by steps.
+// TestSilentServer checks that a server that stops answering is found by the age of its set-ups and
+// gets single trials, and that its window grows from 1 when it answers again.
 func TestSilentServer(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	s := b.c.servers[0]
@@ -320,11 +334,11 @@
 	}
 	b.handle(Standing{ID: "1", Server: s.ID})
 	if s.suspect || s.window > 1.5 {
-		t.Errorf("suspect %v, room %v after an answer", s.suspect, s.window)
+		t.Errorf("suspect %v, window %v after an answer", s.suspect, s.window)
 	}
 }
 
-// TestCountServers: those on the list are counted, and of these the ones that get no calls.
+// TestCountServers checks the numbers of listed servers and of those among them that get no calls.
 func TestCountServers(t *testing.T) {
 	servers := upServers(4)
 	servers[1].State, servers[2].State = Draining, Gone
@@ -335,8 +349,8 @@
 	}
 }
 
-// TestOvertakenSetUpIsCancelled: a set-up that a later one has overtaken is called off in time for
-// another attempt, and its server stays trusted.
+// TestOvertakenSetUpIsCancelled checks that a set-up is cancelled in time for another attempt when a
+// later one was answered first, and that its server stays trusted.
 func TestOvertakenSetUpIsCancelled(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -349,11 +363,11 @@
 	b.handle(Standing{ID: "2", Server: s.ID})
 	out := b.advance(700 * ms)
 	if off := actionsOf[Cancel](out); len(off) != 1 || off[0].ID != "lost" {
-		t.Fatalf("called off: %v", off)
+		t.Fatalf("cancelled: %v", off)
 	}
 	b.handle(Ended{ID: "lost", Server: s.ID, Result: Cancelled, Report: EmptyReport()})
 	if again := actionsOf[Send](b.advance(290 * ms)); len(again) != 0 {
-		t.Errorf("sent again before the release was awaited: %v", again)
+		t.Errorf("sent again before the retry delay: %v", again)
 	}
 	if again := actionsOf[Send](b.advance(50 * ms)); len(again) != 1 {
 		t.Errorf("not sent again: %v", again)
@@ -363,8 +377,9 @@
 	}
 }
 
-// TestLateAnswerAloneIsNoQueue: an answer that comes after that of a later set-up was held up alone. It tells
-// of no queue, and while it is missing there is time for another attempt within the aim.
+// TestLateAnswerAloneIsNoQueue checks that an answer that comes after that of a later set-up does not
+// count as a sign of a queue, and that its set-up is cancelled in time for another attempt within the
+// aim.
 func TestLateAnswerAloneIsNoQueue(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -376,17 +391,18 @@
 	b.now += 50 * ms
 	b.handle(Standing{ID: "2", Server: s.ID})
 	if off := actionsOf[Cancel](b.advance(300 * ms)); len(off) != 1 || off[0].ID != "late" {
-		t.Errorf("called off within a quarter of the aim: %v", off)
+		t.Errorf("cancelled within a quarter of the aim: %v", off)
 	}
 	b.now += 600 * ms
-	b.handle(Standing{ID: "late", Server: s.ID}) // it crosses the cancel
+	b.handle(Standing{ID: "late", Server: s.ID}) // it crosses the cancellation
 	if s.window < 4 || s.queueWait > 0 || s.meanDelay > 60*ms {
-		t.Errorf("one answer alone late: room %v, queue %v, delay %v", s.window, s.queueWait, s.meanDelay)
+		t.Errorf("after one late answer: window %v, queue %v, delay %v", s.window, s.queueWait, s.meanDelay)
 	}
 }
 
-// TestJamIsNotARestart: a release from a server that answers no set-ups shows that it
-// lives, so that its next answer does not put it under a cold budget.
+// TestJamIsNotARestart guards against treating an overloaded server as restarted: the release of a
+// call shows that it is alive although it answers no set-ups, so that its next answer must not start a
+// warm-up.
 func TestJamIsNotARestart(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		b := newHarness(t, testSettings(), upServers(1)...)
@@ -406,8 +422,8 @@
 	}
 }
 
-// TestColdBudget: whatever the demand, a cold server gets no more than this sender's
-// part in every window, and none at once from all senders.
+// TestColdBudget checks that a cold server never gets more than this sender's share of its budget in
+// any window, whatever the demand.
 func TestColdBudget(t *testing.T) {
 	set := testSettings()
 	b := newHarness(t, set, upServers(2)...)
@@ -426,7 +442,7 @@
 		}
 	}
 	if len(sends) < 5 {
-		t.Errorf("only %d set-ups in a whole warming", len(sends))
+		t.Errorf("only %d set-ups in a whole warm-up", len(sends))
 	}
 	for i, at := range sends {
 		n := 0
@@ -444,8 +460,8 @@
 	}
 }
 
-// TestContradictoryReports: a report or an answer from a server listed as gone changes
-// nothing of that, and a list that takes a drain back opens it again.
+// TestContradictoryReports checks that a report or an answer from a server listed as gone or draining
+// does not open it, and that a list that cancels the drain does.
 func TestContradictoryReports(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	id := "10.0.0.0:1"
@@ -461,12 +477,12 @@
 	}
 	b.handle(ServerList{Servers: upServers(1)})
 	if out := b.call("3"); len(actionsOf[Send](out)) != 1 {
-		t.Errorf("with the drain taken back: %v", out)
+		t.Errorf("with the drain cancelled: %v", out)
 	}
 }
 
-// TestClockStep: after a step of many seconds calls past their time get their final
-// answer in the next event, and nothing is sent for them.
+// TestClockStep checks that after a clock step of many seconds overdue calls get their final answer
+// with the next event, and that nothing is sent for them.
 func TestClockStep(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	b.c.servers[0].closedUntil = b.now + time.Second
@@ -478,8 +494,8 @@
 	}
 }
 
-// TestRetryBudget are bounded by a budget: when every set-up is turned away as
-// full, there are hardly more attempts than calls.
+// TestRetryBudget checks that a budget bounds further attempts: if every set-up is refused as full,
+// there are hardly more attempts than calls.
 func TestRetryBudget(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(3)...)
 	calls, attempts := 0, 0
@@ -503,9 +519,9 @@
 	}
 }
 
-// TestAllServersCold: where no server's capacity was measured yet, as after a restart in the middle of a
-// release, or at a site with one server that has just started, cold ones still get calls: the
-// tenants' allowances tell what all servers together are meant to take.
+// TestAllServersCold guards against a site that refuses everything: if all servers are cold and none
+// has a measured capacity, as after a restart during a release or with one server that has just
+// started, the tenants' allowances give the planned load.
 func TestAllServersCold(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -525,7 +541,7 @@
 			}
 		}
 		if sent < tc.least {
-			t.Errorf("%s: %d set-ups to the only server in 5 s of its warming", tc.name, sent)
+			t.Errorf("%s: %d set-ups to the only server in 5 s of its warm-up", tc.name, sent)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,8 +7,8 @@
 	"woodrouter/policy"
 )
 
-// A gateway hands each event to its controller, with the time, and carries out
-// the actions in order. Here a call goes to its first choice and stands.
+// The gateway passes each event to its controller, with the time, and carries out
+// the actions in order. Here a call is sent to its first choice and stands.
 func Example() {
 	c, err := policy.New(policy.Settings{
 		Rank: 0, Senders: 3,
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// testSettings are plausible settings that belong to no deployment.
+// testSettings returns plausible settings that belong to no deployment.
 func testSettings() Settings {
 	return Settings{
 		Rank: 1, Senders: 4,
@@ -30,7 +30,7 @@
 	}
 }
 
-// harness drives one controller and keeps what it did.
+// harness drives one controller and keeps its latest actions.
 type harness struct {
 	t   *testing.T
 	c   *Controller
@@ -38,11 +38,13 @@
 	out []Action // actions of the latest event
 }
 
+// newHarness returns a harness whose controller has received the server list.
 func newHarness(t *testing.T, set Settings, servers ...Server) *harness {
 	t.Helper()
 	return newSeededHarness(t, set, 7, servers...)
 }
 
+// newSeededHarness is newHarness with the seed of the controller's random numbers.
 func newSeededHarness(t *testing.T, set Settings, seed uint64, servers ...Server) *harness {
 	t.Helper()
 	c, err := New(set, seed)
@@ -56,12 +58,13 @@
 	return b
 }
 
+// handle passes an event to the controller at the current time.
 func (b *harness) handle(ev Event) []Action {
 	b.out = append([]Action(nil), b.c.Handle(b.now, ev)...)
 	return b.out
 }
 
-// advance lets time pass in steps, with a tick at each.
+// advance lets time pass in steps of 10 ms, with a tick at each.
 func (b *harness) advance(d time.Duration) []Action {
 	var all []Action
 	for end := b.now + d; b.now < end; {
@@ -71,6 +74,7 @@
 	return all
 }
 
+// actionsOf returns the actions of one type.
 func actionsOf[A Action](actions []Action) []A {
 	var found []A
 	for _, a := range actions {
@@ -81,10 +85,12 @@
 	return found
 }
 
+// call hands a call of class look with server 0 as first choice to the controller.
 func (b *harness) call(id string) []Action {
 	return b.handle(Arrival{ID: id, Class: "look", TimeLeft: 3 * time.Second, Pool: 0})
 }
 
+// upServers returns a list of n servers that are up.
 func upServers(n int) []Server {
 	var list []Server
 	for i := range n {
@@ -122,6 +128,7 @@
 	}
 }
 
+// TestInvalidSettings checks that New rejects invalid settings.
 func TestInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":     func(s *Settings) { s.Classes = nil },
@@ -146,14 +153,15 @@
 	}
 }
 
-// TestRulesHoldOnRandomEvents drives controllers through odd but legal orders of events and
-// checks the rules at every action.
+// TestRulesHoldOnRandomEvents drives controllers through rare but legal orders of events and checks
+// the rules at every action.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRandomRun(t, seed) })
 	}
 }
 
+// trackedCall is what the test knows of a call, to check the actions for it.
 type trackedCall struct {
 	deadline   Time
 	attempts   int
@@ -163,9 +171,10 @@
 	retryAt    Time
 	server     string
 	until      Time
-	cancelled  bool // called off
+	cancelled  bool // an attempt is cancelled and has not ended
 }
 
+// checkRandomRun drives a controller through 40 s of random events and checks each action.
 func checkRandomRun(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	set := testSettings()
@@ -184,7 +193,7 @@
 	readyAt := map[string]Time{}
 	coldSends := map[string][]Time{}
 	timers := []Time{}
-	warm := 20.0 // more than any server of this test is said to take
+	warm := 20.0 // above the rate that any report of this test contains
 	check := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
@@ -192,9 +201,9 @@
 				w := calls[a.ID]
 				switch {
 				case w == nil || w.closed || w.unanswered || w.stands:
-					t.Fatalf("%v: send of %s, which is closed or out", b.now, a.ID)
+					t.Fatalf("%v: send of %s, which is closed or has an unanswered attempt", b.now, a.ID)
 				case b.now < w.retryAt:
-					t.Fatalf("%v: %s sent %v before it is clear", b.now, a.ID, w.retryAt-b.now)
+					t.Fatalf("%v: %s sent %v before its retry time", b.now, a.ID, w.retryAt-b.now)
 				case state[a.Server] != Up:
 					t.Fatalf("%v: send to %s, which is %v", b.now, a.Server, state[a.Server])
 				case a.Deadline > w.deadline || a.Deadline <= b.now:
@@ -220,19 +229,19 @@
 			case Cancel:
 				w := calls[a.ID]
 				if w == nil || a.Attempt >= w.attempts {
-					t.Fatalf("%v: %s has no attempt %d to call off", b.now, a.ID, a.Attempt)
+					t.Fatalf("%v: %s has no attempt %d to cancel", b.now, a.ID, a.Attempt)
 				}
 				w.cancelled = w.unanswered && a.Attempt == w.attempts-1
 			case Refuse:
 				w := calls[a.ID]
 				if w == nil || w.closed || w.unanswered || b.now > w.deadline || a.RetryAfter > set.Limits.MaxRetryAfter {
-					t.Fatalf("%v: bad refusal of %s", b.now, a.ID)
+					t.Fatalf("%v: illegal refusal of %s", b.now, a.ID)
 				}
 				w.closed = true
 			case Fail:
 				w := calls[a.ID]
 				if w == nil || w.closed || w.unanswered || b.now > w.deadline+20*ms {
-					t.Fatalf("%v: bad failure of %s", b.now, a.ID)
+					t.Fatalf("%v: illegal failure of %s", b.now, a.ID)
 				}
 				w.closed = true
 			case Wake:
--- a/policy/route_test.go
+++ b/policy/route_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TestRouteLimits: a call's route narrows the settings: the pools it may go to, its attempts,
-// and the wait after a give-up before it goes out again.
+// TestRouteLimits checks that a call's route narrows the settings: its pools, its attempts, and the
+// time between a given-up attempt and the next.
 func TestRouteLimits(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		arrival  Arrival
 		end      Result
 		wantPool int           // of the first attempt
-		again    bool          // whether a second attempt goes out
-		notSoon  time.Duration // and not before this
+		again    bool          // whether a second attempt is sent
+		notSoon  time.Duration // the second attempt must not be sent before this time
 	}{
 		{"the settings", Arrival{}, Faulted, -1, true, 0},
 		{"its pools only", Arrival{Pools: []int{2}}, Faulted, 2, true, 0},
@@ -24,10 +24,11 @@
 		{"never below the rules' wait", Arrival{RetryDelay: 100 * ms}, TimedOut, -1, true, 300 * ms},
 	} {
 		b := newHarness(t, testSettings(), upServers(3)...)
-		for i := range 8 { // first attempts earn the budget of further ones
+		for i := range 8 { // first attempts fill the retry budget
 			id := string(rune('a' + i))
 			for _, s := range actionsOf[Send](b.handle(Arrival{ID: id, Class: "look", TimeLeft: 3 * time.Second})) {
-				b.handle(Ended{ID: id, Server: s.Server, Result: OK, Delay: 5 * ms, Complete: true, Report: EmptyReport()})
+				b.handle(Ended{ID: id, Server: s.Server, Result: OK, Delay: 5 * ms, Complete: true,
+					Report: EmptyReport()})
 			}
 		}
 		a := tc.arrival
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newSenders returns the benches of many senders that share one list.
+// newSenders returns the harnesses of many senders that share one server list.
 func newSenders(t *testing.T, senders int, servers ...Server) []*harness {
 	var all []*harness
 	for i := range senders {
@@ -18,16 +18,16 @@
 	return all
 }
 
-// linesReport is the unasked report of a server's free lines.
+// linesReport returns a server's unsolicited report of its lines, n of which are busy.
 func linesReport(server string, n, total float64) ReportReceived {
 	r := EmptyReport()
 	r.FreeLines, r.TotalLines = total-n, total
 	return ReportReceived{Server: server, Report: r}
 }
 
-// TestManySendersSettle: half as many calls again as one server can take, from few and
-// from many senders. Each sender gets a report only when a call of its own ends; b must
-// last meanwhile, and the joint flow must settle near the optimum without swinging.
+// TestManySendersSettle offers one and a half times a server's capacity from few and from many
+// senders. Each sender gets a report only when a call of its own ends: b must last until then, and the
+// joint flow must settle near the optimum without oscillating.
 func TestManySendersSettle(t *testing.T) {
 	for _, senders := range []int{6, 240} {
 		const mu, step = 60.0, 20 * ms
@@ -40,7 +40,7 @@
 			call string
 		}
 		var calls []standing
-		var flow []int // calls that stood, by the second
+		var flow []int // calls that stood in each second
 		now, next, owed := time.Hour, 0, 0.0
 		for now < time.Hour+60*time.Second {
 			now += step
@@ -83,14 +83,14 @@
 		}
 		for i, b := range all {
 			if b.c.servers[0].b < 0.05 {
-				t.Errorf("%d senders: b of sender %d is %.2f at half as much load again", senders, i, b.c.servers[0].b)
+				t.Errorf("%d senders: b of sender %d is %.2f at 1.5 times the capacity", senders, i, b.c.servers[0].b)
 			}
 		}
 	}
 }
 
-// TestDivertedCallsSpread: calls that can't have their first choice spread over the
-// other servers, by what these have to spare, and don't all turn to one.
+// TestDivertedCallsSpread guards against all senders turning to the same server: calls that cannot
+// have their first choice must spread over the other servers by spare capacity.
 func TestDivertedCallsSpread(t *testing.T) {
 	list := upServers(5)
 	list[0].State = Draining
@@ -107,9 +107,9 @@
 		}
 	}
 	for i, s := range list[1:] {
-		low, high := 15, 70 // of 240: a fifth each
+		low, high := 15, 70 // of 240; expected: a fifth each
 		if i == 3 {
-			low, high = 60, 180 // and two fifths: what it has to spare with room to grow
+			low, high = 60, 180 // expected: two fifths, as it has the most spare capacity
 		}
 		if n := got[s.ID]; n < low || n > high {
 			t.Errorf("server %d got %d of 240 diverted calls, want %d to %d", i+1, n, low, high)
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestTrialsShareOneLimit: once a server is suspect, all senders' trials together take a
+// TestTrialsShareOneLimit checks that the trials of a suspect server from all senders together take a
 // small share of its capacity, however many senders there are.
 func TestTrialsShareOneLimit(t *testing.T) {
 	for _, senders := range []int{6, 240} {
@@ -138,7 +138,8 @@
 	}
 }
 
-// TestProbesAreSpread: neither at the start nor later do many senders' probes come at once.
+// TestProbesAreSpread checks that the probes of many senders do not coincide, neither at the start nor
+// later.
 func TestProbesAreSpread(t *testing.T) {
 	n, first := 0, 0
 	for i := range 240 {
@@ -155,8 +156,8 @@
 	}
 }
 
-// TestGatewayStall: after a stand-still of the gateway, what came meanwhile is read before
-// any server is judged, and calls without time left are answered at once.
+// TestGatewayStall checks that after a stall of the gateway the events that arrived meanwhile are read
+// before any server is judged, and that calls without time left are refused at once.
 func TestGatewayStall(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -169,14 +170,15 @@
 		t.Errorf("after the gateway's own stall: suspect %v, b %v, queue %v", s.suspect, s.b, s.queueWait)
 	}
 	if r := actionsOf[Refuse](out); len(r) != 1 || r[0].ID != "2" {
-		t.Errorf("the overdue call was not refused at once: %v", out)
+		t.Errorf("overdue call not refused at once: %v", out)
 	}
 	if s.meanDelay > 100*ms {
-		t.Errorf("delay %v taken from the gateway's own clock", s.meanDelay)
+		t.Errorf("delay %v includes the stall of the gateway", s.meanDelay)
 	}
 }
 
-// TestTimersDoNotMultiply: ticks and other events leave no more than a few timers out.
+// TestTimersDoNotMultiply guards against growing chains of timers: whatever the events, only a few
+// timers may be pending.
 func TestTimersDoNotMultiply(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	timers := map[Time]int{b.now + 50*ms: 1}
@@ -204,12 +206,12 @@
 		}
 	}
 	if wakes > 600 {
-		t.Errorf("%d timers asked for in 10 s", wakes)
+		t.Errorf("%d timers requested in 10 s", wakes)
 	}
 }
 
-// TestRedialsComeLast: who dials again at once gets no second ticket while first
-// tries are refused.
+// TestRedialsComeLast checks that redials are refused before first tries, so that callers gain nothing
+// by redialling at once.
 func TestRedialsComeLast(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -229,14 +231,15 @@
 		}
 	}
 	if first := float64(refused[false]) / float64(of[false]); first > 0.1 {
-		t.Errorf("%.2f of first tries refused while redials are let in", first)
+		t.Errorf("%.2f of first tries refused while redials are sent", first)
 	}
 	if again := float64(refused[true]) / float64(of[true]); again < 0.8 {
 		t.Errorf("only %.2f of redials refused at b = 0.5", again)
 	}
 }
 
-// TestUnlistedServerIsNotUp: a server that a whole list no longer names is not told to be up, to whoever spreads the load.
+// TestUnlistedServerIsNotUp checks that a server missing from a whole list no longer counts as up in
+// the spreading of load.
 func TestUnlistedServerIsNotUp(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
 	b.handle(ServerList{Whole: true, Servers: upServers(1)})
@@ -245,8 +248,8 @@
 	}
 }
 
-// TestGoneServersAreEvicted: where new servers take the place of old ones under new ids for ever,
-// those that are gone must not stay; a call that stands at one still ends.
+// TestGoneServersAreEvicted guards against a leak: if servers are replaced under new ids for ever,
+// those that are gone must be evicted, and a call that stands at one must still end.
 func TestGoneServersAreEvicted(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	b.call("1")
@@ -263,15 +266,15 @@
 	}
 	b.handle(Ended{ID: "1", Server: upServers(1)[0].ID, Result: Cut, Complete: true, Report: EmptyReport()})
 	if len(b.c.calls) != 0 {
-		t.Error("the call at the first server is not forgotten")
+		t.Error("call at the first server not removed after its end")
 	}
 	if sent := actionsOf[Send](b.call("2")); len(sent) != 1 || sent[0].Server != old.ID {
 		t.Errorf("sent to %v, the only one up is %s", sent, old.ID)
 	}
 }
 
-// TestExtremeFleetSizes: no list, one server, far more servers than senders, one sender or
-// thousands: calls are answered or sent, and no figure turns NaN.
+// TestExtremeFleetSizes checks that without a list, with one server or many, and with one sender or
+// thousands, calls are sent or refused and no figure becomes NaN.
 func TestExtremeFleetSizes(t *testing.T) {
 	for _, senders := range []int{1, 5000} {
 		for _, servers := range []int{0, 1, 300} {
@@ -304,8 +307,8 @@
 	}
 }
 
-// TestFullFadesWithoutLoad: where no utilisation is reported, a 'full' moves b once; the
-// next count of calls in progress, well under capacity, opens it again.
+// TestFullFadesWithoutLoad checks that without reports of utilisation a full answer raises b once, and
+// that reports of calls in progress well under the capacity set it back to 0.
 func TestFullFadesWithoutLoad(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -10,9 +10,9 @@
 	"woodrouter/spread"
 )
 
-// randomEvents drives a controller with n servers through legal events drawn from a seed: calls with and
-// without a first choice, every end, reports of every kind, restarts, drains, losses of many servers
-// at once, views and stand-stills. It hands over what was done at each event.
+// randomEvents drives a controller with n servers through random legal events: calls with and without
+// a first choice, every kind of end and report, restarts, drains, losses of many servers at once,
+// views and stalls. It passes the actions of each event to done.
 func randomEvents(t *testing.T, seed uint64, n, events int, done func(c *Controller, acts []Action)) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	set := testSettings()
@@ -72,22 +72,25 @@
 		switch k := rng.IntN(20); {
 		case k < 6:
 			next++
-			take(b.handle(Arrival{ID: fmt.Sprint(next), Class: []string{"look", "hold"}[rng.IntN(2)], Redial: rng.IntN(9) == 0,
-				Tenant: []string{"t", "u", ""}[rng.IntN(3)], TimeLeft: time.Duration(rng.IntN(4000)) * ms, Pool: rng.IntN(2*n) - n/2}))
+			take(b.handle(Arrival{ID: fmt.Sprint(next), Class: []string{"look", "hold"}[rng.IntN(2)],
+				Redial: rng.IntN(9) == 0, Tenant: []string{"t", "u", ""}[rng.IntN(3)],
+				TimeLeft: time.Duration(rng.IntN(4000)) * ms, Pool: rng.IntN(2*n) - n/2}))
 		case k < 11 && len(ids) > 0:
 			id := ids[rng.IntN(min(len(ids), 20))]
 			cl := calls[id]
 			if !cl.stands && rng.IntN(3) > 0 {
 				cl.stands = true
-				take(b.handle(Standing{ID: id, Attempt: cl.attempt, Server: cl.server, Delay: time.Duration(rng.IntN(40)) * ms}))
+				take(b.handle(Standing{ID: id, Attempt: cl.attempt, Server: cl.server,
+					Delay: time.Duration(rng.IntN(40)) * ms}))
 				continue
 			}
-			res := []Result{OK, Faulted, Full, TimedOut, Unreachable, Cut, Cancelled, NotSent, NoLines, Busy}[rng.IntN(10)]
+			res := []Result{OK, Faulted, Full, TimedOut, Unreachable, Cut, Cancelled, NotSent, NoLines,
+				Busy}[rng.IntN(10)]
 			if cl.stands {
 				res = OK
 			}
-			take(b.handle(Ended{ID: id, Attempt: cl.attempt, Server: cl.server, Result: res, Delay: time.Duration(rng.IntN(900)) * ms,
-				Complete: res == OK, Report: figures()}))
+			take(b.handle(Ended{ID: id, Attempt: cl.attempt, Server: cl.server, Result: res,
+				Delay: time.Duration(rng.IntN(900)) * ms, Complete: res == OK, Report: figures()}))
 			if b.c.calls[id] == nil {
 				delete(calls, id)
 				ids = slices.DeleteFunc(ids, func(o string) bool { return o == id })
@@ -99,11 +102,12 @@
 			r.TotalLines, r.FreeLines = 300, float64(rng.IntN(300))
 			take(b.handle(ReportReceived{Server: s.ID, Report: r}))
 		case k == 16:
-			take(b.handle(ReportReceived{Server: s.ID, Solicited: true, Result: Result(rng.IntN(2)), Report: figures()}))
+			take(b.handle(ReportReceived{Server: s.ID, Solicited: true, Result: Result(rng.IntN(2)),
+				Report: figures()}))
 		case k == 17 && rng.IntN(4) == 0:
 			s.State, s.ReadyAt = State(rng.IntN(3)), b.now-time.Duration(rng.IntN(3000))*ms
 			take(b.handle(ServerList{Servers: []Server{s}}))
-		case k == 18 && rng.IntN(30) == 0: // a zone's loss
+		case k == 18 && rng.IntN(30) == 0: // the loss of a zone
 			for _, o := range b.c.servers[:rng.IntN(len(b.c.servers))] {
 				b.c.now = b.now
 				b.c.markSuspect(o, 0)
@@ -113,9 +117,11 @@
 			take(b.handle(ServerList{Whole: true, Servers: upServers(n)}))
 		case k == 19 && rng.IntN(10) == 0:
 			view++
-			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: view}, Echo: spread.Stamp{Name: "a1", Life: 1, Seq: view}}
+			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: view},
+				Echo: spread.Stamp{Name: "a1", Life: 1, Seq: view}}
 			for i, o := range upServers(n) {
-				v.Dues = append(v.Dues, spread.Due{Server: o.ID, Share: rng.Float64() * 20, Rate: float64(i%3) * 15 * rng.Float64(),
+				v.Dues = append(v.Dues, spread.Due{Server: o.ID, Share: rng.Float64() * 20,
+					Rate: float64(i%3) * 15 * rng.Float64(),
 					Idle: time.Duration(rng.IntN(2000)) * ms, Grant: rng.IntN(2)})
 			}
 			b.c.Spread().BuildSummary(b.now, "a2")
@@ -124,8 +130,8 @@
 	}
 }
 
-// TestTotalsMatchRecount: after any events, the sums over all servers that are kept equal those taken afresh, and
-// so does what they tell of a server whose capacity was not measured.
+// TestTotalsMatchRecount checks after random events that the cached sums over all servers equal
+// recomputed ones, and so do the capacities estimated from them.
 func TestTotalsMatchRecount(t *testing.T) {
 	for seed := range uint64(8) {
 		n := 3 + int(seed)*5
@@ -141,7 +147,7 @@
 				}
 			}
 			if got := c.fleetTotals().Flow; got != flow {
-				t.Fatalf("seed %d: flow %v kept, %v afresh", seed, got, flow)
+				t.Fatalf("seed %d: flow %v cached, %v recomputed", seed, got, flow)
 			}
 			for _, s := range c.servers {
 				want := mu / max(known, 1)
@@ -152,21 +158,21 @@
 					want = mu * s.totalLines / lines
 				}
 				if got := c.estimateCapacity(s); got != want {
-					t.Fatalf("seed %d, server %s: capacity %v by what is kept, %v afresh", seed, s.ID, got, want)
+					t.Fatalf("seed %d, server %s: capacity %v from cached sums, %v recomputed", seed, s.ID, got, want)
 				}
 			}
 		})
 	}
 }
 
-// TestAnyTrustedOpenMatchesScan: at the end of a watch, what it found of trusted servers that are open is what a
-// walk over all of them finds.
+// TestAnyTrustedOpenMatchesScan checks that anyTrustedOpen, which resumes its scan, finds the same as
+// a scan of all servers.
 func TestAnyTrustedOpenMatchesScan(t *testing.T) {
 	for seed := range uint64(6) {
 		b := newSeededHarness(t, testSettings(), seed, upServers(30)...)
 		rng := rand.New(rand.NewPCG(seed, 9))
 		for range 400 {
-			b.now += 60 * ms // past the timer that was asked for
+			b.now += 60 * ms // after the requested timer
 			for _, s := range b.c.servers {
 				if s.suspect = rng.IntN(8) > 0; rng.IntN(4) == 0 {
 					s.closedUntil = b.now + 30*ms
@@ -178,15 +184,15 @@
 				found = found || !s.suspect && b.c.open(s)
 			}
 			if got := b.c.anyTrustedOpen(); got != found {
-				t.Fatalf("seed %d: open elsewhere %v, by a walk over all %v", seed, got, found)
+				t.Fatalf("seed %d: any trusted server open: %v, by a scan of all: %v", seed, got, found)
 			}
 		}
 	}
 }
 
-// TestServerVisitsPerDecision: how often one decision looks at a server grows no faster than the number of servers:
-// with a first choice or none, with capacities that were measured or not, at a tick while most
-// servers are suspect, and for a view of all of them.
+// TestServerVisitsPerDecision checks that the number of servers that one decision looks at grows no
+// faster than the number of servers: with and without a first choice or measured capacities, at a tick
+// while most servers are suspect, and for a view of all servers.
 func TestServerVisitsPerDecision(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -201,12 +207,15 @@
 		{"a tenant's call", func(c *Controller, now Time) {
 			c.Handle(now, Arrival{ID: "1", Class: "look", Tenant: "t", TimeLeft: time.Second, Pool: -1})
 		}},
-		{"lines told", func(c *Controller, now Time) { c.Handle(now+450*ms, linesReport(c.servers[0].ID, 70, 400)) }},
+		{"lines reported", func(c *Controller, now Time) {
+			c.Handle(now+450*ms, linesReport(c.servers[0].ID, 70, 400))
+		}},
 		{"a whole list", func(c *Controller, now Time) {
 			c.Handle(now, ServerList{Whole: true, Servers: upServers(len(c.servers))})
 		}},
 		{"a view", func(c *Controller, now Time) {
-			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: 1}, Echo: spread.Stamp{Name: "a1", Life: 1, Seq: 1}}
+			v := spread.View{From: spread.Stamp{Name: "a2", Life: 1, Seq: 1},
+				Echo: spread.Stamp{Name: "a1", Life: 1, Seq: 1}}
 			for _, s := range c.servers {
 				v.Dues = append(v.Dues, spread.Due{Server: s.ID, Share: 1, Rate: 50})
 			}
@@ -228,10 +237,10 @@
 				c.serverVisits = 0
 				tc.do(c, now)
 				if most = max(most, float64(c.serverVisits)/float64(n)); float64(c.serverVisits) > 4*float64(n)+4 {
-					t.Errorf("%s, measured %v: %d looks at %d servers", tc.name, measured, c.serverVisits, n)
+					t.Errorf("%s, measured %v: %d visits of %d servers", tc.name, measured, c.serverVisits, n)
 				}
 			}
-			t.Logf("%s, measured %v: %.2f looks at each server", tc.name, measured, most)
+			t.Logf("%s, measured %v: %.2f visits of each server", tc.name, measured, most)
 		}
 	}
 }
