--- a/policy/calls.go
+++ b/policy/calls.go
@@ -17,7 +17,8 @@
 	worth       float64 // of one call, lowered for traffic beyond the tenant's allowance
 }
 
-// call is a call that waits, has an unanswered attempt or stands.
+// call is a call that waits, has an unanswered attempt or stands. Its next attempt is off the retry
+// budget if the latest one was a trial or failed for a reason other than a queue.
 type call struct {
 	id, number          string
 	group               *callGroup
@@ -27,12 +28,12 @@
 	lastServer          *server // server of the latest attempt
 	sentAt              Time
 	unanswered          bool // the latest attempt has no answer yet
-	cancelled           bool // and is cancelled
+	cancelled           bool // the latest attempt was cancelled
 	stands              bool
-	freeRetry           bool // no queue ended the latest attempt: the next does not count against the budget
-	closed              bool // has its final answer or needs none
-	retryAt             Time // no further attempt before this time
-	draw                float64
+	freeRetry           bool          // the next attempt does not count against the retry budget
+	closed              bool          // has its final answer or needs none
+	retryAt             Time          // no further attempt before this time
+	draw                float64       // random number in [0, 1) that decides against b at every server
 	maxAttempts         int           // by the settings and the call's route
 	retryDelay          time.Duration // by the rules and the call's route
 	pools               []int         // pools of the call's route; nil: all pools of its class
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -60,7 +60,8 @@
 		return nil, fmt.Errorf("policy: at most %d attempts: at least 1 needed", set.Limits.MaxAttempts)
 	}
 	r := set.Rules
-	times := []time.Duration{set.Repeat, set.Tick, set.Limits.MaxRetryAfter, r.RetryDelay, r.WarmUp, r.LoadSpan}
+	times := []time.Duration{set.Repeat, set.Tick, set.Limits.MaxRetryAfter,
+		r.RetryDelay, r.WarmUp, r.LoadSpan}
 	for _, d := range times {
 		if d < 0 {
 			return nil, fmt.Errorf("policy: negative time %v", d)
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -7,6 +7,8 @@
 	"woodrouter/spread"
 )
 
+// handleReport handles a report that came without an answer to a set-up. Of an unsolicited report
+// only the lines are read.
 func (c *Controller) handleReport(e ReportReceived) {
 	s := c.byID[e.Server]
 	if s == nil {
@@ -111,7 +113,7 @@
 	c.updateB(s)
 }
 
-// recordQueue records the part of a wait that exceeds the target delay.
+// recordQueue records a wait at a server, less the extra delay that the target delay allows.
 func (c *Controller) recordQueue(s *server, wait time.Duration) {
 	s.queueWait, s.queueSeenAt = max(wait-c.targetDelay(s)+s.baseDelay, 0), c.now
 }
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -6,7 +6,8 @@
 	"woodrouter/spread"
 )
 
-// checkServers checks every server for overdue answers and overdue reports, and sends probes.
+// checkServers checks every server: it makes servers with overdue answers suspect, cancels lost
+// set-ups, halves b where reports are overdue, and sends probes.
 func (c *Controller) checkServers() {
 	if c.now == c.resumedAt { // events that arrived during the stall are read before servers are judged
 		return
