--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -123,37 +123,38 @@
 }
 
 // recordAnswer updates the state of a server from the answer to a set-up, the newest evidence of its load.
-func (c *Controller) recordAnswer(cl *call, d time.Duration) {
+func (c *Controller) recordAnswer(cl *call, delay time.Duration) {
 	s := cl.lastServer
-	if d <= 0 || d > c.now-cl.sentAt {
-		d = c.now - cl.sentAt
+	if delay <= 0 || delay > c.now-cl.sentAt {
+		delay = c.now - cl.sentAt
 	}
 	c.endAttempt(cl)
 	silent := c.now - max(s.answeredAt, s.releasedAt)
 	if s.answeredAt = c.now; s.suspect {
 		c.clearSuspect(s, silent)
 	}
-	if cl.sentAt < s.lastAnsweredSentAt && d > c.targetDelay(s) { // overtaken by a later one: no sign of a queue
+	if cl.sentAt < s.lastAnsweredSentAt && delay > c.targetDelay(s) {
+		// A later set-up was answered first: this delay alone is no sign of a queue.
 		return
 	}
 	s.lastAnsweredSentAt = max(s.lastAnsweredSentAt, cl.sentAt)
-	if s.baseDelay == 0 || d < s.baseDelay {
-		s.baseDelay = d
+	if s.baseDelay == 0 || delay < s.baseDelay {
+		s.baseDelay = delay
 	}
 	s.baseDelay += s.baseDelay / 200
-	s.meanDelay += (d - s.meanDelay) / 4
+	s.meanDelay += (delay - s.meanDelay) / 4
 	target := c.targetDelay(s)
-	c.recordQueue(s, d-s.baseDelay)
+	c.recordQueue(s, delay-s.baseDelay)
 	// A server with a queue works at its capacity, so that its flow measures the capacity.
-	if d > target && s.flow > 0 && !s.cold(c.now) && (s.capacity == 0 || c.settings.Reports == WhenProbed) {
+	if delay > target && s.flow > 0 && !s.cold(c.now) && (s.capacity == 0 || c.settings.Reports == WhenProbed) {
 		s.capacity, c.totalsValid = smooth(s.capacity, min(s.latestFlow, max(s.capacity, s.flow)), 0.3), false
 	}
 	c.updateB(s)
-	s.allowance.Refund(d <= target, s.capacity*c.shortestAim.Seconds()/float64(c.settings.Senders))
+	s.allowance.Refund(delay <= target, s.capacity*c.shortestAim.Seconds()/float64(c.settings.Senders))
 	switch {
-	case d > target:
-		if c.now >= s.windowCutAt+d { // late answers of the same stall shrink the window only once
-			s.window, s.windowCutAt = max(s.window*max(float64(target)/float64(d), minWindowFactor), 1), c.now
+	case delay > target:
+		if c.now >= s.windowCutAt+delay { // late answers of the same stall shrink the window only once
+			s.window, s.windowCutAt = max(s.window*max(float64(target)/float64(delay), minWindowFactor), 1), c.now
 		}
 	case float64(len(s.unanswered)+1) >= math.Floor(s.window):
 		s.window = min(s.window+windowGain/s.window, maxWindow)
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -34,9 +34,9 @@
 	if !usable(r.FreeLines) || !usable(r.TotalLines) || r.TotalLines <= 0 {
 		return
 	}
-	n := max(r.TotalLines-r.FreeLines, 0)
-	dt := (c.now - s.linesReadAt).Seconds()
-	if s.linesReadAt != 0 && dt < 0.4 {
+	busy := max(r.TotalLines-r.FreeLines, 0)
+	seconds := (c.now - s.linesReadAt).Seconds()
+	if s.linesReadAt != 0 && seconds < 0.4 {
 		return
 	}
 	if s.linesReadAt != 0 {
@@ -44,23 +44,24 @@
 	}
 	if hold := c.meanHoldSeconds; hold > 0 {
 		if s.linesReadAt == 0 || s.busyLines == 0 && s.flow == 0 {
-			s.flow, s.latestFlow = n/hold, n/hold
+			s.flow, s.latestFlow = busy/hold, busy/hold
 		} else {
-			s.latestFlow = max((n-s.busyLines)/dt+(n+s.busyLines)/2/hold, 0)
+			s.latestFlow = max((busy-s.busyLines)/seconds+(busy+s.busyLines)/2/hold, 0)
 			s.flow += decayWeight(c.now-s.linesReadAt, loadTimeConstant) * (s.latestFlow - s.flow)
 		}
 	}
 	if s.reportsWait && !s.cold(c.now) { // without a queue its flow is a lower bound of its capacity
-		if can := min(s.flow, s.latestFlow); s.queueWait == 0 {
-			s.capacity = max(s.capacity, can)
+		if served := min(s.flow, s.latestFlow); s.queueWait == 0 {
+			s.capacity = max(s.capacity, served)
 		} else if s.linesReadAt != 0 {
 			s.capacity = smooth(s.capacity, s.latestFlow, decayWeight(c.now-s.linesReadAt, capacityTimeConstant))
 		}
 	}
-	if n > s.busyLines {
+	if busy > s.busyLines {
 		s.linesRoseAt = c.now
 	}
-	s.busyLines, s.linesReadAt, s.totalLines, s.outOfLines, c.totalsValid = n, c.now, r.TotalLines, false, false
+	s.busyLines, s.linesReadAt, s.totalLines, s.outOfLines, c.totalsValid =
+		busy, c.now, r.TotalLines, false, false
 	s.reportedAt = c.now
 	c.updateB(s)
 }
@@ -68,15 +69,15 @@
 // readReport derives a utilisation from a new report and updates b with it.
 func (c *Controller) readReport(s *server, r Report) {
 	c.readLines(s, r)
-	now := r
-	now.FreeLines, now.TotalLines = NotReported, NotReported
-	if now == EmptyReport() || now == s.lastReport {
+	figures := r
+	figures.FreeLines, figures.TotalLines = NotReported, NotReported
+	if figures == EmptyReport() || figures == s.lastReport {
 		return
 	}
 	gap := c.now - s.loadReadAt
 	c.spread.RecordReport(c.now, s.ID,
 		spread.Seen{Lines: s.totalLines, Util: r.Utilisation, Wait: r.WaitSeconds})
-	s.lastReport, s.reportedAt, s.loadReadAt, c.totalsValid = now, c.now, c.now, false
+	s.lastReport, s.reportedAt, s.loadReadAt, c.totalsValid = figures, c.now, c.now, false
 	s.reportInterval = time.Duration(smooth(float64(s.reportInterval), float64(gap), 0.125))
 	switch {
 	case s.cold(c.now): // says little about the capacity of the warm server
@@ -91,24 +92,24 @@
 		c.setB(s, r.RefuseShare)
 		return
 	}
-	u := max(r.Utilisation, NotReported)
+	utilisation := max(r.Utilisation, NotReported)
 	if usable(r.QueueLength) {
-		u = max(u, r.QueueLength/(1+r.QueueLength))
+		utilisation = max(utilisation, r.QueueLength/(1+r.QueueLength))
 		if mu := c.estimateCapacity(s); mu > 0 {
 			c.recordQueue(s, min(c.shortestAim/2, time.Duration(r.QueueLength/mu*float64(time.Second))))
 		}
 	}
 	if usable(r.WaitSeconds) { // relative to the time that an idle server takes for a set-up
 		wait := time.Duration(r.WaitSeconds * float64(time.Second))
-		u = max(u, float64(wait)/float64(wait+max(s.baseDelay, c.settings.Tick)))
+		utilisation = max(utilisation, float64(wait)/float64(wait+max(s.baseDelay, c.settings.Tick)))
 		c.recordQueue(s, wait)
 		s.reportsWait = true
 	}
-	if u > 0 && s.load > 0 {
-		u = s.load + decayWeight(gap, loadTimeConstant)*(u-s.load)
+	if utilisation > 0 && s.load > 0 {
+		utilisation = s.load + decayWeight(gap, loadTimeConstant)*(utilisation-s.load)
 	}
-	if usable(u) {
-		s.load = u
+	if usable(utilisation) {
+		s.load = utilisation
 	}
 	c.updateB(s)
 }
--- a/policy/servers.go
+++ b/policy/servers.go
@@ -55,23 +55,23 @@
 
 func (c *Controller) handleServerList(e ServerList) {
 	listed := map[string]bool{}
-	for _, n := range e.Servers {
-		listed[n.ID] = true
-		s := c.byID[n.ID]
+	for _, entry := range e.Servers {
+		listed[entry.ID] = true
+		s := c.byID[entry.ID]
 		if s == nil {
 			s = &server{load: NotReported, window: 1, reportedAt: c.now, bUpdatedAt: c.now, loadReadAt: c.now,
 				answeredAt: c.now, nextProbeAt: c.now + c.jitter(0, minProbeInterval)}
-			c.byID[n.ID] = s
+			c.byID[entry.ID] = s
 			c.servers = append(c.servers, s)
 		}
-		restarted := n.ReadyAt > s.ReadyAt
-		if s.State != n.State {
-			c.logf("server %s is listed as %s", n.ID, [...]string{"up", "draining", "gone"}[n.State])
+		restarted := entry.ReadyAt > s.ReadyAt
+		if s.State != entry.State {
+			c.logf("server %s is listed as %s", entry.ID, [...]string{"up", "draining", "gone"}[entry.State])
 		}
-		s.Server = n
-		c.spread.UpdateServer(n.ID, n.State == Up)
+		s.Server = entry
+		c.spread.UpdateServer(entry.ID, entry.State == Up)
 		if restarted {
-			c.startWarmUp(s, n.ReadyAt, c.settings.Rules.WarmUp)
+			c.startWarmUp(s, entry.ReadyAt, c.settings.Rules.WarmUp)
 		}
 	}
 	for _, s := range c.servers {
@@ -88,17 +88,17 @@
 // maxGoneServers of them stay: their measured capacities serve as the estimate for new servers.
 func (c *Controller) evictGoneServers() {
 	gone := func(s *server) bool { return s.State == Gone && len(s.unanswered) == 0 }
-	n := -maxGoneServers
+	surplus := -maxGoneServers
 	for _, s := range c.servers {
 		if gone(s) {
-			n++
+			surplus++
 		}
 	}
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool {
-		if n <= 0 || !gone(s) {
+		if surplus <= 0 || !gone(s) {
 			return false
 		}
-		n--
+		surplus--
 		delete(c.byID, s.ID)
 		c.spread.RemoveServer(s.ID)
 		return true
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -21,40 +21,40 @@
 // decayWeight returns the weight of the last d in exponential smoothing with the time constant span.
 func decayWeight(d, span time.Duration) float64 { return 1 - math.Exp(-float64(d)/float64(span)) }
 
-// rescaleB sets b so that utilisation u falls to the optimum, less what is needed to work off
-// the server's backlog within queueDrainTime. u was measured under the mean of b.
-func (c *Controller) rescaleB(s *server, u float64) {
+// rescaleB sets b so that the utilisation falls to the optimum, less what is needed to work off
+// the server's backlog within queueDrainTime. It was measured under the mean of b.
+func (c *Controller) rescaleB(s *server, utilisation float64) {
 	c.setB(s, s.b)
-	if u <= 0 {
+	if utilisation <= 0 {
 		c.setB(s, 0)
 		return
 	}
 	free := max(1-float64(c.backlog(s))/float64(queueDrainTime), 1-maxB)
-	c.setB(s, 1-c.optimalUtilisation(s)*free*(1-s.meanB)/u)
+	c.setB(s, 1-c.optimalUtilisation(s)*free*(1-s.meanB)/utilisation)
 }
 
 // backlog returns the estimated wait at a server: the last observed wait, which decays, or the age of the
 // oldest unanswered set-up if that is longer.
 func (c *Controller) backlog(s *server) time.Duration {
-	q := time.Duration(float64(s.queueWait) * (1 - decayWeight(c.now-s.queueSeenAt, queueDrainTime)))
+	wait := time.Duration(float64(s.queueWait) * (1 - decayWeight(c.now-s.queueSeenAt, queueDrainTime)))
 	if c.visiblyServing(s) {
-		return q
+		return wait
 	}
-	return max(q, c.oldestUnanswered(s)-s.baseDelay, 0)
+	return max(wait, c.oldestUnanswered(s)-s.baseDelay, 0)
 }
 
 // updateB sets b from the reported utilisation. Unless the server reports its wait, the flow of all
 // senders' calls over its capacity, or the share of its lines that are busy, counts if it is higher.
 func (c *Controller) updateB(s *server) {
-	u := s.load
+	utilisation := s.load
 	if s.flow > 0 && !s.reportsWait {
 		if mu := c.estimateCapacity(s); mu > 0 {
-			u = max(u, s.flow/mu)
+			utilisation = max(utilisation, s.flow/mu)
 		}
-		u = max(u, s.busyLines/s.totalLines)
+		utilisation = max(utilisation, s.busyLines/s.totalLines)
 	}
-	if u >= 0 {
-		c.rescaleB(s, u)
+	if utilisation >= 0 {
+		c.rescaleB(s, utilisation)
 	}
 }
 
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -23,14 +23,14 @@
 // this sender is taken as its share of the flow of all senders. Traffic beyond its allowance, by
 // more than the statistical error of so few calls, is worth little. Redials are refused before
 // first tries, so that callers gain nothing by redialling at once.
-func (c *Controller) updateWorths(now *callGroup) {
+func (c *Controller) updateWorths(arrived *callGroup) {
 	tenants := make([]float64, len(c.settings.Tenants)+1)
 	keep := 1 - decayWeight(c.now-c.worthsUpdatedAt, arrivalTimeConstant)
 	c.worthsUpdatedAt = c.now
 	var all, hold float64
 	for i := range c.groups {
 		g := &c.groups[i]
-		if g.recentCalls *= keep; g == now {
+		if g.recentCalls *= keep; g == arrived {
 			g.recentCalls++
 		}
 		all += g.recentCalls
@@ -43,10 +43,10 @@
 	for i := range c.groups {
 		g, withinShare := &c.groups[i], 1.0
 		if g.tenant < len(c.settings.Tenants) && tenants[g.tenant] > 0 {
-			n := tenants[g.tenant]
-			if a, r := c.settings.Tenants[g.tenant].Allowance, c.fleetTotals().Flow*n/all; a > 0 &&
-				r > a*(1+1/math.Sqrt(n)) {
-				withinShare = a / r
+			calls := tenants[g.tenant]
+			if allowance, rate := c.settings.Tenants[g.tenant].Allowance,
+				c.fleetTotals().Flow*calls/all; allowance > 0 && rate > allowance*(1+1/math.Sqrt(calls)) {
+				withinShare = allowance / rate
 			}
 		}
 		if g.redial {
