--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -25,9 +25,9 @@
 		Tenants: []policy.Tenant{{Name: "t", Allowance: 100}},
 		Reports: policy.WithAnswers,
 		Limits:  policy.Limits{MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, AllowCancel: true},
-		Rules: policy.Rules{RetryDelay: 300 * ms, WarmUp: 14 * time.Second, LoadSpan: time.Second,
+		Rules: policy.Rules{RetryDelay: 300 * ms, WarmUp: 14 * time.Second, LoadWindow: time.Second,
 			ColdShare: 0.3, CollapseLoad: 3},
-		Repeat: 800 * ms, Tick: 5 * ms,
+		RepeatInterval: 800 * ms, BatchInterval: 5 * ms,
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -91,15 +91,15 @@
 	s := policy.Settings{
 		Rank: in.Rank, Senders: in.Senders,
 		OverAllowanceWorth: in.OverShare,
-		Repeat:             Micros(in.Domain.Repeat),
-		Tick:               Micros(in.Resolution),
+		RepeatInterval:     Micros(in.Domain.Repeat),
+		BatchInterval:      Micros(in.Resolution),
 		RedialsMarked:      in.Callers.MarksRetry, FullStatesWait: in.Domain.GivesWait,
 		Limits: policy.Limits{MaxAttempts: in.Limits.MaxAttempts, AllowProbes: in.Limits.Probes,
 			AllowCancel: in.Limits.Cancel},
 		Rules: policy.Rules{
 			RetryDelay: Micros(in.Domain.ClearWait),
 			WarmUp:     Micros(in.Guarantees.Cold), ColdShare: in.Guarantees.ColdFrom,
-			CollapseLoad: in.Guarantees.FallMultiple, LoadSpan: Micros(in.Guarantees.TipAfter),
+			CollapseLoad: in.Guarantees.FallMultiple, LoadWindow: Micros(in.Guarantees.TipAfter),
 		},
 	}
 	if in.Limits.RetryAfter {
--- a/policy/api.go
+++ b/policy/api.go
@@ -20,8 +20,8 @@
 	Limits             Limits
 	Rules              Rules
 	OverAllowanceWorth float64       // worth of a call beyond its tenant's allowance, as a share of its class's
-	Repeat             time.Duration // an unanswered set-up is repeated after this time; 0: never
-	Tick               time.Duration // shortest time between two batches of events
+	RepeatInterval     time.Duration // an unanswered set-up is repeated after this time; 0: never
+	BatchInterval      time.Duration // shortest time between two batches of events
 	RedialsMarked      bool          // callers mark redialled calls
 	FullStatesWait     bool          // a full server states how long it wants no set-ups
 	Spread             spread.Config // spreading of load among senders, with this sender's name and life
@@ -66,7 +66,7 @@
 type Rules struct {
 	RetryDelay   time.Duration // shortest time between a given-up, cut or cancelled attempt and the next one
 	WarmUp       time.Duration // a server is warm this long after its start
-	LoadSpan     time.Duration // time over which the load of a cold server is summed
+	LoadWindow   time.Duration // time over which the load of a cold server is summed
 	ColdShare    float64       // share of its capacity that a server has at its start
 	CollapseLoad float64       // load above this multiple of its present capacity makes a cold server collapse
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,7 +14,7 @@
 	if cl.attempts > 0 {
 		t = cl.arrivedAt + cl.group.class.Aim
 	}
-	return min(t, cl.deadline-2*c.settings.Tick)
+	return min(t, cl.deadline-2*c.settings.BatchInterval)
 }
 
 // mayRetry tells whether a call may get a further attempt that could still stand in time.
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -67,8 +67,8 @@
 
 // targetDelay returns the delay above which an answer shows a queue.
 func (c *Controller) targetDelay(s *server) time.Duration {
-	if c.settings.Repeat > 0 {
-		return s.baseDelay + time.Duration(targetShareOfRepeat*float64(c.settings.Repeat))
+	if c.settings.RepeatInterval > 0 {
+		return s.baseDelay + time.Duration(targetShareOfRepeat*float64(c.settings.RepeatInterval))
 	}
 	return s.baseDelay + time.Duration(targetShareOfAim*float64(c.shortestAim))
 }
--- a/policy/design_test.go
+++ b/policy/design_test.go
@@ -447,13 +447,13 @@
 	for i, at := range sends {
 		n := 0
 		for _, other := range sends[i:] {
-			if other-at < set.Rules.LoadSpan {
+			if other-at < set.Rules.LoadWindow {
 				n++
 			}
 		}
 		age := float64(at-start) / float64(set.Rules.WarmUp)
 		part := set.Rules.ColdShare + (1-set.Rules.ColdShare)*min(1, age+0.2)
-		budget := set.Rules.CollapseLoad * part * 20 * set.Rules.LoadSpan.Seconds() / float64(set.Senders)
+		budget := set.Rules.CollapseLoad * part * 20 * set.Rules.LoadWindow.Seconds() / float64(set.Senders)
 		if float64(n) > max(1, budget) {
 			t.Errorf("%d set-ups in the window from %v, budget %.1f", n, at-start, budget)
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -17,8 +17,8 @@
 		Reports: policy.WithAnswers,
 		Limits:  policy.Limits{MaxAttempts: 3, MaxRetryAfter: 2 * time.Second, AllowCancel: true},
 		Rules: policy.Rules{RetryDelay: 300 * time.Millisecond, WarmUp: 15 * time.Second,
-			LoadSpan: 2 * time.Second, ColdShare: 0.3, CollapseLoad: 2},
-		Repeat: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
+			LoadWindow: 2 * time.Second, ColdShare: 0.3, CollapseLoad: 2},
+		RepeatInterval: 500 * time.Millisecond, BatchInterval: 5 * time.Millisecond,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -60,8 +60,8 @@
 		return nil, fmt.Errorf("policy: at most %d attempts: at least 1 needed", set.Limits.MaxAttempts)
 	}
 	r := set.Rules
-	times := []time.Duration{set.Repeat, set.Tick, set.Limits.MaxRetryAfter,
-		r.RetryDelay, r.WarmUp, r.LoadSpan}
+	times := []time.Duration{set.RepeatInterval, set.BatchInterval, set.Limits.MaxRetryAfter,
+		r.RetryDelay, r.WarmUp, r.LoadWindow}
 	for _, d := range times {
 		if d < 0 {
 			return nil, fmt.Errorf("policy: negative time %v", d)
@@ -147,7 +147,7 @@
 func (c *Controller) scheduleWake() {
 	gap := wakeInterval
 	for _, cl := range c.held {
-		gap = max(min(gap, heldWakeInterval, c.holdDeadline(cl)-c.now), c.settings.Tick, time.Millisecond)
+		gap = max(min(gap, heldWakeInterval, c.holdDeadline(cl)-c.now), c.settings.BatchInterval, time.Millisecond)
 	}
 	if c.wakeAt <= c.now || c.now+gap < c.wakeAt {
 		c.wakeAt = c.now + gap
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -24,9 +24,9 @@
 		},
 		Reports: WithAnswers,
 		Limits:  Limits{MaxAttempts: 4, MaxRetryAfter: 2 * time.Second, AllowCancel: true},
-		Rules: Rules{RetryDelay: 300 * ms, WarmUp: 15 * time.Second, LoadSpan: 2 * time.Second,
+		Rules: Rules{RetryDelay: 300 * ms, WarmUp: 15 * time.Second, LoadWindow: 2 * time.Second,
 			ColdShare: 0.3, CollapseLoad: 2},
-		Repeat: 400 * ms, Tick: 5 * ms,
+		RepeatInterval: 400 * ms, BatchInterval: 5 * ms,
 	}
 }
 
@@ -136,7 +136,7 @@
 		"rank too high":  func(s *Settings) { s.Rank = 4 },
 		"rank below 0":   func(s *Settings) { s.Rank = -1 },
 		"no attempts":    func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"negative time":  func(s *Settings) { s.Repeat = -1 },
+		"negative time":  func(s *Settings) { s.RepeatInterval = -1 },
 		"negative hold":  func(s *Settings) { s.Classes[0].Hold = -1 },
 		"no aim":         func(s *Settings) { s.Classes[1].Aim = 0 },
 		"worth NaN":      func(s *Settings) { s.Classes[1].Worth = math.NaN() },
@@ -184,7 +184,7 @@
 		set.Reports, set.Limits.AllowProbes = WhenProbed, true
 	}
 	if seed%4 == 1 {
-		set.Repeat = 0
+		set.RepeatInterval = 0
 	}
 	b := newHarness(t, set, upServers(3)...)
 	calls := map[string]*trackedCall{}
@@ -217,11 +217,11 @@
 					recent := 0
 					coldSends[a.Server] = append(coldSends[a.Server], b.now)
 					for _, at := range coldSends[a.Server] {
-						if b.now-at < set.Rules.LoadSpan {
+						if b.now-at < set.Rules.LoadWindow {
 							recent++
 						}
 					}
-					own := set.Rules.CollapseLoad * warm * set.Rules.LoadSpan.Seconds() / float64(set.Senders)
+					own := set.Rules.CollapseLoad * warm * set.Rules.LoadWindow.Seconds() / float64(set.Senders)
 					if float64(recent) > max(1, own) {
 						t.Fatalf("%v: %d sends to cold %s in one window", b.now, recent, a.Server)
 					}
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -101,7 +101,7 @@
 	}
 	if usable(r.WaitSeconds) { // relative to the time that an idle server takes for a set-up
 		wait := time.Duration(r.WaitSeconds * float64(time.Second))
-		utilisation = max(utilisation, float64(wait)/float64(wait+max(s.baseDelay, c.settings.Tick)))
+		utilisation = max(utilisation, float64(wait)/float64(wait+max(s.baseDelay, c.settings.BatchInterval)))
 		c.recordQueue(s, wait)
 		s.reportsWait = true
 	}
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -29,5 +29,5 @@
 	warm := cmp.Or(c.estimateCapacity(s), c.settings.allowance()/float64(len(c.servers)))
 	joint := coldBudgetShare * r.CollapseLoad * (r.ColdShare + (1-r.ColdShare)*age) * warm
 	return c.spread.MaySendCold(c.now, s.ID, s.coldFrom, joint,
-		time.Duration((1/coldBudgetShare-1)*float64(r.LoadSpan)))
+		time.Duration((1/coldBudgetShare-1)*float64(r.LoadWindow)))
 }
