--- a/internal/loglimit/quiet.go
+++ b/internal/loglimit/loglimit.go
@@ -1,5 +1,5 @@
-// Package loglimit keeps a log from flooding: a line that comes too often is passed over for
-// the rest of its second, and the next one of its kind says how many were.
+// Package loglimit limits the rate of log lines with the same message. Lines above the limit are dropped for
+// the rest of the second, and the next line with that message says how many were dropped.
 package loglimit
 
 import (
@@ -9,29 +9,31 @@
 	"time"
 )
 
-// Handler passes at most Most lines of one message in each second on.
+// Handler passes on at most perSecond lines with the same message in each second.
 type Handler struct {
 	next      slog.Handler
 	perSecond int
-	counters  *counters // shared by the handlers made of this one
+	counters  *counters // shared by the handlers derived from this one
 }
 
+// counters holds one counter for each message.
 type counters struct {
 	mu        sync.Mutex
 	byMessage map[string]*counter
 }
 
-// counter is what came of one message text. The texts are constants of the program, but for
-// the module's; maxKinds bounds those.
+// counter counts the lines of one message. Messages are constants of the program, except for those of package
+// policy; maxMessages limits their number.
 type counter struct {
 	windowStart time.Time
 	count       int
 	dropped     int
 }
 
+// maxMessages is the number of messages counted at a time; all counts start anew when it is exceeded.
 const maxMessages = 1000
 
-// New returns a handler before next.
+// New returns a handler that limits the lines passed on to next.
 func New(next slog.Handler, perSecond int) *Handler {
 	return &Handler{next, perSecond, &counters{byMessage: map[string]*counter{}}}
 }
@@ -39,7 +41,7 @@
 // Enabled asks the next handler.
 func (h *Handler) Enabled(ctx context.Context, l slog.Level) bool { return h.next.Enabled(ctx, l) }
 
-// Handle passes a line on unless too many like it came within a second.
+// Handle passes a line on unless its message has reached its limit for this second.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
 	pass, dropped := h.counters.allow(r.Message, r.Time, h.perSecond)
 	if !pass {
@@ -75,12 +77,12 @@
 	return true, dropped
 }
 
-// WithAttrs and WithGroup keep the count of all handlers together.
+// WithAttrs returns a handler with more attributes that shares the counts of this one.
 func (h *Handler) WithAttrs(a []slog.Attr) slog.Handler {
 	return &Handler{h.next.WithAttrs(a), h.perSecond, h.counters}
 }
 
-// WithGroup is as WithAttrs.
+// WithGroup returns a handler with a group that shares the counts of this one.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{h.next.WithGroup(name), h.perSecond, h.counters}
 }
--- a/internal/loglimit/loglimit_test.go
+++ b/internal/loglimit/loglimit_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRateLimit: a fault that comes thousands of times a second must not fill the log, nor
-// hide other lines; the next line of its kind tells how many were left out.
+// TestRateLimit guards against a fault that occurs thousands of times a second filling the log or hiding
+// other lines. The next line with the same message says how many were dropped.
 func TestRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestQueue: the limit binds offers and holds admissions back, what must not be lost passes,
-// and a closed box hands out what it has.
+// TestQueue checks that the limit refuses offers and blocks Put, that Post exceeds it, and that a closed
+// queue still returns its remaining items. An actor would otherwise lose messages that were already accepted.
 func TestQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New[int](2)
@@ -34,21 +34,21 @@
 			assert.Equal(t, want, got)
 		}
 		synctest.Wait()
-		require.Equal(t, int32(1), admitted.Load(), "one place came free")
+		require.Equal(t, int32(1), admitted.Load(), "one item was taken below the limit")
 		b.Close()
 		synctest.Wait()
-		require.Equal(t, int32(1), admitted.Load(), "the other gave up")
+		require.Equal(t, int32(1), admitted.Load(), "the other failed at Close")
 		require.False(t, b.Post(9))
 		n := 0
 		for _, ok := b.Take(); ok; _, ok = b.Take() {
 			n++
 		}
-		assert.Equal(t, 2, n, "what is left is handed out")
+		assert.Equal(t, 2, n, "the remaining items are returned")
 	})
 }
 
-// TestQueueCapacity: an actor that keeps up costs no memory an item, one that never quite does costs what
-// waits, and a box that was full keeps none of it.
+// TestQueueCapacity guards against memory growth: an actor that keeps up allocates nothing per item, a queue
+// that is never empty takes memory only for its waiting items, and a queue that was full releases its memory.
 func TestQueueCapacity(t *testing.T) {
 	b := New[int](1 << 20)
 	for _, waiting := range []int{0, 5} {
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -1,23 +1,23 @@
-// Package recent remembers the calls handled lately, so that what comes for one of them once
-// more is told from what was never heard of.
+// Package recent remembers the ids of calls handled recently, so that a repeated message for one of them can
+// be told from one for an unknown call.
 package recent
 
 import "time"
 
-// An id is remembered for span at least, unless more than most come meanwhile: a flood of
-// ids must not take the memory.
+// An id is remembered for at least retention, unless more than maxPerGeneration other ids are added in that
+// time: a flood of ids must not exhaust memory.
 const (
 	retention        = time.Minute
 	maxPerGeneration = 8192
 )
 
-// Set holds ids in two generations. Its zero value is empty; it is for one goroutine.
+// Set holds ids in two generations. The zero value is an empty set. It is not safe for concurrent use.
 type Set[K comparable] struct {
 	current, previous map[K]struct{}
 	currentSince      time.Time
 }
 
-// Add remembers an id.
+// Add adds an id.
 func (s *Set[K]) Add(id K) {
 	if s.current == nil || len(s.current) >= maxPerGeneration || time.Since(s.currentSince) > retention {
 		s.previous, s.current, s.currentSince = s.current, map[K]struct{}{}, time.Now()
@@ -25,7 +25,7 @@
 	s.current[id] = struct{}{}
 }
 
-// Has tells whether an id is remembered.
+// Has reports whether an id is remembered.
 func (s *Set[K]) Has(id K) bool {
 	_, now := s.current[id]
 	_, before := s.previous[id]
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSet: an id stays for its span and goes in time; a flood of others takes no more than
-// two generations.
+// TestSet checks that an id is kept for the retention time and dropped afterwards, and that a flood of other
+// ids takes no more memory than two generations.
 func TestSet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s Set[int]
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// required are the fields without which an agent would run by a rule that nobody stated, such
-// as a drain with no time. Every deployment of the platform tells them.
+// required lists the fields without which an agent would act by a rule that nobody stated, such as a drain
+// without a time limit. Every deployment of the platform provides them.
 var required = []string{
 	"nInstances", "rank", "resolution", "profiles", "stats.how",
 	"limits.maxAttempts", "limits.connectTimeout",
@@ -16,8 +16,8 @@
 	"guarantees.fallMultiple", "guarantees.tipAfter", "domain.clearWait",
 }
 
-// Check proves the settings of a call agent: a field that is missing, or that contradicts
-// another, is an error that names it. All that is wrong is named at once.
+// Check validates the settings of a call agent. It returns one error for each missing field, or, if none is
+// missing, for each field that contradicts another.
 func Check(text []byte) error {
 	var all map[string]any
 	if err := json.Unmarshal(text, &all); err != nil {
@@ -51,7 +51,7 @@
 	return ok && hasField(next, path[1:])
 }
 
-// contradictions are the fields that can't hold beside others.
+// contradictions returns an error for each field that is invalid by itself or together with others.
 func (in Info) contradictions() (refused []error) {
 	bad := func(field, format string, args ...any) {
 		refused = append(refused, fmt.Errorf("field %s: "+format, append([]any{field}, args...)...))
@@ -77,7 +77,7 @@
 	if in.Domain.ClearWait < 0 {
 		bad("domain.clearWait", "%v", Micros(in.Domain.ClearWait))
 	}
-	if g.DrainGrace <= in.Resolution { // one message's delay at least
+	if g.DrainGrace <= in.Resolution { // a drain notice takes at least the delay of one message
 		bad("guarantees.drainGrace", "%v is no more than resolution, %v: no drain could be kept", Micros(g.DrainGrace), Micros(in.Resolution))
 	}
 	if g.Cold > 0 && (g.FallMultiple <= 0 || g.TipAfter <= 0 || g.ColdFrom <= 0 || g.ColdFrom > 1) {
--- a/internal/settings/check_test.go
+++ b/internal/settings/check_test.go
@@ -14,12 +14,12 @@
 	"guarantees":{"answerSlack":20000,"drainGrace":1000000,"cold":15000000,"coldFrom":0.31,"fallMultiple":2,"tipAfter":1000000},
 	"domain":{"clearWait":300000}}`
 
-// TestCheck: what is missing or contradicts another field is named, whichever it is.
+// TestCheck checks that the error names the field that is missing or contradicts another.
 func TestCheck(t *testing.T) {
 	require.NoError(t, Check([]byte(validSettings)))
 	for _, tc := range []struct {
 		part, field string
-		value       any // nil: the field is left out
+		value       any // nil: the field is absent
 		want        string
 	}{
 		{"guarantees", "drainGrace", nil, "field guarantees.drainGrace: missing"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that an instance gets at its start,
-// the same on the simulator's wire and in a call agent's configuration.
+// Package settings reads the settings object that a call agent gets at its start. It is the same in the
+// simulator's protocol and in a call agent's configuration.
 package settings
 
 import (
@@ -10,7 +10,8 @@
 	"woodrouter/policy"
 )
 
-// Info is the part of the settings object that the program needs; other keys are skipped.
+// Info holds the fields of the settings object that the program uses; others are ignored. Times are in
+// microseconds.
 type Info struct {
 	Senders    int                       `json:"nInstances"`
 	Rank       int                       `json:"rank"`
@@ -48,7 +49,7 @@
 		Widths       []int   `json:"widths"`
 	} `json:"domain"`
 	Discovery string `json:"discovery"`
-	MyZone    string `json:"myZone"` // where this instance stands; "": the platform has no zones
+	MyZone    string `json:"myZone"` // zone of this instance; "": the platform has no zones
 }
 
 type profile struct {
@@ -64,10 +65,10 @@
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
-// Micros turns a number of microseconds into a duration.
+// Micros converts a number of microseconds to a duration.
 func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Parse reads the object's JSON text.
+// Parse parses the JSON text of the settings object.
 func Parse(text []byte) (Info, error) {
 	var in Info
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -76,7 +77,8 @@
 	return in, nil
 }
 
-// ShortestAim is the least time within which a call of some class is to stand; 0: no class.
+// ShortestAim returns the shortest time within which a call of any class should stand, or 0 if there are no
+// classes.
 func (in Info) ShortestAim() (aim time.Duration) {
 	for _, p := range in.Profiles {
 		if d := Micros(p.GoalTime); aim == 0 || d < aim {
@@ -86,7 +88,7 @@
 	return aim
 }
 
-// Policy words the settings object in the module's terms.
+// Policy converts the settings object to the settings of package policy.
 func (in Info) Policy() policy.Settings {
 	s := policy.Settings{
 		Rank: in.Rank, Senders: in.Senders,
