--- a/internal/servers/bulletin/bulletin.go
+++ b/internal/servers/bulletin/bulletin.go
@@ -1,4 +1,4 @@
-// Package bulletin follows the list of setup servers: numbered events, first from the
+// Package bulletin follows the list of setup servers. The list comes as numbered events, first from the
 // configuration, then by long poll over HTTP/1.1.
 package bulletin
 
@@ -21,7 +21,7 @@
 	"woodrouter/policy"
 )
 
-// Batch is what the bulletin answers, and the form of the events known at the start.
+// Batch is an answer of the bulletin, and also the form of the events in the configuration.
 type Batch struct {
 	No    int64  `json:"no"`
 	Items []Item `json:"items"`
@@ -33,7 +33,7 @@
 	Roster *Roster `json:"roster"`
 }
 
-// Roster is the list, or what has changed in it.
+// Roster is the list of setup servers, or the changes to it.
 type Roster struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
@@ -52,7 +52,7 @@
 
 var stateByStatus = map[string]policy.State{"up": policy.Up, "draining": policy.Draining, "removed": policy.Gone}
 
-// Servers words a roster for the core. A malformed entry is an error that names its field.
+// Servers converts a roster for the core. The error for a malformed entry names the field.
 func (r Roster) Servers() ([]agent.Server, error) {
 	var list []agent.Server
 	for i, e := range r.Endpoints {
@@ -77,34 +77,34 @@
 	return list, nil
 }
 
-// Core takes news of the list; *agent.Agent is one.
+// Core receives changes of the list; *agent.Agent implements it.
 type Core interface {
 	Servers(list []agent.Server, whole bool)
 }
 
-// Follower is the actor of the list.
+// Follower is the actor that polls the bulletin. Its exported fields must be set before it is used.
 type Follower struct {
 	Core       Core
 	Log        *slog.Logger
-	PollWait   time.Duration // how long the bulletin may hold an answer back
-	Grace      time.Duration // and how long the answer may take beside that
-	RetryDelay time.Duration // after a failed call
-	Source     net.Addr      // the bulletin is called from this address; nil: the system's choice
+	PollWait   time.Duration // how long the bulletin may delay an answer when there is no news
+	Grace      time.Duration // how much longer the answer may take
+	RetryDelay time.Duration // delay after a failed call
+	Source     net.Addr      // local address of connections to the bulletin; nil: chosen by the system
 
 	mu         sync.Mutex
 	address    string
-	cancelCall context.CancelFunc // ends the call under way
+	cancelCall context.CancelFunc // cancels the call in progress
 
-	lastEvent    int64
-	missingEvent int64 // the event that did not come where it was due; 0: none is missed
+	lastEvent    int64 // number of the last event applied
+	missingEvent int64 // number of the event that was missing from the last answer; 0: none
 	conn         net.Conn
-	answerLimit  *io.LimitedReader // of one answer
+	answerLimit  *io.LimitedReader // limits the size of one answer
 	reader       *bufio.Reader
-	slowAnswers  int // answers in a row that were still coming when their time was up
+	slowAnswers  int // consecutive answers that were incomplete at their deadline
 }
 
-// SetAddress has the bulletin asked at another address from now on. The call under way is cut,
-// as the former address may tell nothing more and yet hold its answer back.
+// SetAddress makes the follower ask the bulletin at another address from now on. The call in progress is
+// cancelled, because the former address may have no more news and still delay its answer.
 func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// nextCall returns the address of the next call and the context that a Move ends.
+// nextCall returns the address for the next call and a context that SetAddress cancels.
 func (f *Follower) nextCall(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,33 +125,33 @@
 	return ctx, f.cancelCall, f.address
 }
 
-// maxAnswer bounds an answer of the bulletin, and maxHead what comes before its body.
+// maxBodyBytes limits the body of an answer, and maxHeadBytes its head.
 const (
 	maxBodyBytes = 4 << 20
 	maxHeadBytes = 64 << 10
 )
 
-// maxGraceDoublings is how often the grace of an answer that keeps coming is doubled: a list that comes slowly
-// is read in the end, and one that stops half-way costs no more than the protocol's 7 s.
+// maxGraceDoublings is how often Grace is doubled for an answer that keeps arriving. A list that arrives
+// slowly is read in the end, and one that stops half-way costs no more than the 7 s that the protocol allows.
 const maxGraceDoublings = 2
 
-// maxRetryFactor is how many times Retry the wait between failed calls grows to; hundreds of processes ask
-// one bulletin, and each draws its wait.
+// maxRetryFactor limits the delay between failed calls, as a multiple of RetryDelay. Hundreds of processes
+// poll one bulletin, so each delay is also randomized.
 const maxRetryFactor = 8
 
-// errMissingEvents tells that an answer left events out. They are asked for once more.
+// errMissingEvents means that an answer left events out. They are requested once more.
 var errMissingEvents = errors.New("events are missing in the answer")
 
-// Apply hands a batch's new events to the core, in order: all that was known at the start.
+// Apply passes the new events of the batch known at the start to the core, in order.
 func (f *Follower) Apply(b Batch) error {
 	err := f.applyEvents(b.Items, true)
 	f.lastEvent = max(f.lastEvent, b.No)
 	return err
 }
 
-// applyEvents hands new events to the core. An event that can't be read is passed over, as asking again
-// would bring the same one. At a gap it stops, unless gaps are allowed: an event that was left out
-// is never told again once a later one has been asked after.
+// applyEvents passes new events to the core. An event that cannot be parsed is skipped, because asking again
+// would return the same one. It stops at a missing event unless allowGaps is set: the bulletin never repeats
+// an event once a later one has been asked after.
 func (f *Follower) applyEvents(items []Item, allowGaps bool) error {
 	var bad error
 	for _, item := range items {
@@ -175,13 +175,13 @@
 	return bad
 }
 
-// handleAnswer takes an answer, and tells whether the next may be asked for at once: not where one came
-// before its time and told nothing, as a bulletin that answers so is not to be asked in a tight loop.
-// What was missing twice at the same place is not to be had.
+// handleAnswer applies an answer and reports whether to poll again at once. It does not if an answer came
+// early and had no news, because a bulletin that answers like that must not be polled in a tight loop. Events
+// missing twice at the same place are given up as unavailable.
 func (f *Follower) handleAnswer(b Batch, took time.Duration) (atOnce bool, err error) {
 	previous := f.lastEvent
 	err = f.applyEvents(b.Items, f.missingEvent == previous+1)
-	if !errors.Is(err, errMissingEvents) && b.No > f.lastEvent { // it says that there are more than it told
+	if !errors.Is(err, errMissingEvents) && b.No > f.lastEvent { // its number is higher than that of its last event
 		err = errors.Join(err, fmt.Errorf("%w: %d is the last, %d was told", errMissingEvents, b.No, f.lastEvent))
 		if f.missingEvent == previous+1 && f.lastEvent == previous {
 			f.lastEvent = b.No
@@ -194,7 +194,7 @@
 	return f.lastEvent > previous && f.missingEvent == 0 || took >= f.PollWait/2, err
 }
 
-// Run polls until ctx ends. A failure ends one call, never the actor.
+// Run polls until ctx ends. A failure or panic ends only one call.
 func (f *Follower) Run(ctx context.Context) {
 	defer f.closeConn()
 	failures, asked := 0, ""
@@ -223,7 +223,8 @@
 	}
 }
 
-// pause waits before the next call, longer with each failure in a row; a new address is asked at once.
+// pause waits before the next call, longer with each consecutive failure. It ends early when the address
+// changes.
 func (f *Follower) pause(call context.Context, failures int) {
 	wait := f.RetryDelay * time.Duration(min(1<<min(max(failures-1, 0), 10), maxRetryFactor))
 	select {
@@ -253,8 +254,8 @@
 	return nil
 }
 
-// poll asks once. The whole call has one limit: an answer that stops half-way, on a
-// connection that stays open, must not keep the list from what comes after it.
+// poll makes one call. The whole call has one deadline, so that an answer that stops half-way on an open
+// connection does not keep later events from being read.
 func (f *Follower) poll(ctx context.Context, address string) (atOnce bool, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -263,7 +264,7 @@
 	}()
 	began := time.Now()
 	deadline := began.Add(f.PollWait + f.Grace<<f.slowAnswers)
-	if f.conn != nil && f.reader.Buffered() > 0 { // more than was asked for: it would pass for the next answer
+	if f.conn != nil && f.reader.Buffered() > 0 { // unexpected data would be taken for the next answer
 		f.closeConn()
 	}
 	if err := f.connect(ctx, address); err != nil {
@@ -281,7 +282,7 @@
 	switch {
 	case err == nil:
 		f.slowAnswers = 0
-	case errors.Is(err, os.ErrDeadlineExceeded) && f.answerLimit.N < maxHeadBytes+maxBodyBytes: // some of it came
+	case errors.Is(err, os.ErrDeadlineExceeded) && f.answerLimit.N < maxHeadBytes+maxBodyBytes: // it came in part
 		f.slowAnswers = min(f.slowAnswers+1, maxGraceDoublings)
 		return false, err
 	default:
@@ -295,12 +296,12 @@
 	case errors.Is(err, errMissingEvents):
 		f.Log.Warn("bulletin left events out", "error", err, "asked_again", f.missingEvent != 0)
 	case err != nil:
-		f.Log.Error("bulletin event passed over", "error", err)
+		f.Log.Error("bulletin event ignored: invalid", "error", err)
 	}
 	return atOnce, nil
 }
 
-// readAnswer reads one answer, and tells whether its connection ends with it.
+// readAnswer reads one answer and reports whether the bulletin closes the connection after it.
 func (f *Follower) readAnswer() (b Batch, closes bool, err error) {
 	resp, err := http.ReadResponse(f.reader, nil)
 	if err != nil {
--- a/internal/servers/bulletin/bulletin_test.go
+++ b/internal/servers/bulletin/bulletin_test.go
@@ -17,10 +17,12 @@
 	"woodrouter/policy"
 )
 
+// fakeCore receives each update of the list as text.
 type fakeCore chan string
 
 func (c fakeCore) Servers(list []agent.Server, whole bool) { c <- fmt.Sprint(whole, " ", list) }
 
+// TestRosterServers checks how entries are converted, and that the error for a malformed one names the field.
 func TestRosterServers(t *testing.T) {
 	const entry = `"name":"s-1","address":"10.1.0.9:5070","zone":"east","new":1`
 	for _, tc := range []struct{ name, in, bad string }{
@@ -48,6 +50,7 @@
 	}
 }
 
+// startFollower runs a follower that polls addr until the end of the test.
 func startFollower(t *testing.T, addr string) (fakeCore, *Follower) {
 	c := make(fakeCore, 100)
 	f := &Follower{Core: c, Log: slog.New(slog.DiscardHandler), PollWait: 200 * time.Millisecond,
@@ -60,19 +63,20 @@
 	return c, f
 }
 
+// nextUpdate waits for the next update.
 func (c fakeCore) nextUpdate(t *testing.T) string {
 	t.Helper()
 	select {
 	case s := <-c:
 		return s
 	case <-time.After(standin.Patience):
-		require.FailNow(t, "no news")
+		require.FailNow(t, "no update of the list")
 		return ""
 	}
 }
 
-// TestEventsInOrder: events come once and in order, over empty answers. One that can't be read
-// is passed over: it would come again for ever.
+// TestEventsInOrder checks that each event is applied once and in order, also after empty answers. An event
+// that cannot be parsed is skipped: asking again would return the same one for ever.
 func TestEventsInOrder(t *testing.T) {
 	b := standin.NewBulletin(t, standin.Endpoint("a", "x:1", 0, "up"))
 	c, _ := startFollower(t, b.Addr)
@@ -83,7 +87,7 @@
 	assert.Empty(t, c)
 }
 
-// TestBadAnswers: a bulletin that answers nonsense, or nothing, is asked again.
+// TestBadAnswers checks that a bulletin with invalid or no answers is asked again.
 func TestBadAnswers(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -107,9 +111,9 @@
 	assert.Contains(t, c.nextUpdate(t), "[{{a -1 0 0s} x:1 }]")
 }
 
-// TestSetAddress: after a move the new address is asked at once for what follows the last event,
-// though the former one still holds its answer back. Waiting for it would leave the list
-// behind by all that it may take.
+// TestSetAddress checks that after a change of address the new one is asked at once for the events after the
+// last one, although the former address still delays its answer. Waiting for that answer would leave the list
+// out of date for as long as it may take.
 func TestSetAddress(t *testing.T) {
 	entry := standin.Endpoint("a", "x:1", 0, "up")
 	old, next := standin.NewBulletin(t, entry), standin.NewBulletin(t, entry)
@@ -125,12 +129,12 @@
 	require.Eventually(t, old.Taken, standin.Patience, time.Millisecond)
 	next.Tell(false, standin.Endpoint("a", "x:1", 0, "draining"))
 	f.SetAddress(next.Addr)
-	assert.Contains(t, c.nextUpdate(t), "false [{{a 0 1 0s} x:1 z}]", "the first event is not told again")
+	assert.Contains(t, c.nextUpdate(t), "false [{{a 0 1 0s} x:1 z}]", "the first event is not applied twice")
 	assert.Empty(t, c)
 }
 
-// TestTruncatedAnswer: an answer that stops half-way is waited for no longer than the patience asked
-// for and the grace; then the bulletin is asked again.
+// TestTruncatedAnswer checks that a follower waits for an answer that stops half-way no longer than PollWait
+// and Grace, and then asks again.
 func TestTruncatedAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -150,5 +154,5 @@
 	began := time.Now()
 	c, f := startFollower(t, ln.Addr().String())
 	assert.Contains(t, c.nextUpdate(t), "[{{a -1 0 0s} x:1 }]")
-	assert.Less(t, time.Since(began), f.PollWait+f.Grace+2*time.Second, "what it would have told counts as told by then")
+	assert.Less(t, time.Since(began), f.PollWait+f.Grace+2*time.Second, "by then its events count as told")
 }
--- a/internal/servers/bulletin/crossing_test.go
+++ b/internal/servers/bulletin/crossing_test.go
@@ -15,20 +15,21 @@
 	"woodrouter/internal/standin"
 )
 
-// scriptedServer is a bulletin that answers the n-th call as the test says, and counts what it is asked.
+// scriptedServer is a bulletin whose answers the test supplies, and which records the queries.
 type scriptedServer struct {
 	addr    string
-	queries chan string // the query of each call
+	queries chan string // the URL query of each call
 }
 
-// startScriptedServer answers calls; answer writes the n-th one and reports whether its connection stays.
+// startScriptedServer starts a bulletin. answer writes the n-th answer and reports whether its connection
+// stays open.
 func startScriptedServer(t *testing.T, answer func(n int, w net.Conn) bool) *scriptedServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
 	s := &scriptedServer{addr: ln.Addr().String(), queries: make(chan string, 100000)}
 	n := 0
-	go func() { // one connection at a time: a second watch beside the first would find nobody
+	go func() { // one connection at a time: a second concurrent poll would get no answer
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
@@ -51,18 +52,20 @@
 	return s
 }
 
-// eventJSON words an event that lists one server.
+// eventJSON returns an event that lists one server.
 func eventJSON(no int, status string) string {
 	return fmt.Sprintf(`{"no":%d,"roster":{"endpoints":[{"name":"a","address":"x:1","status":%q}]}}`, no, status)
 }
 
+// httpAnswer returns an HTTP answer with events; no is the number of the last event by the answer.
 func httpAnswer(no int, items ...string) string {
 	b := fmt.Sprintf(`{"no":%d,"items":[%s]}`, no, strings.Join(items, ","))
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
 }
 
-// TestNoTightLoop: a bulletin that answers at once and tells nothing new is not asked again at
-// once: an old number, events told before, none at all, or one that is left out for good.
+// TestNoTightLoop guards against a tight loop of polls. It would arise with a bulletin that answers at once
+// without news: with an old number, with events already applied, with none, or with one that it always leaves
+// out.
 func TestNoTightLoop(t *testing.T) {
 	for name, answer := range map[string]string{
 		"empty":        httpAnswer(1),
@@ -88,13 +91,13 @@
 			for range 5 {
 				standin.Next(t, s.queries)
 			}
-			assert.GreaterOrEqual(t, time.Since(began), 3*f.RetryDelay/2, "the first call told news; a pause before the third to the fifth")
+			assert.GreaterOrEqual(t, time.Since(began), 3*f.RetryDelay/2, "the first answer had news; there is a pause before the third to the fifth call")
 		})
 	}
 }
 
-// TestMissingEvents: an event that an answer left out is asked for once more, and told before those after
-// it. What is left out again at the same place is not to be had, and does not hold up the rest.
+// TestMissingEvents checks that an event left out of an answer is requested once more and applied before the
+// later ones. If it is left out again it is given up, and does not block the rest.
 func TestMissingEvents(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -122,11 +125,12 @@
 	}
 }
 
-// TestSlowAnswer: an answer that comes byte by byte, past its time, is given longer the next time.
+// TestSlowAnswer checks that an answer that arrives byte by byte and misses its deadline gets more time on
+// the next call.
 func TestSlowAnswer(t *testing.T) {
 	answer := httpAnswer(1, eventJSON(1, "up"))
 	s := startScriptedServer(t, func(_ int, w net.Conn) bool {
-		for i := range answer { // 0.7 s in all; patience and grace are 0.5 s
+		for i := range answer { // 0.7 s in all, while PollWait and Grace add up to 0.5 s
 			if _, err := w.Write([]byte(answer[i : i+1])); err != nil {
 				return false
 			}
@@ -138,7 +142,7 @@
 	c.nextUpdate(t)
 }
 
-// TestOversizedAnswer: an answer without end is cut off at its bound, wherever it has none.
+// TestOversizedAnswer checks that an endless answer is cut off at the limit of its head or body.
 func TestOversizedAnswer(t *testing.T) {
 	for name, begin := range map[string]string{
 		"head": "HTTP/1.1 200 OK\r\nX: ", "body": "HTTP/1.1 200 OK\r\n\r\n", "length": "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
@@ -161,7 +165,7 @@
 				return false
 			})
 			c, _ := startFollower(t, s.addr)
-			assert.Less(t, standin.Next(t, sent), maxBodyBytes+maxHeadBytes+(24<<20), "and what the kernel holds on top")
+			assert.Less(t, standin.Next(t, sent), maxBodyBytes+maxHeadBytes+(24<<20), "plus what the kernel buffers")
 			c.nextUpdate(t)
 		})
 	}
--- a/internal/servers/bulletin/leak_test.go
+++ b/internal/servers/bulletin/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain: no goroutine outlives the tests: what is closed ends with all its connections.
+// TestMain fails if a goroutine outlives the tests, as it would if a connection were not closed completely.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/servers/trunk/hear.go
+++ b/internal/servers/trunk/hear.go
@@ -12,10 +12,10 @@
 	"woodrouter/policy"
 )
 
-// receive handles one message of the server. One that can't be understood ends the connection.
+// receive handles one message from the server. A message that cannot be understood ends the connection.
 func (sa *serverActor) receive(l *link, m isup.Message) {
 	l.lastReceived, l.received = time.Now(), true
-	if l.retired && !l.falseAlarm { // it was slow, not deaf
+	if l.retired && !l.falseAlarm { // it was slow, not stalled
 		l.falseAlarm = true
 		sa.cfg.adaptive.recordFalseAlarm()
 	}
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// handleAnswer takes an answer. One for an attempt that is over is released at the server:
-// nobody else would. A second copy says nothing new, and a release for it would cut a call
-// that stands; nor is there anything to release of an id that was never sent there.
+// handleAnswer handles an answer. A late answer, to an attempt that is over, is released at the server,
+// because nobody else would release it. A second copy is ignored: a release for it would cut the call that
+// stands. So is an answer with an id that was never sent to this server, as there is nothing to release.
 func (sa *serverActor) handleAnswer(l *link, m isup.Message) {
 	a := sa.open[m.Call]
 	switch {
@@ -65,7 +65,7 @@
 		sa.sendRelease(l, m.Call)
 		return
 	case a == nil || a.stands:
-		sa.log.Info("answer passed over", "call", m.Call, "stands", a != nil)
+		sa.log.Info("answer ignored: duplicate or unknown call", "call", m.Call, "stands", a != nil)
 		return
 	}
 	sa.setUpDone(a.link)
@@ -84,7 +84,7 @@
 		return err
 	}
 	a := sa.open[m.Call]
-	if a == nil { // the answer to a give-up, or the end of a call from before a restart
+	if a == nil { // the reply to a release, or the end of a call from before a restart
 		sa.core.UnknownEnded(m.Call.String(), releaseFailure(sa.server.ID, cause, m.Text(isup.Note), true))
 		return nil
 	}
@@ -98,8 +98,9 @@
 	return nil
 }
 
-// parseWait is how long a full processor says that it keeps set-ups waiting; 0: it does not
-// say. The module bounds what it makes of it, as a wait may be longer than any call's deadline.
+// parseWait returns how long a server that refuses a set-up as overloaded says that set-ups wait at its
+// processor; 0: it does not say. Package policy limits the use of this value, because the wait may exceed the
+// deadline of any call.
 func parseWait(m isup.Message) (time.Duration, error) {
 	if _, ok := m.Get(isup.Wait); !ok {
 		return 0, nil
@@ -107,13 +108,13 @@
 	return m.Millis(isup.Wait)
 }
 
-// minIDPrefix is how many hex digits must have come of a call's id to know it among those that
-// stand at one server.
+// minIDPrefix is the number of hex digits needed to identify a call's id among the calls that stand at one
+// server.
 const minIDPrefix = 6
 
-// endTruncatedRelease takes what came of a message that its connection ended in the middle of. A release
-// whose cause is missing still says that its call is over, and it may not be said again: the
-// server has written it. The call's caller is owed the end, and a release makes sure of it at
+// endTruncatedRelease handles the start of a message that was cut off by the end of its connection. A release
+// still says that its call is over, even if its cause is missing, and the server may not repeat it because it
+// has written it. So the end is reported to the caller, and a release makes sure that the call has ended at
 // the server.
 func (sa *serverActor) endTruncatedRelease(begun messageHead) {
 	kind, prefix, ok := isup.ParsePartial(begun)
@@ -122,7 +123,7 @@
 	}
 	for id, a := range sa.open {
 		if a.stands && strings.HasPrefix(id.String(), prefix) {
-			sa.log.Info("release cut off half-way: call taken for over", "call", id)
+			sa.log.Info("release truncated by the end of the connection: call ended", "call", id)
 			sa.sendRelease(sa.link, id)
 			if sa.open[id] == a {
 				sa.endAttempt(id, a, newFailure(sa.server.ID, agent.Stood, policy.Cut, errTruncated), policy.EmptyReport())
@@ -132,7 +133,8 @@
 	}
 }
 
-// releaseFailure words a release; nil: the call has come to its end.
+// releaseFailure converts a release to the failure of an attempt or call. It returns nil if a call that stood
+// ended normally.
 func releaseFailure(server string, cause isup.Cause, note string, stood bool) *agent.Failure {
 	failure := newFailure(server, agent.Responded, policy.Faulted, fmt.Errorf("released with cause %d %s", cause, note))
 	if stood {
@@ -162,11 +164,11 @@
 	return failure
 }
 
-// probe asks for a report with a test of its own call id.
+// probe asks for a load report by a test message with a call id of its own.
 func (sa *serverActor) probe() {
 	if kept := sa.pinSlot(); sa.link == nil || sa.server.State != policy.Up || !kept {
 		result := policy.Unreachable
-		if !kept { // that it has no connection tells nothing of it
+		if !kept { // the missing connection says nothing about the server
 			result = policy.NotSent
 		}
 		sa.core.Reported(policy.ReportReceived{Server: sa.server.ID, Result: result, Solicited: true, Report: policy.EmptyReport()})
@@ -211,8 +213,7 @@
 		Report: report})
 }
 
-// parseReport reads the load report of a message. Fields that the module has no place
-// for are skipped.
+// parseReport reads the load report of a message. Fields that package policy does not use are skipped.
 func parseReport(m isup.Message) (policy.Report, error) {
 	r := policy.EmptyReport()
 	text, ok := m.Get(isup.Report)
--- a/internal/servers/trunk/link.go
+++ b/internal/servers/trunk/link.go
@@ -10,27 +10,29 @@
 
 // link is one connection to the server.
 type link struct {
-	conn            net.Conn
-	readDone        chan struct{} // closed once nothing more is read of it
-	lastReceived    time.Time     // latest message
-	received        bool          // a server tells of its group first; one that hangs is connected to by its kernel alone
-	unanswered      int           // set-ups unanswered on it
-	unansweredSince time.Time     // when they began to be any
-	retired         bool          // another has taken its place; it ends with its last set-up
-	retiredAt       time.Time     // when it was retired
-	falseAlarm      bool          // it has spoken since
-	lastGroupState  time.Time     // when its server last told the group's state on it
-	firstCheck      time.Time     // when it was looked at first
-	nextCheck       time.Time     // when it will be next; zero: no look is due
-	checkTimer      *time.Timer   // of that
+	conn         net.Conn
+	readDone     chan struct{} // closed once reading has ended
+	lastReceived time.Time     // time of the latest message
+	// received is set once a message has come. A server sends its group state first; for a hung server only
+	// its kernel accepts the connection.
+	received        bool
+	unanswered      int         // number of set-ups sent on it and not yet answered
+	unansweredSince time.Time   // since when there have been unanswered set-ups
+	retired         bool        // replaced by another connection; closed after its last set-up
+	retiredAt       time.Time   // when it was replaced
+	falseAlarm      bool        // a message has come since it was replaced
+	lastGroupState  time.Time   // when the server last sent its group state
+	firstCheck      time.Time   // time of the first check
+	nextCheck       time.Time   // time of the next check; zero: none is scheduled
+	checkTimer      *time.Timer // fires at nextCheck
 }
 
-// stalled tells whether set-ups have waited on a connection for so long without a word on it.
+// stalled reports whether set-ups have been unanswered for this long, without any message on the connection.
 func (l *link) stalled(timeout time.Duration) bool {
 	return l.unanswered > 0 && time.Since(l.lastReceived) >= timeout && time.Since(l.unansweredSince) >= timeout
 }
 
-// countedConn is a connection that is counted off when it is closed.
+// countedConn is a connection that decrements a counter when it is closed.
 type countedConn struct {
 	net.Conn
 	count *atomic.Int64
@@ -42,7 +44,7 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite ends what goes out and leaves what comes in.
+// CloseWrite closes the sending side of the connection; the receiving side stays open.
 func (c *countedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -50,12 +52,12 @@
 	return errors.ErrUnsupported
 }
 
-// maxRetiredLinks bounds the connections to a server: with the one in use and the one on its way
-// there are four at most.
+// maxRetiredLinks limits the replaced connections to a server. With the one in use and one being dialled
+// there are at most four.
 const maxRetiredLinks = 2
 
-// linger closes a retired connection a while after its last answer: to a server that sees the
-// end before it knows that its answer has arrived, the set-up is given up, and it cuts the call.
+// linger closes a retired connection some time after its last answer. A server that sees the connection end
+// before it knows that its answer has arrived takes the set-up for given up, and cuts the call.
 func (sa *serverActor) linger(l *link) {
 	time.AfterFunc(sa.cfg.Linger, func() {
 		if !sa.mailbox.Post(func() { sa.discard(l) }) { // the actor has stopped meanwhile
@@ -64,7 +66,7 @@
 	})
 }
 
-// discard closes a connection, and counts a retired one off.
+// discard closes a connection and updates the count of retired connections.
 func (sa *serverActor) discard(l *link) {
 	if l.retired {
 		l.retired = false
@@ -76,30 +78,30 @@
 	l.conn.Close()
 }
 
-// setUpDone counts a set-up off its connection.
+// setUpDone decrements the number of unanswered set-ups of a connection.
 func (sa *serverActor) setUpDone(l *link) {
 	if l.unanswered--; l.unanswered == 0 && l.retired {
 		sa.linger(l)
 	}
 }
 
-// stallDelayFactor is how many times its usual delay an answer may take before its connection is
-// doubted: a server under load is slow on every connection.
+// stallDelayFactor is how many times the usual delay an answer may take before its connection is presumed
+// stalled: a server under load is slow on every connection.
 const stallDelayFactor = 4
 
-// maxStallTimeout bounds the doubt: the ends of calls come by a connection too, and those that it
-// swallowed are said on the next. They are owed to the callers within 1 s, however slow the
-// answers are.
+// maxStallTimeout limits the timeout that slow answers cause. The ends of calls come on the same connection,
+// and those lost there are repeated on the next one. They are owed to the callers within 1 s, however slow
+// the answers are.
 const maxStallTimeout = 600 * time.Millisecond
 
-// maxQueuedTimeout bounds the silence that a stated queue explains. The ends of calls that a
-// silent connection swallowed are owed within 1 s of the server's release; one that waits
-// at the processor is not yet released.
+// maxQueuedTimeout limits the silence that a stated processor wait explains. The ends of calls that are lost
+// on a silent connection are owed within 1 s of the server's release, and a call that waits at the processor
+// is not released yet.
 const maxQueuedTimeout = 1200 * time.Millisecond
 
-// stallTimeout is how long a set-up may wait without a word on its connection. A server that said
-// lately that its processor keeps messages waiting is slow on every connection: a second
-// one would cost a handshake of each of the many senders and show nothing new.
+// stallTimeout returns how long a set-up may wait without a message on its connection. A server that has
+// recently stated that its processor keeps messages waiting is slow on every connection: a second one would
+// cost a handshake from each of its many senders and show nothing new.
 func (sa *serverActor) stallTimeout() time.Duration {
 	timeout := min(max(sa.cfg.StallTimeout, stallDelayFactor*sa.answerDelay), max(sa.cfg.StallTimeout, maxStallTimeout))
 	if sa.statedWait > 0 && time.Since(sa.statedWaitAt) < timeout+sa.statedWait {
@@ -108,23 +110,23 @@
 	return sa.cfg.adaptive.timeout(timeout)
 }
 
-// closeStalledLinks ends the retired connections on which nothing was heard since: the server has
-// shown that it keeps no set-up waiting for so long, so what is out on them is lost.
+// closeStalledLinks closes the retired connections on which nothing was received since they were replaced.
+// The server has shown that it keeps no set-up waiting that long, so the set-ups on them are lost.
 func (sa *serverActor) closeStalledLinks() {
 	for _, a := range sa.open {
 		if l := a.link; l.retired && l.lastReceived.Before(l.retiredAt) {
 			sa.cfg.adaptive.recordStall()
 			sa.linkLost(l, errStalled)
-			sa.closeStalledLinks() // what was open has changed
+			sa.closeStalledLinks() // the open attempts have changed
 			return
 		}
 	}
 }
 
-// checkLink looks whether the connection in use still serves. A server speaks first on a new
-// one, at once. Later, an answer may be lost with all that would follow it on its connection,
-// a machine that vanished leaves its connections open, and a quiet one has nothing to say: a
-// second connection tells these apart, and takes over.
+// checkLink checks whether the connection in use still works. On a new connection the server speaks first, at
+// once. Later, an answer may be lost with all that follows it on the connection, a machine that vanished
+// leaves its connections open, and an idle server has nothing to send. A second connection tells these cases
+// apart, and replaces the first.
 func (sa *serverActor) checkLink(l *link) {
 	if sa.link != l {
 		return
@@ -145,10 +147,10 @@
 	sa.scheduleCheck(l)
 }
 
-// scheduleCheck has the connection looked at when a look may next show something, which is soon while a set-up
-// is out on it. Nothing out, nothing standing: nothing to look for, until a set-up is written. An agent
-// has many servers, and looks at them all would be most of what it does between calls. Wherever one
-// is due, looks are a quarter of Stall apart, counted from the first.
+// scheduleCheck schedules the next check of a connection for when it may find something, which is soon while
+// a set-up is unanswered. With no set-up unanswered and no call standing there is nothing to check until the
+// next set-up: an agent has many servers, and regular checks of all would be most of its work between calls.
+// Checks are a quarter of Config.StallTimeout apart, counted from the first.
 func (sa *serverActor) scheduleCheck(l *link) {
 	now := time.Now()
 	if l.firstCheck.IsZero() {
--- a/internal/servers/trunk/looks_test.go
+++ b/internal/servers/trunk/looks_test.go
@@ -16,7 +16,8 @@
 	"woodrouter/policy"
 )
 
-// silentConn is a connection on which all is written, nothing comes, and deadlines are counted.
+// silentConn is a connection that accepts all writes, delivers only what the test puts into in, and records
+// read deadlines.
 type silentConn struct {
 	net.Conn
 	in        []byte
@@ -36,13 +37,13 @@
 	return n, nil
 }
 
-// checkedActor is a trunk with one connection and an actor that counts what it is woken for.
+// checkedActor is an actor with one connection; it counts how often it is woken up.
 type checkedActor struct {
 	*serverActor
 	firstLink   *link
 	wakeUps     int
-	dialedAfter time.Duration // when another connection was tried first, since the start; 0: never
-	lostAfter   time.Duration // when the connection was given up
+	dialedAfter time.Duration // time from the start to the first dial of another connection; 0: never
+	lostAfter   time.Duration // time from the start to the loss of the first connection; 0: never
 }
 
 func newCheckedActor(cfg Config) *checkedActor {
@@ -69,12 +70,13 @@
 	return k
 }
 
-// runOnActor has the actor do something, which is no wake-up of its own.
+// runOnActor runs f on the actor without counting it as a wake-up.
 func (k *checkedActor) runOnActor(f func()) {
 	k.post(func() { k.wakeUps--; f() })
 	synctest.Wait()
 }
 
+// shutDown stops the actor and its dial.
 func (k *checkedActor) shutDown() {
 	k.runOnActor(func() { k.stopped = true; k.link = nil })
 	if k.cancelDial != nil {
@@ -84,7 +86,8 @@
 	synctest.Wait()
 }
 
-// pollChecks is the rule that looks keep to without saying when they come: one each quarter of Stall.
+// pollChecks checks the connection each quarter of StallTimeout. Scheduled checks must have the same effect
+// as these.
 func (k *checkedActor) pollChecks() {
 	k.post(func() {
 		if k.link != k.firstLink {
@@ -96,18 +99,19 @@
 	})
 }
 
-// stopCheckTimer takes back the look that the trunk itself has set up.
+// stopCheckTimer cancels the check that the actor itself has scheduled.
 func (k *checkedActor) stopCheckTimer() {
 	if k.firstLink.checkTimer != nil {
 		k.firstLink.checkTimer.Stop()
 	}
 }
 
-// TestIdleChecks: what an idle agent is woken for, with figures of a deployment: an aim of 1.5 s.
+// TestIdleChecks guards against needless wake-ups of an idle agent: with many servers they would take most of
+// its processor time. The figures are those of a deployment with an aim of 1.5 s.
 func TestIdleChecks(t *testing.T) {
 	for name, tc := range map[string]struct {
 		out, stand  int
-		least, most int // in a minute, states coming once a second
+		least, most int // wake-ups in a minute with a group state each second
 	}{
 		"nothing out":        {0, 0, 0, 0},
 		"a call that stands": {0, 1, 20, 30},
@@ -129,21 +133,22 @@
 						k.handleAnswer(k.firstLink, isup.Message{Call: isup.CallID(i + 1)})
 					}
 				})
-				time.Sleep(2 * time.Second) // what was due before they were known
+				time.Sleep(2 * time.Second) // let the checks run that were due before
 				k.runOnActor(func() { k.firstLink.lastReceived = time.Now(); k.wakeUps = 0 })
 				for range 60 {
 					time.Sleep(time.Second)
 					k.runOnActor(func() { k.firstLink.lastReceived = time.Now() })
 				}
 				assert.True(t, tc.least <= k.wakeUps && k.wakeUps <= tc.most, "%d times", k.wakeUps)
-				assert.Equal(t, tc.out > 0, k.dialedAfter > 0, "states alone answer nothing")
+				assert.Equal(t, tc.out > 0, k.dialedAfter > 0, "group states do not answer a set-up")
 			})
 		})
 	}
 }
 
-// TestChecksOnTime: whatever is written, answered, ended and heard at whatever time, a silent connection
-// is doubted at the moment at which it would be if it were looked at each quarter of Stall.
+// TestChecksOnTime guards against a stall being detected late because a check was not scheduled. Whatever is
+// written, answered, ended and received, a silent connection must be replaced or given up at the same time as
+// with a check each quarter of StallTimeout.
 func TestChecksOnTime(t *testing.T) {
 	dials, losses := 0, 0
 	for seed := range uint64(200) {
@@ -198,8 +203,8 @@
 	assert.Greater(t, losses, 5)
 }
 
-// TestReadDeadlines: a message that is there whole has no deadline set for it; one that comes in parts has
-// its own from its beginning, and what comes after it none.
+// TestReadDeadlines guards against needless calls to set deadlines. A message that is there whole gets none,
+// one that comes in parts gets one from its start, and the time between messages has none.
 func TestReadDeadlines(t *testing.T) {
 	m, err := isup.Message{Type: isup.Progress, Call: 1}.Append(nil)
 	require.NoError(t, err)
@@ -228,7 +233,7 @@
 		}
 		s.endMessage()
 	}
-	require.Len(t, c.deadlines, 2, "one a message")
+	require.Len(t, c.deadlines, 2, "one for each message")
 	for _, d := range c.deadlines {
 		assert.WithinRange(t, d, began.Add(s.interval), time.Now().Add(s.interval))
 	}
--- a/internal/servers/trunk/places.go
+++ b/internal/servers/trunk/places.go
@@ -14,20 +14,20 @@
 
 var errNoSlot = errors.New("all connections to setup servers are in use")
 
-// defaultYieldTimeout bounds how long a dial waits until the connection whose place it takes has ended. That
-// one is idle, and so is its actor.
+// defaultYieldTimeout is how long a dial waits for the evicted connection to end. That connection is idle,
+// and so is its actor.
 const defaultYieldTimeout = 100 * time.Millisecond
 
-// slots is the pool's table of who may have a connection (package subset). The actors reach it past
-// their mailboxes: who takes a place has it at once, and whoever had it sees that at the last
-// moment before it sends anything.
+// slots is the table of which servers have a slot for a connection (package subset). Actors call it directly
+// and not through their mailboxes: an actor that takes a slot has it at once, and the actor that had it
+// notices at the last moment before it sends anything.
 type slots struct {
 	mu            sync.Mutex
 	table         *subset.Table
 	actors        map[string]*serverActor
-	linkedServers int             // servers with a connection
-	withoutSlot   map[string]bool // those that were told of as without a place
-	fits          bool            // the list fitted when last looked at
+	linkedServers int             // number of servers with a connection
+	withoutSlot   map[string]bool // servers last reported as without a slot
+	fits          bool            // every server could have a slot at the last evaluation
 	notify        func(ids []string, hasSlot bool)
 	log           *slog.Logger
 	serves        atomic.Bool
@@ -40,7 +40,7 @@
 	return s
 }
 
-// setListed notes what the list says of a server.
+// setListed records the list entry of a server.
 func (s *slots) setListed(actor *serverActor, id string, up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	s.table.Update(id, up)
 }
 
-// remove drops a server whose actor has ended.
+// remove removes a server whose actor has ended.
 func (s *slots) remove(actor *serverActor, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,13 +61,15 @@
 	delete(s.withoutSlot, id)
 }
 
-// rebalance finds the standing set anew, and has those connect that came into it, but for those in named.
+// rebalance recomputes the preferred set and connects the servers that came into it, but for those in except,
+// which connect when their actors are updated.
 func (s *slots) rebalance(except map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rebalanceLocked(except)
 }
 
+// rebalanceLocked is rebalance for callers that hold the lock.
 func (s *slots) rebalanceLocked(except map[string]bool) {
 	for _, id := range s.table.UpdatePreferred() {
 		if actor := s.actors[id]; !except[id] {
@@ -91,10 +93,12 @@
 	s.updateServes()
 }
 
-// updateServes sets whether calls can be served. Where all have a place, a call finds out.
+// updateServes records whether calls can be served. If every server can have a slot this is assumed, and a
+// call shows whether its server is reachable.
 func (s *slots) updateServes() { s.serves.Store(s.table.Fits() || s.linkedServers > 0) }
 
-// notifyChanges tells of servers that have lost their place or come by one, where not all have one.
+// notifyChanges reports the servers that have lost their slot or got one, while not every server can have
+// one.
 func (s *slots) notifyChanges(ids ...string) {
 	if s.notify == nil {
 		return
@@ -118,8 +122,8 @@
 	}
 }
 
-// acquire gives a server a place, pinned until its actor's event is over. had: it had one. freed is
-// closed once the connection whose place it is has ended; nil: there is none.
+// acquire gives a server a slot, pinned until its actor's current event is over. had reports whether it
+// already had one. freed is closed once the evicted connection has ended; it is nil if there is none.
 func (s *slots) acquire(actor *serverActor, purpose subset.Purpose) (freed <-chan struct{}, had, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +145,8 @@
 	return freed, had, ok
 }
 
-// pin pins a server's place until its actor's event is over; false: it has none any more.
+// pin pins a server's slot until its actor's current event is over. It returns false if the server has lost
+// its slot.
 func (s *slots) pin(actor *serverActor) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,29 +163,29 @@
 	return s.actors[actor.serverID] == actor && s.table.HasSlot(actor.serverID)
 }
 
-// excluded tells whether a server has no place as not every one may have one.
+// excluded reports whether a server has no slot because not every server can have one.
 func (s *slots) excluded(actor *serverActor) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.actors[actor.serverID] == actor && !s.table.Fits() && !s.table.HasSlot(actor.serverID)
 }
 
-// preferred tells whether a server is to have a connection though no call is for it.
+// preferred reports whether a server should have a connection even if no call needs it.
 func (s *slots) preferred(actor *serverActor) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.actors[actor.serverID] == actor && s.table.IsPreferred(actor.serverID)
 }
 
-// setLink notes the connection that a server's place holds now.
+// setLink records the connection that now uses a server's slot.
 func (s *slots) setLink(actor *serverActor, l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	actor.readDone = l.readDone
 }
 
-// addExtra tells whether a connection beside a server's first may be opened. most bounds all
-// connections where the list fits, as it did before there were places.
+// addExtra reports whether a second connection to a server may be opened. If every server can have a slot,
+// limit bounds the connections to all servers.
 func (s *slots) addExtra(actor *serverActor, now, limit int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,6 +195,7 @@
 	return s.actors[actor.serverID] != actor || s.table.AddExtra(actor.serverID)
 }
 
+// countLink updates the number of servers with a connection.
 func (s *slots) countLink(actor *serverActor, up bool) {
 	if up != actor.countedLinked {
 		actor.countedLinked = up
@@ -202,7 +208,7 @@
 	}
 }
 
-// setUse takes what a server's place is used for after an event of its actor.
+// setUse records what a server's slot is used for after an event of its actor.
 func (s *slots) setUse(actor *serverActor, u usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,14 +230,14 @@
 	}
 }
 
-// usage is what an actor tells of its place.
+// usage is what an actor reports about its slot.
 type usage struct {
 	subset.Use
 	linked     bool
-	extraConns int // connections beyond the first
+	extraConns int // connections in addition to the first
 }
 
-// reportUsage tells the table what the event that is over has changed.
+// reportUsage reports to the table what the current event has changed.
 func (sa *serverActor) reportUsage() {
 	u := usage{Use: subset.Use{Pinned: len(sa.open)+len(sa.unsentReleases)+len(sa.waiting) > 0 || sa.dialing || sa.retiredLinks > 0, Failed: sa.dialFailures > 0},
 		linked: sa.link != nil, extraConns: sa.retiredLinks}
@@ -244,36 +250,36 @@
 	}
 }
 
-// acquireSlot has this server come by a place, or keep it; false: none is to be had.
+// acquireSlot gets a slot for this server or keeps the one it has. It returns false if none is available.
 func (sa *serverActor) acquireSlot(purpose subset.Purpose) bool {
 	sa.slotUsed = true
 	freed, had, ok := sa.slots.acquire(sa, purpose)
 	if ok && !had {
 		sa.slotFreed = freed
-		if l := sa.link; l != nil { // its place was another's meanwhile
+		if l := sa.link; l != nil { // another server had the slot meanwhile
 			sa.linkLost(l, errNoSlot)
 		}
 	}
 	return ok
 }
 
-// pinSlot tells whether this server still has its place, at the last moment before something is
-// written: what is written on a connection that is about to end may be lost with it.
+// pinSlot reports whether this server still has its slot. It is called at the last moment before a write,
+// because what is written on a connection that is about to end may be lost.
 func (sa *serverActor) pinSlot() bool {
 	sa.slotUsed = true
 	return sa.slots.pin(sa)
 }
 
-// yieldSlot ends the connection whose place another server has taken.
+// yieldSlot closes the connection if another server has taken its slot.
 func (sa *serverActor) yieldSlot() {
 	if sa.link != nil && !sa.slots.has(sa) {
 		sa.linkLost(sa.link, errNoSlot)
 	}
 }
 
-// reserveConn tells whether a connection may be opened, and counts it.
+// reserveConn reports whether a connection may be opened, and counts it if so.
 func (sa *serverActor) reserveConn() bool {
-	if sa.link != nil { // a second connection is a luxury where descriptors are short
+	if sa.link != nil { // a second connection is not essential when file descriptors are scarce
 		if n := sa.connCount.Add(1); sa.slots.addExtra(sa, n, int64(sa.cfg.ExtraConnLimit)) {
 			return true
 		}
@@ -294,7 +300,7 @@
 	return true
 }
 
-// retryLater has a connection that found no place tried again later.
+// retryLater schedules another dial when no slot was free.
 func (sa *serverActor) retryLater() {
 	if !sa.retryScheduled {
 		sa.retryScheduled = true
@@ -304,7 +310,7 @@
 	}
 }
 
-// slotTimedOut ends the set-ups of a dial whose place did not come free.
+// slotTimedOut fails the set-ups of a dial whose slot was not freed in time.
 func (sa *serverActor) slotTimedOut() {
 	sa.failWaiting(agent.Unwritten, policy.NotSent, errNoSlot)
 	if len(sa.unsentReleases)+len(sa.open) > 0 || sa.slots.preferred(sa) {
@@ -312,7 +318,7 @@
 	}
 }
 
-// awaitSlot waits until the connection has ended whose place is taken.
+// awaitSlot waits until the evicted connection has ended.
 func awaitSlot(done, freed <-chan struct{}, limit time.Duration) error {
 	if freed == nil {
 		return nil
--- a/internal/servers/trunk/places_test.go
+++ b/internal/servers/trunk/places_test.go
@@ -18,7 +18,7 @@
 	"woodrouter/policy"
 )
 
-// cluster is setup servers and a pool that counts its dials, its draws and its connections.
+// cluster is a set of setup servers and a pool, and counts dials, random delays and connections.
 type cluster struct {
 	*Pool
 	core    *fakeCore
@@ -26,14 +26,14 @@
 	list    []agent.Server
 
 	mu           sync.Mutex
-	dials        map[string]int // by server
+	dials        map[string]int // number of dials by server id
 	open         int
 	maxOpen      int
 	randomDelays atomic.Int32
-	hasSlot      map[string]bool // as told
+	hasSlot      map[string]bool // last value passed to OnSlotsChanged, by server id
 }
 
-// closeNotifyConn is a connection that tells of its end.
+// closeNotifyConn is a connection that calls a function once when it is closed.
 type closeNotifyConn struct {
 	net.Conn
 	once    sync.Once
@@ -45,6 +45,7 @@
 	return c.Conn.Close()
 }
 
+// newCluster starts the given number of servers and a pool.
 func newCluster(t *testing.T, servers int, cfg Config) *cluster {
 	w := &cluster{servers: map[string]*standin.Server{}, dials: map[string]int{}, hasSlot: map[string]bool{}}
 	at := map[string]string{}
@@ -64,7 +65,7 @@
 	}
 	cfg.Dial = func(_ context.Context, address string) (net.Conn, error) {
 		w.mu.Lock()
-		w.dials[at[address]]++ // before the server can see it
+		w.dials[at[address]]++ // counted before the server can see the connection
 		w.mu.Unlock()
 		conn, err := net.Dial("tcp", address)
 		w.mu.Lock()
@@ -84,6 +85,7 @@
 	return w
 }
 
+// dialled returns how many servers were dialled, and how often in all.
 func (w *cluster) dialled() (servers, dials int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,7 +95,7 @@
 	return servers, dials
 }
 
-// awaitDialled waits until so many servers were dialled, and lists them apart from the others.
+// awaitDialled waits until n servers were dialled, and returns them and the others.
 func (w *cluster) awaitDialled(t *testing.T, n int) (connected, others []string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -114,7 +116,7 @@
 	return connected, others
 }
 
-// call hands a set-up to a server.
+// call passes a set-up for a server to the pool and returns its id.
 func (w *cluster) call(server string, n int) string {
 	a := newAttempt(isup.CallID(n).String(), 3*time.Second)
 	a.Server = server
@@ -122,7 +124,7 @@
 	return a.ID
 }
 
-// standCall has a call stand at a server.
+// standCall sets up a call at a server and waits until it stands.
 func (w *cluster) standCall(t *testing.T, server string, n int) standin.Got {
 	t.Helper()
 	id := w.call(server, n)
@@ -133,7 +135,7 @@
 	return g
 }
 
-// runOnActor has a server's actor do something and waits for it.
+// runOnActor runs do on a server's actor and waits until its effects are recorded.
 func (w *cluster) runOnActor(server string, do func(a *serverActor)) {
 	done := make(chan struct{})
 	a := w.actors[server]
@@ -145,9 +147,10 @@
 	<-synced
 }
 
-// TestAllServersFit: where the list fits in the agent's part there are the same dials and the same draws as
-// without any bound: one of each for each server, none for the calls, one dial for a connection
-// that was lost, none for news that tell nothing new, and one beside a connection in doubt.
+// TestAllServersFit guards against side effects of a limit that is not reached. If every server can have a
+// connection, dials and random delays are the same as without a limit: one of each for each server, none for
+// calls, one dial for a lost connection, none for updates without changes, and one for a second connection
+// when the first is presumed stalled.
 func TestAllServersFit(t *testing.T) {
 	const servers = 60
 	for name, part := range map[string]int{"no bound": 0, "256 descriptors": 96, "all but full": 69} {
@@ -173,7 +176,7 @@
 			first.Conn.Close()
 			require.Eventually(t, func() bool { return len(w.servers[near[0]].Conns()) == 2 }, standin.Patience, ms)
 			counts(servers+1, servers)
-			w.call(near[1], 100) // unanswered: the connection is doubted
+			w.call(near[1], 100) // unanswered: the connection is presumed stalled
 			require.Eventually(t, func() bool { return len(w.servers[near[1]].Conns()) == 2 }, standin.Patience, ms)
 			counts(servers+2, servers)
 			assert.Empty(t, w.hasSlot)
@@ -182,11 +185,12 @@
 	}
 }
 
-// TestSubset: a list that does not fit has its standing set connected and no others. A call to
-// another has it dialled; where all places are in use it is told so at once, as not sent, and once
-// a call has ended its place is taken. There are never more connections than places.
+// TestSubset covers a list with more servers than connection slots. Only the preferred set is connected at
+// first. A call to another server makes the pool dial it. If all slots are in use, the call fails at once as
+// not sent, and once another call has ended its slot is taken over. There are never more connections than
+// slots.
 func TestSubset(t *testing.T) {
-	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour}) // seven places
+	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour}) // seven slots
 	w.Servers(w.list, true)
 	near, far := w.awaitDialled(t, 3)
 	require.Eventually(t, w.Serves, standin.Patience, ms)
@@ -200,15 +204,15 @@
 	for asked := false; !asked; {
 		p := standin.Next(t, w.core.reports)
 		if asked = p.Solicited; asked {
-			assert.Equal(t, policy.NotSent, p.Result, "it tells nothing of the server")
+			assert.Equal(t, policy.NotSent, p.Result, "it says nothing about the server")
 		}
 	}
 	for i, id := range near {
-		w.standCall(t, id, 20+i) // who has a place serves
+		w.standCall(t, id, 20+i) // a server with a slot serves calls
 	}
 	last.Release(isup.Normal, "")
-	require.Nil(t, w.core.awaitEvent(t).err, "the end of a call comes by its connection")
-	time.Sleep(100 * ms) // a place is free to take once it was idle for a while
+	require.Nil(t, w.core.awaitEvent(t).err, "the end of a call comes on its connection")
+	time.Sleep(100 * ms) // a slot can be taken over only after it has been idle for a while
 	w.standCall(t, far[4], 11)
 	servers, dials := w.dialled()
 	assert.Equal(t, []int{8, 8}, []int{servers, dials})
@@ -220,8 +224,9 @@
 	assert.False(t, w.hasSlot[far[5]])
 }
 
-// fillSlots fills the places of a list that does not fit, all but one in use, and returns the idle
-// server, whose actor can be held until free is called, and one without a place.
+// fillSlots fills the slots of a pool with fewer slots than servers, all but one with calls. It returns the
+// server with the idle slot, a server without a slot, a channel on which the test can block the actor of the
+// idle one, and a function that closes this channel.
 func fillSlots(t *testing.T, cfg Config) (w *cluster, idle, other string, hold <-chan struct{}, free func()) {
 	cfg.MaxConns, cfg.Jitter, cfg.SilenceTimeout, cfg.Linger, cfg.ConnectTimeout = 8, ms, time.Hour, 50*ms, standin.Patience
 	w = newCluster(t, 20, cfg)
@@ -241,9 +246,9 @@
 	return w, far[3], far[4], held, free
 }
 
-// TestSlotTakenWhileQueued: a place is taken while a set-up for the one that had it waits in its mailbox.
-// Nothing goes out on the connection that is about to end: the call is told to go elsewhere, and the
-// other's is served.
+// TestSlotTakenWhileQueued covers a slot that is taken while a set-up for its former server waits in the
+// mailbox. Sent on the connection that is about to end, the set-up might be lost. So it must fail as not
+// sent, and the other set-up must be served.
 func TestSlotTakenWhileQueued(t *testing.T) {
 	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.Patience})
 	w.actors[idle].post(func() { <-held })
@@ -255,12 +260,12 @@
 	assert.Equal(t, late, end.id)
 	w.servers[other].Await(t, isup.SetUp).Answer("")
 	require.True(t, w.core.awaitEvent(t).stands)
-	assert.Equal(t, 1, w.servers[idle].Seen(isup.SetUp, 0), "the one that it had before")
+	assert.Equal(t, 1, w.servers[idle].Seen(isup.SetUp, 0), "only the earlier set-up")
 	assert.LessOrEqual(t, w.maxOpen, 7)
 }
 
-// TestSlotNotYielded: where the one whose place is taken stands still, the call does not wait for it.
-// That no connection came tells nothing of the server that it was for.
+// TestSlotNotYielded covers an actor that is blocked while its slot is taken. The call must fail at once and
+// not wait for it, and the missing connection must not count against the server that the call was for.
 func TestSlotNotYielded(t *testing.T) {
 	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: 50 * ms})
 	w.actors[idle].post(func() { <-held })
@@ -271,9 +276,9 @@
 	free()
 }
 
-// TestReleaseAfterSlotTaken: an answer that comes too late is released at its server even where its place was
-// taken meanwhile: on a connection of its own, once there is a place, as what is written on one
-// that ends at once may be lost.
+// TestReleaseAfterSlotTaken covers a late answer that is handled after its server has lost its slot. Its
+// release might be lost on the connection that is about to end, and the call would stand for ever. So it must
+// be sent on a new connection, once there is a slot.
 func TestReleaseAfterSlotTaken(t *testing.T) {
 	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.Patience, RedialInterval: 100 * ms})
 	id := w.call(idle, 50)
@@ -284,7 +289,7 @@
 	time.Sleep(100 * ms)
 	w.actors[idle].post(func() { <-held })
 	g.Answer("late")
-	time.Sleep(300 * ms) // it waits in the mailbox
+	time.Sleep(300 * ms) // until the answer waits in the mailbox
 	w.call(other, 51)
 	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.Patience, ms)
 	free()
@@ -299,8 +304,8 @@
 	assert.LessOrEqual(t, w.maxOpen, 7)
 }
 
-// TestDeadServerReplaced: for a server of the standing set that dies the next in order is connected to, and the
-// pool serves; it does not once no server is left.
+// TestDeadServerReplaced checks that the next server in order is connected when one of the preferred set
+// dies, and that the pool stops serving only when no server is left.
 func TestDeadServerReplaced(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour, RedialInterval: 20 * ms})
 	w.Servers(w.list, true)
@@ -318,8 +323,8 @@
 	require.Eventually(t, w.Serves, standin.Patience, ms)
 }
 
-// TestListGrowsAndShrinks: a list that grows past the places ends no connection and loses no call; one that
-// fits again has all connected to.
+// TestListGrowsAndShrinks checks that a list that grows past the number of slots ends no connection and loses
+// no call, and that all servers of a list that fits again are connected.
 func TestListGrowsAndShrinks(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour})
 	w.Servers(w.list[:7], true)
@@ -330,9 +335,9 @@
 	assert.EqualValues(t, 7, w.connCount.Load())
 	g.Release(isup.Normal, "")
 	require.Nil(t, w.core.awaitEvent(t).err)
-	w.Servers(w.list[10:15], true) // others altogether
+	w.Servers(w.list[10:15], true) // entirely different servers
 	require.Eventually(t, func() bool {
-		w.Servers(nil, false) // those that have gone are forgotten with the next news
+		w.Servers(nil, false) // actors of servers that are gone are dropped with the next update
 		for _, s := range w.list[10:15] {
 			if len(w.servers[s.ID].Conns()) == 0 {
 				return false
@@ -349,8 +354,8 @@
 	}
 }
 
-// TestUnknownReleaseReachesAll: a release of a call from before the start reaches a server without a place as soon as
-// it has a connection.
+// TestUnknownReleaseReachesAll checks that the release of a call from before the start also reaches a server
+// without a slot, as soon as it has a connection. Otherwise the call would stand there for ever.
 func TestUnknownReleaseReachesAll(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, SilenceTimeout: time.Hour})
 	w.Servers(w.list, true)
--- a/internal/servers/trunk/pool.go
+++ b/internal/servers/trunk/pool.go
@@ -1,5 +1,5 @@
-// Package trunk carries set-ups to setup servers: one actor a server, with one
-// long-lived connection that is replaced when it stalls. It is the backend of package agent on binary signalling.
+// Package trunk sends set-ups to setup servers by binary signalling; it is a backend of package agent. Each
+// server has an actor with one long-lived connection, which is replaced when it stalls.
 package trunk
 
 import (
@@ -16,7 +16,7 @@
 	"woodrouter/policy"
 )
 
-// Core is what a pool tells of attempts; *agent.Agent is one.
+// Core receives the outcomes of attempts and the servers' load reports; *agent.Agent implements it.
 type Core interface {
 	Stands(id string, n int, description []byte)
 	Ended(id string, n int, err *agent.Failure, r policy.Report)
@@ -24,35 +24,44 @@
 	Reported(p policy.ReportReceived)
 }
 
-// Config are a pool's figures; the zero values of times get defaults.
+// Config configures a pool. Times that are not positive get defaults.
 type Config struct {
-	ConnectTimeout      time.Duration // a connection not up by then is unreachable
-	WriteTimeout        time.Duration
-	ProbeTimeout        time.Duration
-	Aim                 time.Duration // the shortest aim of a call: what follows is measured by it
-	MessageInterval     time.Duration // a message that has begun goes on within twice this, and is whole within four times
-	StallTimeout        time.Duration // a set-up waits so long without a word: another connection is tried
-	FirstMessageTimeout time.Duration // a new connection on which nothing is said by then is mute
-	Linger              time.Duration // a connection that was replaced stays so long after its last answer
-	StopLinger          time.Duration // a server may take so long to see that a connection ends with the process
-	SilenceTimeout      time.Duration // without a word for so long, a server that holds calls is looked for anew
-	RedialInterval      time.Duration // between connections tried without a set-up that waits, about
-	Jitter              time.Duration // a new server is connected to within this
-	CutGrace            time.Duration // between a refused connection and the end of the calls it proves dead
+	ConnectTimeout time.Duration // limit of a dial; a server not connected by then is unreachable
+	WriteTimeout   time.Duration // limit of a write; the connection ends after it
+	ProbeTimeout   time.Duration // limit of a probe
+	Aim            time.Duration // shortest aim of a call; some defaults of the times below follow from it
+	// MessageInterval limits pauses in a message: once begun, it must continue within twice this time and be
+	// complete within four times this time.
+	MessageInterval time.Duration
+	// StallTimeout is the shortest time without a message after which a connection with an unanswered set-up
+	// is presumed stalled, and another one is opened.
+	StallTimeout        time.Duration
+	FirstMessageTimeout time.Duration // a new connection without a message by then is given up
+	Linger              time.Duration // a replaced connection stays open this long after its last answer
+	StopLinger          time.Duration // how long a stopping pool waits for servers to end their connections
+	SilenceTimeout      time.Duration // a server with calls is dialled anew after this long without a message
+	RedialInterval      time.Duration // approximate interval between dials that no set-up waits for
+	Jitter              time.Duration // a new server is dialled after a random delay of up to this
+	CutGrace            time.Duration // delay from a refused connection to the end of the calls it proves lost
 	Probes              bool          // servers may be probed
-	Mailbox             int           // most messages of a server that wait
-	ExtraConnLimit      int           // past so many connections to all servers none is opened beside another; 0: no bound
-	MaxConns            int           // most connections to all servers, whatever they are for; 0: no bound
-	Name                string        // of the agent: with it a subset of the servers is found where Part does not hold all
-	Source              net.Addr      // servers are called from this address; nil: the system's choice
-	Log                 *slog.Logger
-	adaptive            *adaptiveTimeout                    // of all the pool's servers
-	randomDelay         func(d time.Duration) time.Duration // a time of up to d
-	yieldTimeout        time.Duration                       // a dial waits so long for the place it takes
-	Dial                func(ctx context.Context, address string) (net.Conn, error)
-	OnSetUpSent         func(class, zone string) // hears of each set-up written whole, and its server's zone; nil: nobody
-	// OnSlotsChanged hears which servers have lost their place for a connection, or come by one, where Part does
-	// not hold all; nil: nobody. It may not wait.
+	Mailbox             int           // limit of the messages that wait for a server's actor
+	// ExtraConnLimit is the number of connections to all servers above which no server gets a second one; 0:
+	// no limit. It applies while every server can have a slot.
+	ExtraConnLimit int
+	MaxConns       int // limit of the connections to all servers; 0: no limit
+	// Name is the agent's name. It determines the subset of servers to connect to if MaxConns is too low for
+	// all.
+	Name         string
+	Source       net.Addr // local address of connections to servers; nil: chosen by the system
+	Log          *slog.Logger
+	adaptive     *adaptiveTimeout                    // shared by all actors of the pool
+	randomDelay  func(d time.Duration) time.Duration // returns a random duration of up to d
+	yieldTimeout time.Duration                       // how long a dial waits for the evicted connection to end
+	Dial         func(ctx context.Context, address string) (net.Conn, error)
+	// OnSetUpSent is called for each completely written set-up, with its server's zone. It may be nil.
+	OnSetUpSent func(class, zone string)
+	// OnSlotsChanged is called with the servers that have lost their connection slot or got one, while
+	// MaxConns is too low for all servers. It must not block. It may be nil.
 	OnSlotsChanged func(ids []string, hasSlot bool)
 }
 
@@ -104,7 +113,8 @@
 	}
 }
 
-// Pool is the actors of all setup servers. Its methods are for the core's goroutine.
+// Pool holds the actors of all setup servers. Its methods are called from the core's goroutine, unless noted
+// otherwise.
 type Pool struct {
 	cfg       Config
 	core      Core
@@ -115,7 +125,7 @@
 	slots     *slots
 }
 
-// Sent counts the set-ups that were written whole. It may be read at any time.
+// Sent returns the number of completely written set-ups. It is safe for concurrent use.
 func (p *Pool) Sent() int64 { return p.sentCount.Load() }
 
 // NewPool returns a pool without servers that reports to core.
@@ -124,11 +134,12 @@
 	return &Pool{cfg: cfg, core: core, actors: map[string]*serverActor{}, slots: newSlots(cfg)}
 }
 
-// Serves tells whether calls can be served as far as connections go: where not every server may have
-// one, some server has. It may be asked at any time.
+// Serves reports whether calls can be served as far as connections go: every server may have a connection, or
+// some server has one. It is safe for concurrent use.
 func (p *Pool) Serves() bool { return p.slots.serves.Load() }
 
-// Servers starts an actor for each new server and tells the others what has changed.
+// Servers starts an actor for each new server and passes changes on to the others. If whole is set the list
+// is complete, and servers that are not on it are gone.
 func (p *Pool) Servers(list []agent.Server, whole bool) {
 	listed := map[string]bool{}
 	for _, s := range list {
@@ -148,7 +159,7 @@
 			p.slots.setListed(actor, id, false)
 		}
 	}
-	p.slots.rebalance(listed) // before the actors hear: who connects must find its place
+	p.slots.rebalance(listed) // before the actors are updated: one that connects needs its slot
 	for _, s := range list {
 		actor := p.actors[s.ID]
 		if actor == nil {
@@ -165,7 +176,7 @@
 			actor.notAccepting.Store(true)
 			actor.post(actor.withdraw)
 		}
-		// Its actor may not have read yet that it is back: what the list said last counts.
+		// The actor may not have handled yet that its server is back, so the latest list decides.
 		if actor.withdrawn && actor.finished.Load() {
 			actor.mailbox.Close()
 			delete(p.actors, id)
@@ -178,7 +189,7 @@
 	}
 }
 
-// SetUp hands an attempt to its server's actor.
+// SetUp passes an attempt to its server's actor.
 func (p *Pool) SetUp(a agent.Attempt) {
 	actor := p.actors[a.Server]
 	if actor == nil || !actor.mailbox.Offer(func() { actor.setUp(a) }) {
@@ -186,18 +197,19 @@
 	}
 }
 
-// GiveUp ends an attempt or the call that stands on it.
+// GiveUp ends an attempt, or the call that stands as its result.
 func (p *Pool) GiveUp(server, id string, number int, why policy.Result) {
 	if actor := p.actors[server]; actor != nil {
 		actor.post(func() { actor.giveUp(id, number, why) })
 	}
 }
 
-// maxUnknownReleases bounds the releases of unknown calls that wait for a server's next connection.
+// maxUnknownReleases limits the releases of unknown calls that wait for a server's next connection.
 const maxUnknownReleases = 64
 
-// ReleaseUnknown has every server that is connected end the call, and those without a place once they
-// have a connection; those that do not hold it have nothing to do.
+// ReleaseUnknown releases a call at every connected server, because it is not known which one holds the call.
+// Servers without a slot get the release once they have a connection. A server that does not hold the call
+// has nothing to do.
 func (p *Pool) ReleaseUnknown(id string) {
 	n, err := isup.ParseCallID(id)
 	if err != nil {
@@ -215,18 +227,18 @@
 	}
 }
 
-// Probe asks a server for its report.
+// Probe asks a server for its load report.
 func (p *Pool) Probe(server string) {
 	if actor := p.actors[server]; actor != nil {
 		actor.post(actor.probe)
 	}
 }
 
-// Close ends all connections and waits for the actors.
+// Close closes all connections and waits for the actors to end.
 func (p *Pool) Close() {
 	for _, actor := range p.actors {
 		actor.post(actor.stop)
-		actor.mailbox.Close() // their readers take nothing more in, and pass over what still comes
+		actor.mailbox.Close() // readers pass on no more messages and discard what still arrives
 	}
 	p.wg.Wait()
 }
--- a/internal/servers/trunk/source.go
+++ b/internal/servers/trunk/source.go
@@ -9,26 +9,27 @@
 	"woodrouter/isup"
 )
 
-// maxExtensions bounds the time of one message: a server that sends it byte by byte ends too.
+// maxExtensions limits how often the deadline of one message is extended, so that a message sent byte by byte
+// ends too.
 const maxExtensions = 3
 
-// messageReader reads a connection whose messages must not stop half-way. A deadline that has
-// passed is looked at once more: a process that was kept from its processor finds it passed
-// with the bytes long there. Most messages are there whole: a deadline is set on the connection
-// only where something of one must be waited for.
+// messageReader reads a connection on which a message must not stop half-way. After a deadline has passed it
+// reads once more, because a process that got no processor time finds the deadline passed although the bytes
+// came long before. Most messages arrive whole, so a deadline is set on the connection only when the rest of
+// a message must be waited for.
 type messageReader struct {
 	conn            net.Conn
-	interval        time.Duration
-	begun           time.Time // the message; zero: none has
-	deadlineSet     bool      // its deadline is set
-	connHasDeadline bool      // the connection has a deadline, this message's or one before
-	extensions      int       // deadlines that this message has passed
+	interval        time.Duration // time until the first deadline of a message, and between extensions
+	begun           time.Time     // start of the current message; zero: between messages
+	deadlineSet     bool          // the deadline of the current message is set
+	connHasDeadline bool          // the connection has a deadline, from this message or an earlier one
+	extensions      int           // deadline extensions of the current message
 }
 
-// endMessage lets the next message begin at any time.
+// endMessage ends the current message. There is no deadline for the next one to begin.
 func (s *messageReader) endMessage() { s.begun = time.Time{} }
 
-// beginMessage starts the time of a message.
+// beginMessage starts the time limit of a message.
 func (s *messageReader) beginMessage() { s.begun, s.deadlineSet, s.extensions = time.Now(), false, 0 }
 
 func (s *messageReader) Read(b []byte) (int, error) {
@@ -49,7 +50,7 @@
 	return s.conn.Read(b)
 }
 
-// messageHead keeps the first bytes of a message, which tell what it is.
+// messageHead keeps the first bytes of a message, which hold its type and call id.
 type messageHead []byte
 
 func (s *messageHead) Write(b []byte) (int, error) {
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -24,7 +24,8 @@
 	"woodrouter/subset"
 )
 
-// Ends of attempts that the agent itself brings about or infers.
+// Errors of attempts that the agent itself ends, or infers to have ended. The texts reach callers in error
+// messages.
 var (
 	errBusy           = errors.New("too much waits for this server")
 	errNotAccepting   = errors.New("the server drains or is gone")
@@ -41,56 +42,60 @@
 	return &agent.Failure{Stage: stage, Result: r, Server: server, Err: err}
 }
 
-// attempt is a set-up that is out, or a call that stands.
+// attempt is a set-up that was sent and not yet answered, or a call that stands.
 type attempt struct {
-	number  int
+	number  int // attempt number within the call
 	sent    time.Time
 	link    *link
 	stands  bool
-	stoodAt time.Time // when it came to stand
+	stoodAt time.Time // when the answer came
 }
 
-// serverActor is the actor of one setup server. Its fields belong to its goroutine.
+// serverActor is the actor of one setup server. Unless noted otherwise, its fields belong to the actor's
+// goroutine.
 type serverActor struct {
 	cfg             Config
 	core            Core
 	log             *slog.Logger
 	mailbox         *mailbox.Queue[func()]
-	serverID        string // of the server
+	serverID        string // the server's id; never changes
 	server          agent.Server
-	link            *link // takes new set-ups; nil: no connection is up
-	dialing         bool
-	retiredLinks    int                // connections that wait for their last set-ups
-	lastExtraDial   time.Time          // when a connection beside the one in use was tried last
-	cancelDial      context.CancelFunc // of the dial
-	waiting         []agent.Attempt    // for a connection
+	link            *link              // connection for new set-ups; nil: none is up
+	dialing         bool               // a dial is in progress
+	retiredLinks    int                // replaced connections kept open for their unanswered set-ups
+	lastExtraDial   time.Time          // when a second connection was last dialled
+	cancelDial      context.CancelFunc // cancels the dial in progress
+	waiting         []agent.Attempt    // set-ups that wait for a connection
 	open            map[isup.CallID]*attempt
-	unconfirmed     recent.Set[isup.CallID] // attempts that ended without a word of the server
-	unsentReleases  []isup.CallID           // releases for the next connection
-	unknownReleases []isup.CallID           // releases that may be this server's, for whenever there is one
-	lastReceived    time.Time               // latest message on any connection
-	answerDelay     time.Duration           // of answers lately
-	statedWait      time.Duration           // the processor's wait that the server stated last
-	statedWaitAt    time.Time               // when it stated it
-	probes          map[isup.CallID]time.Time
+	unconfirmed     recent.Set[isup.CallID]   // attempts that ended without a message from the server
+	unsentReleases  []isup.CallID             // releases to send on the next connection
+	unknownReleases []isup.CallID             // releases of unknown calls for the next connection; they cause no dial
+	lastReceived    time.Time                 // time of the latest message on any connection
+	answerDelay     time.Duration             // moving average of the server's answer delay
+	statedWait      time.Duration             // processor wait that the server stated last
+	statedWaitAt    time.Time                 // when the server stated it
+	probes          map[isup.CallID]time.Time // start times of the probes in progress
 	lastProbe       isup.CallID
-	dialFailures    int           // dials in a row that brought no connection
-	sentCount       *atomic.Int64 // the pool's count of set-ups written whole
-	connCount       *atomic.Int64 // and of connections, those on their way included
+	dialFailures    int           // consecutive failed dials
+	sentCount       *atomic.Int64 // the pool's count of completely written set-ups
+	connCount       *atomic.Int64 // the pool's count of connections, including dials in progress
 	slots           *slots
-	reportedUsage   usage           // what the places know of this one
-	slotUsed        bool            // they are to hear, whatever has changed
-	slotFreed       <-chan struct{} // closed once the connection has ended whose place was taken
-	retryScheduled  bool            // a connection that found no place is tried again later
+	reportedUsage   usage           // usage last reported to slots
+	slotUsed        bool            // report the usage after this event even if it is unchanged
+	slotFreed       <-chan struct{} // closed once the evicted connection has ended; nil: no need to wait
+	retryScheduled  bool            // a new dial is scheduled because no slot was free
 	stopped         bool
-	finished        atomic.Bool // gone, with nothing open: the pool may forget it
-	notAccepting    atomic.Bool // the pool's latest news: it drains or is gone, whatever waits in the mailbox
-	buf             []byte
+	finished        atomic.Bool // the server is gone and nothing is open: the pool may drop the actor
+	// notAccepting is set by the pool as soon as the server drains or is gone, while the update may still
+	// wait in the mailbox.
+	notAccepting atomic.Bool
+	buf          []byte
 
-	withdrawn bool // the pool's: it is gone by the latest news
+	withdrawn bool // belongs to the pool: the server is gone by the latest update
 
-	readDone                     <-chan struct{} // the places': closed once the latest connection has ended
-	countedLinked, countedFailed bool            // the places': it has a connection; its latest did not come up
+	// The fields below are guarded by slots.mu.
+	readDone                     <-chan struct{} // closed once the latest connection has ended
+	countedLinked, countedFailed bool            // counted as having a connection; its latest dial as failed
 }
 
 func newServerActor(cfg Config, core Core, s agent.Server, sent, conns *atomic.Int64, connSlots *slots) *serverActor {
@@ -112,7 +117,7 @@
 	}
 }
 
-// runRecovered keeps a panic to this server's connection: it ends, and what was out on it.
+// runRecovered runs f. A panic ends only this server's connection and the set-ups on it.
 func (sa *serverActor) runRecovered(f func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -125,8 +130,8 @@
 	f()
 }
 
-// update takes news of the server. A new address means another connection; a later
-// start, that all calls from before it were cut.
+// update applies a change of the server's entry. A new address requires a new connection; a later start means
+// that all calls from before it were cut.
 func (sa *serverActor) update(s agent.Server) {
 	old := sa.server
 	sa.server = s
@@ -148,8 +153,8 @@
 	}
 }
 
-// withdraw ends all that is left: a server is withdrawn once its process has stopped, and
-// then nobody else will tell of the calls it held.
+// withdraw ends all that is still open at the server. A server is withdrawn once its process has stopped, and
+// then nobody else reports the ends of its calls.
 func (sa *serverActor) withdraw() {
 	sa.server.State = policy.Gone
 	sa.failWaiting(agent.Unwritten, policy.NotSent, errNotAccepting)
@@ -161,8 +166,7 @@
 	sa.finished.Store(true)
 }
 
-// cutCallsBefore ends the calls that came to stand before a moment at which the server had
-// lost them all.
+// cutCallsBefore ends the calls that stood before the given time, at which the server had lost all its calls.
 func (sa *serverActor) cutCallsBefore(when time.Time) {
 	for id, a := range sa.open {
 		if a.stands && a.stoodAt.Before(when) {
@@ -184,13 +188,13 @@
 
 func (sa *serverActor) setUp(a agent.Attempt) {
 	open := sa.server.State == policy.Up && !sa.stopped
-	if open && !sa.acquireSlot(subset.ForCall) { // told at once: another server may have one
+	if open && !sa.acquireSlot(subset.ForCall) { // fail at once: another server may have a slot
 		sa.core.Ended(a.ID, a.Index, newFailure(sa.server.ID, agent.Unwritten, policy.NotSent, errNoSlot), policy.EmptyReport())
 		return
 	}
 	if sa.link == nil && open {
 		sa.waiting = append(sa.waiting, a)
-		// Each wait has its own limit: the dial under way may be older than this set-up.
+		// Each set-up has its own timeout, because the dial in progress may have started before it.
 		time.AfterFunc(sa.cfg.ConnectTimeout, func() { sa.post(func() { sa.connectTimedOut(a.ID, a.Index) }) })
 		sa.connect()
 		return
@@ -198,9 +202,10 @@
 	sa.writeSetUp(a)
 }
 
-// writeSetUp sends a set-up. It looks once more, as a dial, a full mailbox or a write that was stuck
-// may have outlasted the news of a drain, the deadline or the caller. What it looks at is set by
-// whoever knows first, past this actor's mailbox: a message there may wait behind the set-up.
+// writeSetUp sends a set-up. It checks the conditions once more, because a drain, the deadline or the
+// caller's cancellation may have come during a dial, a wait in a full mailbox or a blocked write. Whoever
+// learns of a drain or a cancellation first records it directly, since a message to this actor may wait
+// behind the set-up.
 func (sa *serverActor) writeSetUp(a agent.Attempt) {
 	left := time.Until(a.Deadline)
 	unwritten := func(r policy.Result, err error) {
@@ -239,7 +244,7 @@
 	n, err := sa.send(link, m)
 	if err != nil && n <= 0 {
 		unwritten(policy.NotSent, err)
-	} else { // a part of it may have been enough: its end comes with the connection's
+	} else { // a partial write may have been enough: the attempt ends with the connection
 		sa.open[id] = &attempt{number: a.Index, sent: time.Now(), link: link}
 		if link.unanswered++; link.unanswered == 1 {
 			link.unansweredSince = time.Now()
@@ -257,7 +262,7 @@
 	}
 }
 
-// send writes a message and tells how many bytes left; -1: it can't be written at all.
+// send writes a message and returns the number of bytes written, or -1 if the message cannot be encoded.
 func (sa *serverActor) send(l *link, m isup.Message) (int, error) {
 	b, err := m.Append(sa.buf[:0])
 	if err != nil {
@@ -268,8 +273,8 @@
 	return l.conn.Write(b)
 }
 
-// giveUp ends an attempt that is out, waits, or stands. The end is told only once the
-// give-up is written: from then on the call may count the time until it goes out again.
+// giveUp ends an attempt that waits or is unanswered, or a call that stands. It reports the end only once the
+// release is written: from then on the call may count the time until its next attempt.
 func (sa *serverActor) giveUp(callID string, number int, why policy.Result) {
 	if sa.dequeue(callID, number) {
 		sa.core.Ended(callID, number, newFailure(sa.server.ID, agent.Unwritten, why, errGivenUp), policy.EmptyReport())
@@ -277,10 +282,10 @@
 	}
 	id, err := isup.ParseCallID(callID)
 	a := sa.open[id]
-	if err != nil || a == nil || a.number != number { // it has ended meanwhile, and that was told
+	if err != nil || a == nil || a.number != number { // it has already ended, which was reported
 		return
 	}
-	stage, on := agent.Written, a.link // a set-up is given up where it was sent
+	stage, on := agent.Written, a.link // an unanswered set-up is released on the connection that it was sent on
 	if a.stands {
 		stage, on = agent.Stood, sa.link
 	}
@@ -290,8 +295,8 @@
 	}
 }
 
-// sendRelease writes a release, or keeps it for the next connection: no connection owns a
-// call that stands.
+// sendRelease writes a release, or keeps it for the next connection: a call that stands is not tied to a
+// connection.
 func (sa *serverActor) sendRelease(on *link, id isup.CallID) {
 	if on == nil || !sa.pinSlot() {
 		sa.unsentReleases = append(sa.unsentReleases, id)
@@ -304,24 +309,26 @@
 	}
 }
 
-// connectSoon has a connection ready before long. A fleet hears of a new server, and comes back from
-// a restart, at one moment: each process draws when it dials. A set-up does not wait for that.
+// connectSoon opens a connection after a random delay of up to Config.Jitter. All processes of a fleet learn
+// of a new server, or come back from a restart, at the same moment, and must not dial together. A set-up does
+// not wait for this delay.
 func (sa *serverActor) connectSoon() {
 	if sa.link == nil && !sa.dialing && sa.dialFailures == 0 {
 		time.AfterFunc(sa.cfg.randomDelay(sa.cfg.Jitter), func() { sa.post(sa.reconnect) })
 	}
 }
 
-// uniformDelay is a time of up to d.
+// uniformDelay returns a random duration from 0 to d.
 func uniformDelay(d time.Duration) time.Duration { return rand.N(max(d, 1)) }
 
-// connect dials unless a connection is up or on its way.
+// connect dials unless a connection is up or being dialled.
 func (sa *serverActor) connect() {
 	if sa.link == nil {
 		sa.dial()
 	}
 }
 
+// dial opens a connection in a goroutine of its own, if one more is allowed.
 func (sa *serverActor) dial() {
 	if sa.dialing || sa.stopped || sa.server.State == policy.Gone {
 		return
@@ -353,6 +360,8 @@
 	}()
 }
 
+// dialDone handles the result of a dial. A new connection takes over from the one in use, which stays open
+// for its unanswered set-ups.
 func (sa *serverActor) dialDone(address string, conn net.Conn, err error) {
 	sa.dialing = false
 	if errors.Is(err, errNoSlot) {
@@ -396,13 +405,13 @@
 	}
 }
 
-// dialFailed handles a dial that brought nothing. A refused connection proves that nobody
-// listens; silence proves that the machine is gone only when it has lasted.
+// dialFailed handles a dial that failed. A refused connection proves that no process listens; silence proves
+// that the machine is gone only after Config.SilenceTimeout.
 func (sa *serverActor) dialFailed(err error) {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	if refused && sa.link != nil {
-		// The machine answers and has not reset the connection there is: the process lives and
-		// listens no more, as one that drains does. Its calls stand.
+		// The machine answers and has not reset the existing connection, so the process is alive but no
+		// longer listens, as during a drain. Its calls still stand.
 		sa.link.lastReceived, sa.lastReceived = time.Now(), time.Now()
 		return
 	}
@@ -410,7 +419,7 @@
 		sa.log.Warn("setup server not reached", "address", sa.server.Address, "error", err)
 	}
 	sa.failWaiting(agent.Unconnected, policy.Unreachable, err)
-	if sa.link != nil { // it was silent, and this dial was to tell why
+	if sa.link != nil { // it was silent, and the failed dial confirms that it stalled
 		sa.cfg.adaptive.recordStall()
 		sa.linkLost(sa.link, err)
 	}
@@ -423,7 +432,7 @@
 	time.AfterFunc(sa.cfg.RedialInterval/2+sa.cfg.randomDelay(sa.cfg.RedialInterval), func() { sa.post(sa.reconnect) })
 }
 
-// serverDied ends the calls of a process that is taken for dead, unless it was reached meanwhile.
+// serverDied ends the calls of a process that is presumed dead, unless a connection has come up meanwhile.
 func (sa *serverActor) serverDied() {
 	if sa.link == nil {
 		sa.cutCallsBefore(time.Now())
@@ -431,7 +440,8 @@
 	}
 }
 
-// reconnect keeps a connection ready, and looks for calls whose server fell silent.
+// reconnect opens a connection if the server is up, holds calls or has releases due. Calls may be held by a
+// server that fell silent, and the dial shows whether it is alive.
 func (sa *serverActor) reconnect() {
 	if sa.server.State == policy.Up || len(sa.open) > 0 || len(sa.unsentReleases) > 0 {
 		sa.connect()
@@ -446,7 +456,7 @@
 	}
 }
 
-// connectTimedOut ends a set-up whose connection did not come up in time.
+// connectTimedOut ends a set-up that got no connection within Config.ConnectTimeout.
 func (sa *serverActor) connectTimedOut(id string, number int) {
 	if sa.dequeue(id, number) {
 		sa.core.Ended(id, number, newFailure(sa.server.ID, agent.Unconnected, policy.Unreachable,
@@ -454,7 +464,7 @@
 	}
 }
 
-// dequeue takes a set-up out of those that wait for a connection, if it is there.
+// dequeue removes a set-up from those that wait for a connection, and reports whether it was there.
 func (sa *serverActor) dequeue(id string, number int) bool {
 	i := slices.IndexFunc(sa.waiting, func(w agent.Attempt) bool { return w.ID == id && w.Index == number })
 	if i >= 0 {
@@ -463,7 +473,7 @@
 	return i >= 0
 }
 
-// readLoop is the connection's goroutine.
+// readLoop is the goroutine that reads a connection.
 func (sa *serverActor) readLoop(l *link) {
 	defer close(l.readDone)
 	var latest messageHead
@@ -478,7 +488,8 @@
 	})
 }
 
-// readMessages reads messages until the connection ends; latest is how the last one began.
+// readMessages reads messages until the connection ends. latest holds the head of a message that was not read
+// completely.
 func (sa *serverActor) readMessages(l *link, latest *messageHead) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -508,14 +519,14 @@
 	}
 }
 
-// linkLost ends a connection. The set-ups out on it are given up with it; calls that stand
-// outlive it, and the next dial tells whether their server does.
+// linkLost closes a connection and ends its unanswered set-ups. Calls that stand outlive it, and the next
+// dial shows whether their server is alive.
 func (sa *serverActor) linkLost(l *link, err error) {
 	sa.discard(l)
 	if sa.link == l {
 		sa.link = nil
 		level := slog.LevelInfo
-		if errors.Is(err, errNoSlot) { // as often as calls are dialled for
+		if errors.Is(err, errNoSlot) { // happens as often as another server needs the slot for a call
 			level = slog.LevelDebug
 		}
 		sa.log.Log(context.Background(), level, "connection to setup server ended", "error", err)
@@ -523,14 +534,16 @@
 	for id, a := range sa.open {
 		if a.link == l && !a.stands {
 			sa.endAttempt(id, a, newFailure(sa.server.ID, agent.Written, policy.Cut, err), policy.EmptyReport())
-			sa.sendRelease(sa.link, id) // its answer may have been lost: then a call stands there
+			sa.sendRelease(sa.link, id) // its answer may have been lost, and then a call stands at the server
 		}
 	}
 	sa.reconnect()
 }
 
-// stop ends the connections; what is out on them is not waited for. What was written last, such as
-// the release of a call, must reach the server: a close with bytes unread would reset it.
+// stop closes the connections without waiting for unanswered set-ups. What was written last, such as the
+// release of a call, must still reach the server, and closing a connection that has unread bytes would reset
+// it. So stop ends the sending side first and waits, for Config.StopLinger at most, until the server ends the
+// connection.
 func (sa *serverActor) stop() {
 	sa.stopped = true
 	sa.failWaiting(agent.Unwritten, policy.NotSent, errStopped)
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -20,7 +20,7 @@
 
 const ms = time.Millisecond
 
-// coreEvent is what a pool says to the core.
+// coreEvent is an outcome that the pool reports to the core.
 type coreEvent struct {
 	stands bool
 	id     string
@@ -29,6 +29,7 @@
 	at     time.Time
 }
 
+// fakeCore records what the pool reports. It drops load reports if nobody reads them.
 type fakeCore struct {
 	events  chan coreEvent
 	reports chan policy.ReportReceived
@@ -49,18 +50,19 @@
 	}
 }
 
+// awaitEvent waits for the next outcome.
 func (c *fakeCore) awaitEvent(t *testing.T) coreEvent {
 	t.Helper()
 	select {
 	case v := <-c.events:
 		return v
 	case <-time.After(standin.Patience):
-		require.FailNow(t, "the core was not told")
+		require.FailNow(t, "no outcome was reported to the core")
 		return coreEvent{}
 	}
 }
 
-// awaitEnd awaits the end of an attempt and checks how it came.
+// awaitEnd waits for the end of an attempt and checks its stage and result.
 func (c *fakeCore) awaitEnd(t *testing.T, stage agent.Stage, result policy.Result) coreEvent {
 	t.Helper()
 	v := c.awaitEvent(t)
@@ -71,6 +73,7 @@
 	return v
 }
 
+// startPool returns a pool that is closed at the end of the test, and the core that it reports to.
 func startPool(t *testing.T, cfg Config) (*Pool, *fakeCore) {
 	c := &fakeCore{make(chan coreEvent, 100), make(chan policy.ReportReceived, 100), make(chan string, 100)}
 	p := NewPool(cfg, c)
@@ -78,6 +81,7 @@
 	return p, c
 }
 
+// listedServer returns an entry of the list for server s.
 func listedServer(addr string, s policy.State, since time.Time) agent.Server {
 	ready := policy.Time(0)
 	if !since.IsZero() {
@@ -86,14 +90,16 @@
 	return agent.Server{Server: policy.Server{ID: "s", State: s, ReadyAt: ready}, Address: addr}
 }
 
+// update passes entries to the pool as a change of the list.
 func (p *Pool) update(servers ...agent.Server) { p.Servers(servers, false) }
 
+// newAttempt returns an attempt at server s whose deadline is left from now.
 func newAttempt(id string, left time.Duration) agent.Attempt {
 	return agent.Attempt{ID: id, Server: "s", Class: "voice", Number: "12", Deadline: time.Now().Add(left),
 		Description: []byte("offer")}
 }
 
-// standCall brings a call to stand and returns its set-up.
+// standCall sets up a call, waits until it stands, and returns its set-up.
 func standCall(t *testing.T, p *Pool, c *fakeCore, s *standin.Server, id string) standin.Got {
 	t.Helper()
 	p.SetUp(newAttempt(id, 3*time.Second))
@@ -105,7 +111,8 @@
 
 const firstCall, secondCall = "0000000000000001", "0000000000000002"
 
-// TestSetUp: a set-up goes on unchanged, and each release is read as what it means.
+// TestSetUp checks that a set-up is passed on unchanged, and that each cause of a release gives the right
+// stage and result.
 func TestSetUp(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
@@ -120,7 +127,7 @@
 	g.Answer("there")
 	require.True(t, c.awaitEvent(t).stands)
 	g.Release(isup.Normal, "")
-	require.Nil(t, c.awaitEvent(t).err, "the call came to its end")
+	require.Nil(t, c.awaitEvent(t).err, "the call ended normally")
 	for _, tc := range []struct {
 		cause  isup.Cause
 		note   string
@@ -138,7 +145,7 @@
 		s.Await(t, isup.SetUp).Release(tc.cause, tc.note)
 		c.awaitEnd(t, tc.stage, tc.result)
 	}
-	for text, want := range map[string]time.Duration{"1800": 1800 * ms, "": 0} { // a full server states its wait
+	for text, want := range map[string]time.Duration{"1800": 1800 * ms, "": 0} { // the stated wait is read
 		p.SetUp(newAttempt(firstCall, 3*time.Second))
 		g := s.Await(t, isup.SetUp)
 		m := isup.Message{Type: isup.Release, Call: g.Call}.WithCause(isup.NoCircuit).WithText(isup.Note, "overload")
@@ -150,7 +157,7 @@
 	}
 }
 
-// TestConnectionRefused: a refused connection proves that nothing ran.
+// TestConnectionRefused checks that a refused connection proves that the set-up did not reach a process.
 func TestConnectionRefused(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
@@ -160,8 +167,8 @@
 	c.awaitEnd(t, agent.Unconnected, policy.Unreachable)
 }
 
-// TestRecheckAfterDial: a set-up that waits for a connection is looked at again when the
-// dial ends. A drain notice, its deadline or its caller may have come first.
+// TestRecheckAfterDial guards against sending a set-up that has become unwanted during a dial. A drain
+// notice, its deadline or its caller's cancellation may have come before the dial ends.
 func TestRecheckAfterDial(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -185,7 +192,7 @@
 			c.awaitEnd(t, agent.Unwritten, tc.result)
 			close(dial)
 			p.Close()
-			assert.Zero(t, s.Seen(isup.SetUp, 0), "nothing may be written any more")
+			assert.Zero(t, s.Seen(isup.SetUp, 0), "nothing may be written after that")
 		})
 	}
 	t.Run("deadline", func(t *testing.T) {
@@ -206,8 +213,8 @@
 	})
 }
 
-// TestGiveUp: the end of a given-up attempt is told once the give-up is written, and a
-// late answer is released at the server, where it would stand for ever.
+// TestGiveUp checks that the end of a given-up attempt is reported once the release is written, and that a
+// late answer is released at the server, where the call would otherwise stand for ever.
 func TestGiveUp(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
@@ -219,19 +226,19 @@
 	cause, err := s.Await(t, isup.Release).Cause()
 	require.NoError(t, err)
 	require.Equal(t, isup.Normal, cause)
-	p.GiveUp("s", firstCall, 0, policy.TimedOut) // twice: nothing more to end
+	p.GiveUp("s", firstCall, 0, policy.TimedOut) // again: there is nothing left to end
 	g.Answer("late")
 	require.Equal(t, firstCall, s.Await(t, isup.Release).Call.String())
 	p.SetUp(newAttempt(secondCall, 3*time.Second))
 	s.Await(t, isup.SetUp).Answer("")
 	v := c.awaitEvent(t)
-	assert.Equal(t, secondCall, v.id, "neither the late answer nor the second give-up was told")
+	assert.Equal(t, secondCall, v.id, "neither the late answer nor the second give-up was reported")
 }
 
-// TestConnectionReset: set-ups out on a connection that breaks may have run; calls that stand
-// outlive it, and their end comes on the next one.
+// TestConnectionReset checks a connection that breaks. Its unanswered set-ups may have run at the server.
+// Calls that stand outlive it, and their ends come on the next connection.
 func TestConnectionReset(t *testing.T) {
-	p, c := startPool(t, Config{StallTimeout: standin.Patience}) // no other takes its place, however late the answer
+	p, c := startPool(t, Config{StallTimeout: standin.Patience}) // not replaced, however late the answer is
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	standCall(t, p, c, s, firstCall)
@@ -246,9 +253,9 @@
 	require.Nil(t, v.err)
 }
 
-// TestReleaseOutlivesConnection: a release written while no connection is up is said on
-// the next one, and so is that of a set-up lost with its connection: its answer may have been
-// lost, and then nobody else would end the call that stands.
+// TestReleaseOutlivesConnection checks that a release due while no connection is up is sent on the next one.
+// So is the release of a set-up lost with its connection: its answer may have been lost too, and then nobody
+// else would end the call that stands.
 func TestReleaseOutlivesConnection(t *testing.T) {
 	var hold sync.Mutex
 	p, c := startPool(t, Config{StallTimeout: standin.Patience, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
@@ -274,8 +281,8 @@
 	require.Equal(t, firstCall, s.Await(t, isup.Release).Call.String())
 }
 
-// TestTruncatedMessage: an answer that stops half-way leaves a connection that is of no further
-// use, and open. It is given up with what is out on it, and the server used by another.
+// TestTruncatedMessage covers an answer that stops half-way on a connection that stays open. The connection
+// is useless then: it must be closed, its set-ups must end, and the server must be used on another one.
 func TestTruncatedMessage(t *testing.T) {
 	p, c := startPool(t, Config{Aim: 400 * ms, FirstMessageTimeout: standin.Patience})
 	s := standin.NewServer(t, "")
@@ -287,18 +294,18 @@
 	standCall(t, p, c, s, secondCall)
 }
 
-// TestTruncatedRelease: a release that stops half-way says which call is over, and the server has
-// said it: it may not come again. Too little of its id tells nothing.
+// TestTruncatedRelease covers a release that stops half-way. It says which call is over, and the server may
+// not repeat it. If too little of the id has come, it says nothing.
 func TestTruncatedRelease(t *testing.T) {
 	for _, tc := range []struct {
 		said string
 		over bool
 	}{
-		{"\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\x01", true},  // all but the cause
-		{"\x00\x0d\x0c\x00\x00\x00\x00", true},                  // enough of its id
-		{"\x00\x0d\x0c\x00\x00", false},                         // fits any call
+		{"\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\x01", true},  // everything except the cause
+		{"\x00\x0d\x0c\x00\x00\x00\x00", true},                  // enough of the id
+		{"\x00\x0d\x0c\x00\x00", false},                         // matches any call
 		{"\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\x02", false}, // of another call
-		{"\x00\x0d\x09\x00\x00\x00\x00\x00\x00\x00\x01", false}, // no release
+		{"\x00\x0d\x09\x00\x00\x00\x00\x00\x00\x00\x01", false}, // not a release
 	} {
 		p, c := startPool(t, Config{Aim: 400 * ms, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour})
 		s := standin.NewServer(t, "")
@@ -308,15 +315,15 @@
 		require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.Patience, ms, "%q", tc.said)
 		if tc.over {
 			assert.ErrorIs(t, c.awaitEnd(t, agent.Stood, policy.Cut).err, errTruncated)
-			assert.Equal(t, firstCall, s.Await(t, isup.Release).Call.String(), "the server is told as well")
+			assert.Equal(t, firstCall, s.Await(t, isup.Release).Call.String(), "the call is released at the server too")
 			continue
 		}
-		standCall(t, p, c, s, secondCall) // what comes next is not the end of the first
+		standCall(t, p, c, s, secondCall) // the next event is not the end of the first call
 	}
 }
 
-// TestStallTimeoutBounded: ends of calls come by the connection too and are owed within 1 s, so that
-// slow answers may not put the doubt of a silent one off for longer.
+// TestStallTimeoutBounded guards the ends of calls, which come on the same connection and are owed within 1
+// s. Slow answers must not delay the replacement of a silent connection for longer.
 func TestStallTimeoutBounded(t *testing.T) {
 	for _, tc := range []struct{ delay, least, want time.Duration }{
 		{0, 80 * ms, 80 * ms},
@@ -328,12 +335,12 @@
 	}
 }
 
-// TestStalledConnection: a connection on which a set-up is out and nothing is heard may have lost all
-// that would follow. New set-ups go by another, from when its dial has come back on; the old one
-// stays for its own, as a server with a queue is as quiet.
+// TestStalledConnection covers a connection on which a set-up is unanswered and nothing is received. All
+// further messages on it may be lost, so new set-ups must use a second connection as soon as its dial is
+// done. The first must stay open for its own set-up, because a server with a queue is silent too.
 func TestStalledConnection(t *testing.T) {
 	var dials atomic.Int32
-	back := make(chan struct{}) // closed: the second dial comes back
+	back := make(chan struct{}) // closed to let the second dial return
 	p, c := startPool(t, Config{Aim: 400 * ms, ConnectTimeout: standin.Patience, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := net.Dial("tcp", addr)
@@ -349,33 +356,33 @@
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	p.SetUp(newAttempt(firstCall, 30*time.Second))
 	g := s.Await(t, isup.SetUp)
-	standin.Next(t, c.reports) // the first connection's
+	standin.Next(t, c.reports) // group state on the first connection
 	require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.Patience, ms)
 	p.SetUp(newAttempt(secondCall, 30*time.Second))
 	crossed := s.Await(t, isup.SetUp)
-	assert.Same(t, g.Conn, crossed.Conn, "the server has accepted the second, the actor does not have it yet")
+	assert.Same(t, g.Conn, crossed.Conn, "the server has accepted the second connection, but the actor does not have it yet")
 	close(back)
-	standin.Next(t, c.reports) // the second one's: what is read there the actor has
+	standin.Next(t, c.reports) // group state on the second connection: the actor has it now
 	p.SetUp(newAttempt("0000000000000003", 30*time.Second))
 	assert.NotSame(t, g.Conn, s.Await(t, isup.SetUp).Conn)
 	g.Answer("")
 	told := c.awaitEvent(t)
-	assert.Equal(t, []any{true, firstCall}, []any{told.stands, told.id}, "and its answer still counts")
-	assert.Greater(t, p.cfg.adaptive.timeout(100*ms), 100*ms, "the doubt was wrong: the next comes later")
-	answered := time.Now() // before the answer: the core hears of it after the linger has begun
+	assert.Equal(t, []any{true, firstCall}, []any{told.stands, told.id}, "an answer on the first connection still counts")
+	assert.Greater(t, p.cfg.adaptive.timeout(100*ms), 100*ms, "false alarm: the timeout grows")
+	answered := time.Now() // taken before the answer: the core gets the answer after the linger time has begun
 	crossed.Answer("")
 	told = c.awaitEvent(t)
 	assert.Equal(t, []any{true, secondCall}, []any{told.stands, told.id})
 	require.Eventually(t, func() bool {
-		_, err := g.Conn.Write([]byte("\x00\x09\x06\x00\x00\x00\x00\x00\x00\x00\x01")) // means nothing
+		_, err := g.Conn.Write([]byte("\x00\x09\x06\x00\x00\x00\x00\x00\x00\x00\x01")) // a message without effect
 		return err != nil
-	}, standin.Patience, ms, "then the old connection ends")
-	// The server must not see the end before its answer is known to have come.
+	}, standin.Patience, ms, "the old connection ends after its last answer")
+	// The server must not see the connection end before it knows that its answer has arrived.
 	assert.GreaterOrEqual(t, time.Since(answered), p.cfg.Linger)
 }
 
-// TestServerDeath: nobody tells of the calls of a process that has died. A refused connection,
-// a later start or its leaving the list does.
+// TestServerDeath covers a server process that has died, so that no message reports the ends of its calls. A
+// refused connection, a later start or the removal from the list must end them.
 func TestServerDeath(t *testing.T) {
 	for name, die := range map[string]func(p *Pool, s *standin.Server){
 		"refused": func(p *Pool, s *standin.Server) { s.Die() },
@@ -400,8 +407,8 @@
 	}
 }
 
-// TestServerReturns: a server that was withdrawn and comes back is used again. The pool forgot it
-// when the news of its return met an actor that had ended its calls.
+// TestServerReturns guards against a pool that drops a server for good when it is withdrawn and comes back.
+// That happened when the update about its return met an actor that had ended its calls.
 func TestServerReturns(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
@@ -411,22 +418,22 @@
 	p.update(listedServer(s.Addr, policy.Up, time.Now()))
 	standCall(t, p, c, s, firstCall)
 	p.update(listedServer(s.Addr, policy.Gone, time.Time{}))
-	c.awaitEnd(t, agent.Stood, policy.Cut) // told in the middle of the actor's work
+	c.awaitEnd(t, agent.Stood, policy.Cut) // reported while the actor is still at work
 	require.Eventually(t, p.actors["s"].finished.Load, standin.Patience, ms)
 	p.update()
-	assert.Empty(t, p.actors, "and forgotten when it is gone for good")
+	assert.Empty(t, p.actors, "the actor is dropped when the server is gone for good")
 }
 
-// TestSilentServer: a machine that vanished leaves its connection open and silent, and one that
-// hangs takes connections but says nothing. A quiet one speaks on a new connection; its
-// calls must not be cut.
+// TestSilentServer covers a server that sends nothing. A machine that has vanished leaves its connection
+// open, and a hung one accepts connections but sends nothing: their calls must be cut. An idle server sends
+// its group state on a new connection: its calls must not be cut.
 func TestSilentServer(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer mute.Close()
 	for _, tc := range []struct {
 		name string
-		dial func(ctx context.Context, addr string) (net.Conn, error) // after the call stands
+		dial func(ctx context.Context, addr string) (net.Conn, error) // used after the call stands
 		cut  bool
 	}{
 		{"vanished", func(context.Context, string) (net.Conn, error) { return nil, errors.New("no route") }, true},
@@ -456,11 +463,11 @@
 	}
 }
 
-// TestDrainingRefuses: a server that drains listens no more but keeps its connection. That
-// a check of its silence is refused must not cut its calls; the reset at its end does.
+// TestDrainingRefuses covers a draining server, which no longer listens but keeps its connection. A dial that
+// checks its silence is refused, which must not cut its calls; the reset at its end must.
 func TestDrainingRefuses(t *testing.T) {
 	var dials atomic.Int32
-	refused := make(chan struct{}) // closed once it listens no more: until then no check is made
+	refused := make(chan struct{}) // closed once the server no longer listens; dials wait until then
 	p, c := startPool(t, Config{SilenceTimeout: 100 * ms, ConnectTimeout: standin.Patience, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		if dials.Add(1) > 1 {
 			select {
@@ -482,8 +489,9 @@
 	c.awaitEnd(t, agent.Stood, policy.Cut)
 }
 
-// TestStalledConnectionClosed: once a server whose connection stalled shows on another that nothing waits
-// there, by an answer or by a probe's report, what is out on the old one is lost and ends.
+// TestStalledConnectionClosed covers a server whose connection has stalled and which shows on a second one,
+// by an answer or by the report of a probe, that nothing waits there. The set-ups on the first connection are
+// lost then, and must end.
 func TestStalledConnectionClosed(t *testing.T) {
 	for _, probes := range []bool{false, true} {
 		p, c := startPool(t, Config{StallTimeout: 2 * time.Second, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour, Probes: probes, ProbeTimeout: standin.Patience})
@@ -496,17 +504,17 @@
 			g.Conn.Send(isup.Message{Type: isup.TestResult, Call: g.Call}.WithCause(isup.Passed).
 				WithText(isup.Report, "x0:900;x1:1000;latency_ms:0"))
 		} else {
-			standin.Next(t, c.reports) // the first connection's
-			standin.Next(t, c.reports) // the second one's: the actor has it, and set-ups go there
+			standin.Next(t, c.reports) // group state on the first connection
+			standin.Next(t, c.reports) // group state on the second connection: the actor sends set-ups there now
 			standCall(t, p, c, s, secondCall)
 		}
 		assert.ErrorIs(t, c.awaitEnd(t, agent.Written, policy.Cut).err, errStalled)
 	}
 }
 
-// TestDuplicateAndLateAnswers: a second copy of an answer must not cut the call that stands, and one for
-// an id that was never sent there is passed over; the late answer of an attempt that was given
-// up is released.
+// TestDuplicateAndLateAnswers guards against releasing the wrong call. A second copy of an answer must not
+// cut the call that stands, and an answer to an id that was never sent there must be ignored. Only the late
+// answer to an attempt that was given up is released.
 func TestDuplicateAndLateAnswers(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
@@ -520,12 +528,12 @@
 	c.awaitEnd(t, agent.Written, policy.Cancelled)
 	late.Answer("")
 	require.Eventually(t, func() bool { return s.Seen(isup.Release, late.Call) == 2 }, standin.Patience, ms)
-	assert.Equal(t, 2, s.Seen(isup.Release, 0), "no other was released")
+	assert.Equal(t, 2, s.Seen(isup.Release, 0), "no other call was released")
 	g.Release(isup.Normal, "")
-	assert.Nil(t, c.awaitEvent(t).err, "the call stood to its end")
+	assert.Nil(t, c.awaitEvent(t).err, "the call stood until its normal end")
 }
 
-// TestBadMessages: what can't be understood ends the connection, never the actor.
+// TestBadMessages checks that a message that cannot be understood ends the connection, but not the actor.
 func TestBadMessages(t *testing.T) {
 	for name, bad := range map[string]string{
 		"oversized":    "\xff\xff",
@@ -547,8 +555,8 @@
 	}
 }
 
-// TestEndOfUnknownCall: the end of a call that this program never set up is of one from before
-// its restart; the core decides what becomes of it.
+// TestEndOfUnknownCall covers the end of a call that this process did not set up. It is a call from before
+// its restart, so the core decides what to do.
 func TestEndOfUnknownCall(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
@@ -556,16 +564,17 @@
 	require.Eventually(t, func() bool { return len(s.Conns()) == 1 }, standin.Patience, ms)
 	s.Conns()[0].Send(isup.Message{Type: isup.Release, Call: 1}.WithCause(isup.Normal))
 	assert.Equal(t, firstCall, <-c.unknown)
-	p.ReleaseUnknown(secondCall) // and the other way: its caller's release finds its server
+	p.ReleaseUnknown(secondCall) // the other way round: the caller's release reaches the server
 	assert.Equal(t, secondCall, s.Await(t, isup.Release).Call.String())
 }
 
-// TestProbe: a test with cause 1 brings a report; silence is a timeout.
+// TestProbe checks that a test message with cause 1 is answered by a load report, and that silence is a
+// timeout.
 func TestProbe(t *testing.T) {
 	p, c := startPool(t, Config{ProbeTimeout: time.Second})
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
-	require.False(t, (<-c.reports).Solicited, "the state of the group comes first")
+	require.False(t, (<-c.reports).Solicited, "the group state comes first")
 	p.Probe("s")
 	g := s.Await(t, isup.Test)
 	g.Conn.Send(isup.Message{Type: isup.TestResult, Call: g.Call}.WithCause(isup.Passed).
@@ -578,18 +587,18 @@
 	assert.Equal(t, policy.TimedOut, (<-c.reports).Result)
 }
 
-// TestStallTimeoutQueued: a server that said lately that its processor keeps messages waiting is slow
-// on every connection. The doubt waits that much longer, up to queuedMost, while the word is
-// fresh; without it the bound of TestStallBounded holds.
+// TestStallTimeoutQueued covers a server that has recently stated that its processor keeps messages waiting,
+// and so is slow on every connection. While the statement is fresh the timeout is longer by this wait, up to
+// maxQueuedTimeout. Otherwise the limit of TestStallTimeoutBounded holds.
 func TestStallTimeoutQueued(t *testing.T) {
 	for _, tc := range []struct{ queued, ago, want time.Duration }{
 		{0, 0, 80 * ms},
 		{300 * ms, 0, 380 * ms},
 		{900 * ms, 100 * ms, 980 * ms},
 		{3 * time.Second, 0, maxQueuedTimeout},
-		{300 * ms, time.Second, 80 * ms}, // said too long ago
+		{300 * ms, time.Second, 80 * ms}, // stated too long ago
 	} {
 		a := serverActor{cfg: Config{StallTimeout: 80 * ms, adaptive: newAdaptiveTimeout()}, statedWait: tc.queued, statedWaitAt: time.Now().Add(-tc.ago)}
-		assert.Equal(t, tc.want, a.stallTimeout(), "queued %v, said %v ago", tc.queued, tc.ago)
+		assert.Equal(t, tc.want, a.stallTimeout(), "queued %v, stated %v ago", tc.queued, tc.ago)
 	}
 }
--- a/internal/servers/trunk/wanted_test.go
+++ b/internal/servers/trunk/wanted_test.go
@@ -15,11 +15,12 @@
 	"woodrouter/policy"
 )
 
-// stuckConn is a connection whose writes wait for the test, as to a server that has stopped reading.
+// stuckConn is a connection whose writes block until the test lets them through, like one to a server that
+// has stopped reading.
 type stuckConn struct {
 	net.Conn
-	begun chan struct{} // a write has begun
-	free  chan struct{} // closed: writes go through
+	begun chan struct{} // receives when a write has begun
+	free  chan struct{} // closed to let writes through
 }
 
 func (c stuckConn) Write(b []byte) (int, error) {
@@ -31,8 +32,9 @@
 	return c.Conn.Write(b)
 }
 
-// TestRecheckBeforeWrite: what is handed to an actor whose write is stuck waits in its mailbox, and behind
-// it the news that it must not be sent any more. The news counts all the same.
+// TestRecheckBeforeWrite guards against sending a set-up that has become unwanted. While the write of its
+// actor is blocked, the set-up waits in the mailbox, and the update that it must not be sent waits behind it.
+// The update must still take effect.
 func TestRecheckBeforeWrite(t *testing.T) {
 	for name, news := range map[string]func(p *Pool, addr string, unwant func()){
 		"the caller leaves":          func(_ *Pool, _ string, unwant func()) { unwant() },
@@ -69,8 +71,8 @@
 	}
 }
 
-// TestDialJitter: hundreds of processes hear of a server at one moment, and each dials at its own time
-// within the jitter; a set-up that comes before has its connection at once.
+// TestDialJitter guards a new server against being dialled by hundreds of processes at the same moment: each
+// process dials after a random delay. A set-up that comes before then is sent at once.
 func TestDialJitter(t *testing.T) {
 	dials := make(chan string, 10)
 	p, c := startPool(t, Config{Jitter: time.Hour, StallTimeout: standin.Patience, Dial: func(_ context.Context, address string) (net.Conn, error) {
@@ -80,14 +82,14 @@
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	dialing, actor := make(chan bool, 1), p.actors["s"]
-	actor.post(func() { dialing <- actor.dialing }) // behind the news
+	actor.post(func() { dialing <- actor.dialing }) // handled after the update
 	assert.False(t, standin.Next(t, dialing))
 	standCall(t, p, c, s, firstCall)
 	assert.Len(t, dials, 1)
 }
 
-// TestStopWithDataInFlight: what a server has on its way as the process stops does not reset the connection,
-// and with it the last that was written there: the release of a call.
+// TestStopWithDataInFlight guards the release of a call written just before the process stops. Data from the
+// server that is still on its way must not reset the connection, because the reset would discard the release.
 func TestStopWithDataInFlight(t *testing.T) {
 	p, c := startPool(t, Config{StallTimeout: standin.Patience, StopLinger: standin.Patience})
 	s := standin.NewServer(t, "")
@@ -102,7 +104,7 @@
 	require.NoError(t, err)
 	for range 3 {
 		_, err := g.Conn.Write(state)
-		require.NoError(t, err, "ended, not reset")
+		require.NoError(t, err, "the connection is ended, not reset")
 	}
 	g.Conn.Close()
 	standin.Next(t, closed)
