--- a/internal/fleet/members/delegate.go
+++ b/internal/fleet/members/delegate.go
@@ -37,8 +37,8 @@
 // MergeRemoteState takes another's.
 func (m *Members) MergeRemoteState(data []byte, _ bool) { m.take(data) }
 
-// NotifyJoin, NotifyLeave and NotifyUpdate keep who is alive, and tell the log. The library holds
-// its lock meanwhile.
+// NotifyJoin records an agent that has joined, and logs it; the library holds its lock during this call, as in
+// NotifyLeave and NotifyUpdate.
 func (m *Members) NotifyJoin(n *memberlist.Node) {
 	m.put(n)
 	m.log.Info("agent joined", "agent", n.Name, "at", n.Address())
--- a/internal/lab/promiselab/agents.go
+++ b/internal/lab/promiselab/agents.go
@@ -53,7 +53,6 @@
 	*lab.Fleet
 	office *lab.Office
 	rng    *rand.Rand
-	lost   int // disks lost so far, for new ids
 
 	mu     sync.Mutex
 	served map[isup.CallID]string
--- a/internal/servers/trunk/doubt.go
+++ b/internal/servers/trunk/doubt.go
@@ -16,7 +16,6 @@
 // whatever its server's load, so the timeout does not grow beyond this interval and a margin.
 type adaptiveTimeout struct {
 	mu          sync.Mutex
-	least       time.Duration // the doubt at its earliest: ends of calls that were swallowed are owed soon
 	factor      float64       // multiple of the minimum timeout, at least 1
 	statePeriod time.Duration // average interval between group state messages
 }
