--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -24,71 +24,71 @@
 
 // New returns an empty queue with the given limit, in items.
 func New[T any](limit int) *Queue[T] {
-	b := &Queue[T]{limit: limit}
-	b.changed.L = &b.mu
-	return b
+	q := &Queue[T]{limit: limit}
+	q.changed.L = &q.mu
+	return q
 }
 
 // Offer adds an item unless the queue is full or closed. It never blocks.
-func (b *Queue[T]) Offer(v T) bool { return b.enqueue(v, func() bool { return b.waiting() < b.limit }) }
+func (q *Queue[T]) Offer(v T) bool { return q.enqueue(v, func() bool { return q.waiting() < q.limit }) }
 
-func (b *Queue[T]) waiting() int { return len(b.items) - b.next }
+func (q *Queue[T]) waiting() int { return len(q.items) - q.next }
 
 // Post adds an item even above the limit. It fails only when the queue is closed.
-func (b *Queue[T]) Post(v T) bool { return b.enqueue(v, func() bool { return true }) }
+func (q *Queue[T]) Post(v T) bool { return q.enqueue(v, func() bool { return true }) }
 
 // Put waits until there is room, which applies back-pressure to the reader of a peer. It fails when the queue
 // is closed.
-func (b *Queue[T]) Put(v T) bool {
-	return b.enqueue(v, func() bool {
-		for b.waiting() >= b.limit && !b.closed {
-			b.changed.Wait()
+func (q *Queue[T]) Put(v T) bool {
+	return q.enqueue(v, func() bool {
+		for q.waiting() >= q.limit && !q.closed {
+			q.changed.Wait()
 		}
 		return true
 	})
 }
 
-func (b *Queue[T]) enqueue(v T, hasRoom func() bool) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !hasRoom() || b.closed {
+func (q *Queue[T]) enqueue(v T, hasRoom func() bool) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if !hasRoom() || q.closed {
 		return false
 	}
-	if len(b.items) == cap(b.items) && b.next > len(b.items)/2 { // never empty: drop the taken items
-		b.items = slices.Delete(b.items, 0, b.next)
-		b.next = 0
+	if len(q.items) == cap(q.items) && q.next > len(q.items)/2 { // never empty: drop the taken items
+		q.items = slices.Delete(q.items, 0, q.next)
+		q.next = 0
 	}
-	b.items = append(b.items, v)
-	b.changed.Broadcast()
+	q.items = append(q.items, v)
+	q.changed.Broadcast()
 	return true
 }
 
 // Take waits for an item. After Close it returns the remaining items, then false.
-func (b *Queue[T]) Take() (v T, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for b.waiting() == 0 {
-		if b.closed {
+func (q *Queue[T]) Take() (v T, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for q.waiting() == 0 {
+		if q.closed {
 			return v, false
 		}
-		b.changed.Wait()
+		q.changed.Wait()
 	}
-	v = b.items[b.next]
+	v = q.items[q.next]
 	var none T
-	b.items[b.next] = none
-	if b.next++; b.waiting() == 0 { // empty: reuse the array for the next items unless it is large
-		if b.items, b.next = b.items[:0], 0; cap(b.items) > maxKeptCapacity {
-			b.items = nil
+	q.items[q.next] = none
+	if q.next++; q.waiting() == 0 { // empty: reuse the array for the next items unless it is large
+		if q.items, q.next = q.items[:0], 0; cap(q.items) > maxKeptCapacity {
+			q.items = nil
 		}
 	}
-	b.changed.Broadcast()
+	q.changed.Broadcast()
 	return v, true
 }
 
 // Close makes the queue refuse new items.
-func (b *Queue[T]) Close() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.closed = true
-	b.changed.Broadcast()
+func (q *Queue[T]) Close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closed = true
+	q.changed.Broadcast()
 }
--- a/internal/servers/bulletin/bulletin.go
+++ b/internal/servers/bulletin/bulletin.go
@@ -197,12 +197,12 @@
 // Run polls until ctx ends. A failure or panic ends only one call.
 func (f *Follower) Run(ctx context.Context) {
 	defer f.closeConn()
-	failures, asked := 0, ""
+	failures, lastAddress := 0, ""
 	for ctx.Err() == nil {
-		call, cut, address := f.nextCall(ctx)
-		if address != asked {
+		call, cancel, address := f.nextCall(ctx)
+		if address != lastAddress {
 			f.closeConn()
-			failures, asked = 0, address
+			failures, lastAddress = 0, address
 		}
 		atOnce, err := f.poll(call, address)
 		if err == nil {
@@ -219,7 +219,7 @@
 		if !atOnce {
 			f.pause(call, failures)
 		}
-		cut()
+		cancel()
 	}
 }
 
--- a/internal/servers/trunk/looks_test.go
+++ b/internal/servers/trunk/checks_test.go
@@ -110,8 +110,8 @@
 // its processor time. The figures are those of a deployment with an aim of 1.5 s.
 func TestIdleChecks(t *testing.T) {
 	for name, tc := range map[string]struct {
-		out, stand  int
-		least, most int // wake-ups in a minute with a group state each second
+		unanswered, standing int
+		least, most          int // wake-ups in a minute with a group state each second
 	}{
 		"nothing out":        {0, 0, 0, 0},
 		"a call that stands": {0, 1, 20, 30},
@@ -124,12 +124,12 @@
 				k.runOnActor(func() {
 					k.checkLink(k.firstLink)
 					k.firstLink.received = true
-					for i := range tc.out + tc.stand {
+					for i := range tc.unanswered + tc.standing {
 						k.writeSetUp(newAttempt(isup.CallID(i+1).String(), time.Hour))
 					}
 				})
 				k.runOnActor(func() {
-					for i := range tc.stand {
+					for i := range tc.standing {
 						k.handleAnswer(k.firstLink, isup.Message{Call: isup.CallID(i + 1)})
 					}
 				})
@@ -140,7 +140,7 @@
 					k.runOnActor(func() { k.firstLink.lastReceived = time.Now() })
 				}
 				assert.True(t, tc.least <= k.wakeUps && k.wakeUps <= tc.most, "%d times", k.wakeUps)
-				assert.Equal(t, tc.out > 0, k.dialedAfter > 0, "group states do not answer a set-up")
+				assert.Equal(t, tc.unanswered > 0, k.dialedAfter > 0, "group states do not answer a set-up")
 			})
 		})
 	}
--- a/internal/servers/trunk/link.go
+++ b/internal/servers/trunk/link.go
@@ -167,9 +167,9 @@
 	case len(sa.open) == 0:
 		return
 	}
-	step, since := max(sa.cfg.StallTimeout/4, 1), now.Sub(l.firstCheck)
-	dueAfter := max(l.lastReceived.Add(wait).Sub(l.firstCheck), since)
-	if dueAfter = (dueAfter + step - 1) / step * step; dueAfter == since {
+	step, elapsed := max(sa.cfg.StallTimeout/4, 1), now.Sub(l.firstCheck)
+	dueAfter := max(l.lastReceived.Add(wait).Sub(l.firstCheck), elapsed)
+	if dueAfter = (dueAfter + step - 1) / step * step; dueAfter == elapsed {
 		dueAfter += step
 	}
 	due := l.firstCheck.Add(dueAfter)
@@ -178,8 +178,8 @@
 	}
 	l.nextCheck = due
 	if l.checkTimer == nil {
-		l.checkTimer = time.AfterFunc(dueAfter-since, func() { sa.post(func() { sa.checkLink(l) }) })
+		l.checkTimer = time.AfterFunc(dueAfter-elapsed, func() { sa.post(func() { sa.checkLink(l) }) })
 		return
 	}
-	l.checkTimer.Reset(dueAfter - since)
+	l.checkTimer.Reset(dueAfter - elapsed)
 }
--- a/internal/servers/trunk/source.go
+++ b/internal/servers/trunk/messagereader.go
@@ -27,33 +27,33 @@
 }
 
 // endMessage ends the current message. There is no deadline for the next one to begin.
-func (s *messageReader) endMessage() { s.begun = time.Time{} }
+func (r *messageReader) endMessage() { r.begun = time.Time{} }
 
 // beginMessage starts the time limit of a message.
-func (s *messageReader) beginMessage() { s.begun, s.deadlineSet, s.extensions = time.Now(), false, 0 }
+func (r *messageReader) beginMessage() { r.begun, r.deadlineSet, r.extensions = time.Now(), false, 0 }
 
-func (s *messageReader) Read(b []byte) (int, error) {
+func (r *messageReader) Read(b []byte) (int, error) {
 	switch {
-	case s.begun.IsZero() && s.connHasDeadline:
-		s.conn.SetReadDeadline(time.Time{})
-		s.connHasDeadline = false
-	case !s.begun.IsZero() && !s.deadlineSet:
-		s.conn.SetReadDeadline(s.begun.Add(s.interval))
-		s.deadlineSet, s.connHasDeadline = true, true
+	case r.begun.IsZero() && r.connHasDeadline:
+		r.conn.SetReadDeadline(time.Time{})
+		r.connHasDeadline = false
+	case !r.begun.IsZero() && !r.deadlineSet:
+		r.conn.SetReadDeadline(r.begun.Add(r.interval))
+		r.deadlineSet, r.connHasDeadline = true, true
 	}
-	n, err := s.conn.Read(b)
-	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || s.extensions == maxExtensions {
+	n, err := r.conn.Read(b)
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || r.extensions == maxExtensions {
 		return n, err
 	}
-	s.extensions++
-	s.conn.SetReadDeadline(time.Now().Add(s.interval))
-	return s.conn.Read(b)
+	r.extensions++
+	r.conn.SetReadDeadline(time.Now().Add(r.interval))
+	return r.conn.Read(b)
 }
 
 // messageHead keeps the first bytes of a message, which hold its type and call id.
 type messageHead []byte
 
-func (s *messageHead) Write(b []byte) (int, error) {
-	*s = append(*s, b[:min(len(b), isup.HeaderBytes-len(*s))]...)
+func (h *messageHead) Write(b []byte) (int, error) {
+	*h = append(*h, b[:min(len(b), isup.HeaderBytes-len(*h))]...)
 	return len(b), nil
 }
--- a/internal/servers/trunk/pool.go
+++ b/internal/servers/trunk/pool.go
@@ -18,8 +18,8 @@
 
 // Core receives the outcomes of attempts and the servers' load reports; *agent.Agent implements it.
 type Core interface {
-	Stands(id string, n int, description []byte)
-	Ended(id string, n int, err *agent.Failure, r policy.Report)
+	Stands(id string, index int, description []byte)
+	Ended(id string, index int, err *agent.Failure, r policy.Report)
 	UnknownEnded(id string, err *agent.Failure)
 	Reported(p policy.ReportReceived)
 }
@@ -198,9 +198,9 @@
 }
 
 // GiveUp ends an attempt, or the call that stands as its result.
-func (p *Pool) GiveUp(server, id string, number int, why policy.Result) {
+func (p *Pool) GiveUp(server, id string, index int, why policy.Result) {
 	if actor := p.actors[server]; actor != nil {
-		actor.post(func() { actor.giveUp(id, number, why) })
+		actor.post(func() { actor.giveUp(id, index, why) })
 	}
 }
 
--- a/internal/servers/trunk/hear.go
+++ b/internal/servers/trunk/receive.go
@@ -72,7 +72,7 @@
 	a.stands, a.stoodAt = true, time.Now()
 	sa.answerDelay += (a.stoodAt.Sub(a.sent) - sa.answerDelay) / 4
 	description, _ := m.Get(isup.Description)
-	sa.core.Stands(m.Call.String(), a.number, description)
+	sa.core.Stands(m.Call.String(), a.index, description)
 	if l == sa.link && l == a.link {
 		sa.closeStalledLinks()
 	}
--- a/internal/servers/trunk/places_test.go
+++ b/internal/servers/trunk/slots_test.go
@@ -48,24 +48,24 @@
 // newCluster starts the given number of servers and a pool.
 func newCluster(t *testing.T, servers int, cfg Config) *cluster {
 	w := &cluster{servers: map[string]*standin.Server{}, dials: map[string]int{}, hasSlot: map[string]bool{}}
-	at := map[string]string{}
+	idByAddress := map[string]string{}
 	for i := range servers {
 		id, s := fmt.Sprint("s", i), standin.NewServer(t, "")
-		w.servers[id], at[s.Addr] = s, id
+		w.servers[id], idByAddress[s.Addr] = s, id
 		w.list = append(w.list, agent.Server{Server: policy.Server{ID: id, Pool: i}, Address: s.Addr})
 	}
 	cfg.Name = "a"
 	cfg.randomDelay = func(d time.Duration) time.Duration { w.randomDelays.Add(1); return uniformDelay(d) }
-	cfg.OnSlotsChanged = func(ids []string, placed bool) {
+	cfg.OnSlotsChanged = func(ids []string, hasSlot bool) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, id := range ids {
-			w.hasSlot[id] = placed
+			w.hasSlot[id] = hasSlot
 		}
 	}
 	cfg.Dial = func(_ context.Context, address string) (net.Conn, error) {
 		w.mu.Lock()
-		w.dials[at[address]]++ // counted before the server can see the connection
+		w.dials[idByAddress[address]]++ // counted before the server can see the connection
 		w.mu.Unlock()
 		conn, err := net.Dial("tcp", address)
 		w.mu.Lock()
@@ -130,20 +130,20 @@
 	id := w.call(server, n)
 	g := w.servers[server].Await(t, isup.SetUp)
 	g.Answer("")
-	told := w.core.awaitEvent(t)
-	require.True(t, told.stands && told.id == id, "%+v", told)
+	event := w.core.awaitEvent(t)
+	require.True(t, event.stands && event.id == id, "%+v", event)
 	return g
 }
 
 // runOnActor runs do on a server's actor and waits until its effects are recorded.
 func (w *cluster) runOnActor(server string, do func(a *serverActor)) {
 	done := make(chan struct{})
-	a := w.actors[server]
-	a.post(func() { do(a); close(done) })
+	actor := w.actors[server]
+	actor.post(func() { do(actor); close(done) })
 	<-done
-	a.post(func() {})
+	actor.post(func() {})
 	synced := make(chan struct{})
-	a.post(func() { close(synced) })
+	actor.post(func() { close(synced) })
 	<-synced
 }
 
@@ -153,31 +153,31 @@
 // when the first is presumed stalled.
 func TestAllServersFit(t *testing.T) {
 	const servers = 60
-	for name, part := range map[string]int{"no bound": 0, "256 descriptors": 96, "all but full": 69} {
+	for name, limit := range map[string]int{"no bound": 0, "256 descriptors": 96, "all but full": 69} {
 		t.Run(name, func(t *testing.T) {
-			w := newCluster(t, servers, Config{MaxConns: part, ExtraConnLimit: 64, Jitter: 50 * ms, SilenceTimeout: time.Hour, StallTimeout: time.Second, FirstMessageTimeout: standin.Patience})
+			w := newCluster(t, servers, Config{MaxConns: limit, ExtraConnLimit: 64, Jitter: 50 * ms, SilenceTimeout: time.Hour, StallTimeout: time.Second, FirstMessageTimeout: standin.Patience})
 			w.Servers(w.list, true)
-			near, _ := w.awaitDialled(t, servers)
-			counts := func(dials, draws int) {
+			connected, _ := w.awaitDialled(t, servers)
+			counts := func(dials, randomDelays int) {
 				t.Helper()
 				_, n := w.dialled()
-				assert.Equal(t, []int{dials, draws}, []int{n, int(w.randomDelays.Load())}, "dials, draws")
+				assert.Equal(t, []int{dials, randomDelays}, []int{n, int(w.randomDelays.Load())}, "dials, draws")
 			}
 			counts(servers, servers)
 			var first standin.Got
-			for i, id := range near {
+			for i, id := range connected {
 				if g := w.standCall(t, id, i+1); i == 0 {
 					first = g
 				}
 			}
 			w.Servers(w.list, true)
-			w.runOnActor(near[0], func(*serverActor) {})
+			w.runOnActor(connected[0], func(*serverActor) {})
 			counts(servers, servers)
 			first.Conn.Close()
-			require.Eventually(t, func() bool { return len(w.servers[near[0]].Conns()) == 2 }, standin.Patience, ms)
+			require.Eventually(t, func() bool { return len(w.servers[connected[0]].Conns()) == 2 }, standin.Patience, ms)
 			counts(servers+1, servers)
-			w.call(near[1], 100) // unanswered: the connection is presumed stalled
-			require.Eventually(t, func() bool { return len(w.servers[near[1]].Conns()) == 2 }, standin.Patience, ms)
+			w.call(connected[1], 100) // unanswered: the connection is presumed stalled
+			require.Eventually(t, func() bool { return len(w.servers[connected[1]].Conns()) == 2 }, standin.Patience, ms)
 			counts(servers+2, servers)
 			assert.Empty(t, w.hasSlot)
 			assert.True(t, w.Serves())
@@ -192,36 +192,36 @@
 func TestSubset(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour}) // seven slots
 	w.Servers(w.list, true)
-	near, far := w.awaitDialled(t, 3)
+	connected, others := w.awaitDialled(t, 3)
 	require.Eventually(t, w.Serves, standin.Patience, ms)
 	var last standin.Got
-	for i, id := range far[:4] {
+	for i, id := range others[:4] {
 		last = w.standCall(t, id, i+1)
 	}
-	w.call(far[4], 10)
+	w.call(others[4], 10)
 	w.core.awaitEnd(t, agent.Unwritten, policy.NotSent)
-	w.Probe(far[4])
-	for asked := false; !asked; {
+	w.Probe(others[4])
+	for solicited := false; !solicited; {
 		p := standin.Next(t, w.core.reports)
-		if asked = p.Solicited; asked {
+		if solicited = p.Solicited; solicited {
 			assert.Equal(t, policy.NotSent, p.Result, "it says nothing about the server")
 		}
 	}
-	for i, id := range near {
+	for i, id := range connected {
 		w.standCall(t, id, 20+i) // a server with a slot serves calls
 	}
 	last.Release(isup.Normal, "")
 	require.Nil(t, w.core.awaitEvent(t).err, "the end of a call comes on its connection")
 	time.Sleep(100 * ms) // a slot can be taken over only after it has been idle for a while
-	w.standCall(t, far[4], 11)
+	w.standCall(t, others[4], 11)
 	servers, dials := w.dialled()
 	assert.Equal(t, []int{8, 8}, []int{servers, dials})
 	assert.Equal(t, 7, w.maxOpen, "connections")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	assert.True(t, w.hasSlot[far[4]])
-	assert.False(t, w.hasSlot[far[3]])
-	assert.False(t, w.hasSlot[far[5]])
+	assert.True(t, w.hasSlot[others[4]])
+	assert.False(t, w.hasSlot[others[3]])
+	assert.False(t, w.hasSlot[others[5]])
 }
 
 // fillSlots fills the slots of a pool with fewer slots than servers, all but one with calls. It returns the
@@ -231,8 +231,8 @@
 	cfg.MaxConns, cfg.Jitter, cfg.SilenceTimeout, cfg.Linger, cfg.ConnectTimeout = 8, ms, time.Hour, 50*ms, standin.Patience
 	w = newCluster(t, 20, cfg)
 	w.Servers(w.list, true)
-	_, far := w.awaitDialled(t, 3)
-	for i, id := range far[:4] {
+	_, others := w.awaitDialled(t, 3)
+	for i, id := range others[:4] {
 		g := w.standCall(t, id, i+1)
 		if i == 3 {
 			g.Release(isup.Normal, "")
@@ -243,7 +243,7 @@
 	held := make(chan struct{})
 	free = sync.OnceFunc(func() { close(held) })
 	t.Cleanup(free)
-	return w, far[3], far[4], held, free
+	return w, others[3], others[4], held, free
 }
 
 // TestSlotTakenWhileQueued covers a slot that is taken while a set-up for its former server waits in the
@@ -309,8 +309,8 @@
 func TestDeadServerReplaced(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour, RedialInterval: 20 * ms})
 	w.Servers(w.list, true)
-	near, _ := w.awaitDialled(t, 3)
-	w.servers[near[0]].Die()
+	connected, _ := w.awaitDialled(t, 3)
+	w.servers[connected[0]].Die()
 	require.Eventually(t, func() bool { n, _ := w.dialled(); return n == 4 && w.connCount.Load() >= 3 }, standin.Patience, ms)
 	assert.True(t, w.Serves())
 	for _, s := range w.servers {
@@ -328,10 +328,10 @@
 func TestListGrowsAndShrinks(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour})
 	w.Servers(w.list[:7], true)
-	near, _ := w.awaitDialled(t, 7)
-	g := w.standCall(t, near[0], 1)
+	connected, _ := w.awaitDialled(t, 7)
+	g := w.standCall(t, connected[0], 1)
 	w.Servers(w.list, true)
-	w.runOnActor(near[0], func(*serverActor) {})
+	w.runOnActor(connected[0], func(*serverActor) {})
 	assert.EqualValues(t, 7, w.connCount.Load())
 	g.Release(isup.Normal, "")
 	require.Nil(t, w.core.awaitEvent(t).err)
@@ -348,8 +348,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.list[10:15] {
-		if told, ok := w.hasSlot[s.ID]; ok {
-			assert.True(t, told, s.ID)
+		if hasSlot, ok := w.hasSlot[s.ID]; ok {
+			assert.True(t, hasSlot, s.ID)
 		}
 	}
 }
@@ -359,9 +359,9 @@
 func TestUnknownReleaseReachesAll(t *testing.T) {
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, SilenceTimeout: time.Hour})
 	w.Servers(w.list, true)
-	near, far := w.awaitDialled(t, 3)
+	connected, others := w.awaitDialled(t, 3)
 	w.ReleaseUnknown(secondCall)
-	assert.Equal(t, secondCall, w.servers[near[0]].Await(t, isup.Release).Call.String())
-	w.call(far[0], 1)
-	assert.Equal(t, secondCall, w.servers[far[0]].Await(t, isup.Release).Call.String())
+	assert.Equal(t, secondCall, w.servers[connected[0]].Await(t, isup.Release).Call.String())
+	w.call(others[0], 1)
+	assert.Equal(t, secondCall, w.servers[others[0]].Await(t, isup.Release).Call.String())
 }
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -44,7 +44,7 @@
 
 // attempt is a set-up that was sent and not yet answered, or a call that stands.
 type attempt struct {
-	number  int // attempt number within the call
+	index   int // attempt number within the call
 	sent    time.Time
 	link    *link
 	stands  bool
@@ -183,7 +183,7 @@
 	if !a.stands {
 		sa.setUpDone(a.link)
 	}
-	sa.core.Ended(id.String(), a.number, err, r)
+	sa.core.Ended(id.String(), a.index, err, r)
 }
 
 func (sa *serverActor) setUp(a agent.Attempt) {
@@ -207,7 +207,7 @@
 // learns of a drain or a cancellation first records it directly, since a message to this actor may wait
 // behind the set-up.
 func (sa *serverActor) writeSetUp(a agent.Attempt) {
-	left := time.Until(a.Deadline)
+	remaining := time.Until(a.Deadline)
 	unwritten := func(r policy.Result, err error) {
 		sa.core.Ended(a.ID, a.Index, newFailure(sa.server.ID, agent.Unwritten, r, err), policy.EmptyReport())
 	}
@@ -225,7 +225,7 @@
 	case a.CancelCause() != nil:
 		unwritten(policy.NotSent, errGivenUp)
 		return
-	case left < time.Millisecond:
+	case remaining < time.Millisecond:
 		unwritten(policy.NotSent, errExpired)
 		return
 	case sa.open[id] != nil:
@@ -233,7 +233,7 @@
 		return
 	}
 	m := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, a.Class).
-		WithMillis(isup.TimeLeft, left)
+		WithMillis(isup.TimeLeft, remaining)
 	if a.Number != "" {
 		m = m.WithText(isup.Number, a.Number)
 	}
@@ -245,7 +245,7 @@
 	if err != nil && n <= 0 {
 		unwritten(policy.NotSent, err)
 	} else { // a partial write may have been enough: the attempt ends with the connection
-		sa.open[id] = &attempt{number: a.Index, sent: time.Now(), link: link}
+		sa.open[id] = &attempt{index: a.Index, sent: time.Now(), link: link}
 		if link.unanswered++; link.unanswered == 1 {
 			link.unansweredSince = time.Now()
 		}
@@ -275,14 +275,14 @@
 
 // giveUp ends an attempt that waits or is unanswered, or a call that stands. It reports the end only once the
 // release is written: from then on the call may count the time until its next attempt.
-func (sa *serverActor) giveUp(callID string, number int, why policy.Result) {
-	if sa.dequeue(callID, number) {
-		sa.core.Ended(callID, number, newFailure(sa.server.ID, agent.Unwritten, why, errGivenUp), policy.EmptyReport())
+func (sa *serverActor) giveUp(callID string, index int, why policy.Result) {
+	if sa.dequeue(callID, index) {
+		sa.core.Ended(callID, index, newFailure(sa.server.ID, agent.Unwritten, why, errGivenUp), policy.EmptyReport())
 		return
 	}
 	id, err := isup.ParseCallID(callID)
 	a := sa.open[id]
-	if err != nil || a == nil || a.number != number { // it has already ended, which was reported
+	if err != nil || a == nil || a.index != index { // it has already ended, which was reported
 		return
 	}
 	stage, on := agent.Written, a.link // an unanswered set-up is released on the connection that it was sent on
@@ -457,16 +457,16 @@
 }
 
 // connectTimedOut ends a set-up that got no connection within Config.ConnectTimeout.
-func (sa *serverActor) connectTimedOut(id string, number int) {
-	if sa.dequeue(id, number) {
-		sa.core.Ended(id, number, newFailure(sa.server.ID, agent.Unconnected, policy.Unreachable,
+func (sa *serverActor) connectTimedOut(id string, index int) {
+	if sa.dequeue(id, index) {
+		sa.core.Ended(id, index, newFailure(sa.server.ID, agent.Unconnected, policy.Unreachable,
 			context.DeadlineExceeded), policy.EmptyReport())
 	}
 }
 
 // dequeue removes a set-up from those that wait for a connection, and reports whether it was there.
-func (sa *serverActor) dequeue(id string, number int) bool {
-	i := slices.IndexFunc(sa.waiting, func(w agent.Attempt) bool { return w.ID == id && w.Index == number })
+func (sa *serverActor) dequeue(id string, index int) bool {
+	i := slices.IndexFunc(sa.waiting, func(w agent.Attempt) bool { return w.ID == id && w.Index == index })
 	if i >= 0 {
 		sa.waiting = slices.Delete(sa.waiting, i, i+1)
 	}
@@ -497,15 +497,15 @@
 		}
 	}()
 	messages := &messageReader{conn: l.conn, interval: sa.cfg.MessageInterval}
-	in := bufio.NewReaderSize(messages, 4<<10)
+	buffered := bufio.NewReaderSize(messages, 4<<10)
 	for {
 		messages.endMessage()
-		if _, err := in.Peek(1); err != nil {
+		if _, err := buffered.Peek(1); err != nil {
 			return err
 		}
 		messages.beginMessage()
 		*latest = (*latest)[:0]
-		m, err := isup.Read(io.TeeReader(in, latest))
+		m, err := isup.Read(io.TeeReader(buffered, latest))
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return errTruncated
 		}
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -340,13 +340,13 @@
 // done. The first must stay open for its own set-up, because a server with a queue is silent too.
 func TestStalledConnection(t *testing.T) {
 	var dials atomic.Int32
-	back := make(chan struct{}) // closed to let the second dial return
+	dialReturns := make(chan struct{}) // closed to let the second dial return
 	p, c := startPool(t, Config{Aim: 400 * ms, ConnectTimeout: standin.Patience, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := net.Dial("tcp", addr)
 			if dials.Add(1) == 2 {
 				select {
-				case <-back:
+				case <-dialReturns:
 				case <-ctx.Done():
 				}
 			}
@@ -361,18 +361,18 @@
 	p.SetUp(newAttempt(secondCall, 30*time.Second))
 	crossed := s.Await(t, isup.SetUp)
 	assert.Same(t, g.Conn, crossed.Conn, "the server has accepted the second connection, but the actor does not have it yet")
-	close(back)
+	close(dialReturns)
 	standin.Next(t, c.reports) // group state on the second connection: the actor has it now
 	p.SetUp(newAttempt("0000000000000003", 30*time.Second))
 	assert.NotSame(t, g.Conn, s.Await(t, isup.SetUp).Conn)
 	g.Answer("")
-	told := c.awaitEvent(t)
-	assert.Equal(t, []any{true, firstCall}, []any{told.stands, told.id}, "an answer on the first connection still counts")
+	event := c.awaitEvent(t)
+	assert.Equal(t, []any{true, firstCall}, []any{event.stands, event.id}, "an answer on the first connection still counts")
 	assert.Greater(t, p.cfg.adaptive.timeout(100*ms), 100*ms, "false alarm: the timeout grows")
 	answered := time.Now() // taken before the answer: the core gets the answer after the linger time has begun
 	crossed.Answer("")
-	told = c.awaitEvent(t)
-	assert.Equal(t, []any{true, secondCall}, []any{told.stands, told.id})
+	event = c.awaitEvent(t)
+	assert.Equal(t, []any{true, secondCall}, []any{event.stands, event.id})
 	require.Eventually(t, func() bool {
 		_, err := g.Conn.Write([]byte("\x00\x09\x06\x00\x00\x00\x00\x00\x00\x00\x01")) // a message without effect
 		return err != nil
--- a/internal/servers/trunk/wanted_test.go
+++ b/internal/servers/trunk/wanted_test.go
@@ -36,11 +36,11 @@
 // actor is blocked, the set-up waits in the mailbox, and the update that it must not be sent waits behind it.
 // The update must still take effect.
 func TestRecheckBeforeWrite(t *testing.T) {
-	for name, news := range map[string]func(p *Pool, addr string, unwant func()){
-		"the caller leaves":          func(_ *Pool, _ string, unwant func()) { unwant() },
+	for name, news := range map[string]func(p *Pool, addr string, cancel func()){
+		"the caller leaves":          func(_ *Pool, _ string, cancel func()) { cancel() },
 		"the server drains":          func(p *Pool, addr string, _ func()) { p.update(listedServer(addr, policy.Draining, time.Time{})) },
 		"the server is gone":         func(p *Pool, _ string, _ func()) { p.Servers(nil, true) },
-		"the core gives the call up": func(p *Pool, _ string, unwant func()) { unwant(); p.GiveUp("s", secondCall, 0, policy.TimedOut) },
+		"the core gives the call up": func(p *Pool, _ string, cancel func()) { cancel(); p.GiveUp("s", secondCall, 0, policy.TimedOut) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := stuckConn{begun: make(chan struct{}), free: make(chan struct{})}
@@ -56,10 +56,10 @@
 			p.SetUp(newAttempt(firstCall, 3*time.Second))
 			standin.Next(t, conn.begun)
 			second := newAttempt(secondCall, 3*time.Second)
-			var unwant func()
-			second.Context, unwant = context.WithCancel(context.Background())
+			var cancel func()
+			second.Context, cancel = context.WithCancel(context.Background())
 			p.SetUp(second)
-			news(p, s.Addr, unwant)
+			news(p, s.Addr, cancel)
 			close(conn.free)
 			end := c.awaitEvent(t)
 			for end.id != secondCall {
