--- a/internal/servers/trunk/checks_test.go
+++ b/internal/servers/trunk/checks_test.go
@@ -113,9 +113,9 @@
 		unanswered, standing int
 		least, most          int // wake-ups in a minute with a group state each second
 	}{
-		"nothing out":        {0, 0, 0, 0},
-		"a call that stands": {0, 1, 20, 30},
-		"a set-up out":       {1, 0, 795, 801}, // each quarter of 300 ms
+		"nothing unanswered":   {0, 0, 0, 0},
+		"a call that stands":   {0, 1, 20, 30},
+		"an unanswered set-up": {1, 0, 795, 801}, // each quarter of 300 ms
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/servers/trunk/receive.go
+++ b/internal/servers/trunk/receive.go
@@ -108,8 +108,8 @@
 	return m.Millis(isup.Wait)
 }
 
-// minIDPrefix is the number of hex digits needed to identify a call's id among the calls that stand at one
-// server.
+// minIDPrefix is how many hex digits of a call's id are needed to identify it among the calls that stand at
+// one server.
 const minIDPrefix = 6
 
 // endTruncatedRelease handles the start of a message that was cut off by the end of its connection. A release
--- a/internal/servers/trunk/slots_test.go
+++ b/internal/servers/trunk/slots_test.go
@@ -161,7 +161,7 @@
 			counts := func(dials, randomDelays int) {
 				t.Helper()
 				_, n := w.dialled()
-				assert.Equal(t, []int{dials, randomDelays}, []int{n, int(w.randomDelays.Load())}, "dials, draws")
+				assert.Equal(t, []int{dials, randomDelays}, []int{n, int(w.randomDelays.Load())}, "dials, random delays")
 			}
 			counts(servers, servers)
 			var first standin.Got
@@ -264,8 +264,9 @@
 	assert.LessOrEqual(t, w.maxOpen, 7)
 }
 
-// TestSlotNotYielded covers an actor that is blocked while its slot is taken. The call must fail at once and
-// not wait for it, and the missing connection must not count against the server that the call was for.
+// TestSlotNotYielded covers an actor that is blocked while its slot is taken. The call that needs the slot
+// must fail after the yield timeout and not wait for the actor, and the missing connection must not count
+// against the server that the call was for.
 func TestSlotNotYielded(t *testing.T) {
 	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: 50 * ms})
 	w.actors[idle].post(func() { <-held })
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -44,7 +44,7 @@
 
 // attempt is a set-up that was sent and not yet answered, or a call that stands.
 type attempt struct {
-	index   int // attempt number within the call
+	index   int // of the attempt within its call, from 0
 	sent    time.Time
 	link    *link
 	stands  bool
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestStallTimeoutBounded guards the ends of calls, which come on the same connection and are owed within 1
-// s. Slow answers must not delay the replacement of a silent connection for longer.
+// TestStallTimeoutBounded guards the ends of calls, which come on the same connection and are owed to callers
+// in one second. Slow answers must not delay the replacement of a silent connection for longer.
 func TestStallTimeoutBounded(t *testing.T) {
 	for _, tc := range []struct{ delay, least, want time.Duration }{
 		{0, 80 * ms, 80 * ms},
@@ -568,8 +568,7 @@
 	assert.Equal(t, secondCall, s.Await(t, isup.Release).Call.String())
 }
 
-// TestProbe checks that a test message with cause 1 is answered by a load report, and that silence is a
-// timeout.
+// TestProbe checks that a test message with cause 1 brings a load report, and that silence is a timeout.
 func TestProbe(t *testing.T) {
 	p, c := startPool(t, Config{ProbeTimeout: time.Second})
 	s := standin.NewServer(t, "")
