--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -428,16 +428,16 @@
 // open, and a hung one accepts connections but sends nothing: their calls must be cut. An idle server sends
 // its group state on a new connection: its calls must not be cut.
 func TestSilentServer(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	hungServer, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer mute.Close()
+	defer hungServer.Close()
 	for _, tc := range []struct {
 		name string
 		dial func(ctx context.Context, addr string) (net.Conn, error) // used after the call stands
 		cut  bool
 	}{
 		{"vanished", func(context.Context, string) (net.Conn, error) { return nil, errors.New("no route") }, true},
-		{"hung", func(context.Context, string) (net.Conn, error) { return net.Dial("tcp", mute.Addr().String()) }, true},
+		{"hung", func(context.Context, string) (net.Conn, error) { return net.Dial("tcp", hungServer.Addr().String()) }, true},
 		{"quiet", func(_ context.Context, addr string) (net.Conn, error) { return net.Dial("tcp", addr) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/servers/trunk/wanted_test.go
+++ b/internal/servers/trunk/wanted_test.go
@@ -36,7 +36,7 @@
 // actor is blocked, the set-up waits in the mailbox, and the update that it must not be sent waits behind it.
 // The update must still take effect.
 func TestRecheckBeforeWrite(t *testing.T) {
-	for name, news := range map[string]func(p *Pool, addr string, cancel func()){
+	for name, makeUnwanted := range map[string]func(p *Pool, addr string, cancel func()){
 		"the caller leaves":          func(_ *Pool, _ string, cancel func()) { cancel() },
 		"the server drains":          func(p *Pool, addr string, _ func()) { p.update(listedServer(addr, policy.Draining, time.Time{})) },
 		"the server is gone":         func(p *Pool, _ string, _ func()) { p.Servers(nil, true) },
@@ -59,7 +59,7 @@
 			var cancel func()
 			second.Context, cancel = context.WithCancel(context.Background())
 			p.SetUp(second)
-			news(p, s.Addr, cancel)
+			makeUnwanted(p, s.Addr, cancel)
 			close(conn.free)
 			end := c.awaitEvent(t)
 			for end.id != secondCall {
