--- a/internal/servers/bulletin/bulletin.go
+++ b/internal/servers/bulletin/bulletin.go
@@ -77,7 +77,7 @@
 	return list, nil
 }
 
-// Core receives changes of the list; *agent.Agent implements it.
+// Core receives the complete list, if whole is set, or changes of it; *agent.Agent implements it.
 type Core interface {
 	Servers(list []agent.Server, whole bool)
 }
@@ -182,7 +182,7 @@
 	previous := f.lastEvent
 	err = f.applyEvents(b.Items, f.missingEvent == previous+1)
 	if !errors.Is(err, errMissingEvents) && b.No > f.lastEvent { // its number is higher than that of its last event
-		err = errors.Join(err, fmt.Errorf("%w: %d is the last, %d was told", errMissingEvents, b.No, f.lastEvent))
+		err = errors.Join(err, fmt.Errorf("%w: the number of the answer is %d, its last event is %d", errMissingEvents, b.No, f.lastEvent))
 		if f.missingEvent == previous+1 && f.lastEvent == previous {
 			f.lastEvent = b.No
 		}
--- a/internal/servers/bulletin/scripted_test.go
+++ b/internal/servers/bulletin/scripted_test.go
@@ -70,7 +70,7 @@
 	for name, answer := range map[string]string{
 		"empty":        httpAnswer(1),
 		"old number":   httpAnswer(0),
-		"told before":  httpAnswer(1, eventJSON(1, "up")),
+		"already seen": httpAnswer(1, eventJSON(1, "up")),
 		"never comes":  httpAnswer(7),
 		"no answer":    "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
 		"two answers":  httpAnswer(1) + httpAnswer(1),
--- a/internal/servers/trunk/link.go
+++ b/internal/servers/trunk/link.go
@@ -57,7 +57,7 @@
 const maxRetiredLinks = 2
 
 // linger closes a retired connection some time after its last answer. A server that sees the connection end
-// before it knows that its answer has arrived takes the set-up for given up, and cuts the call.
+// before it knows that its answer has arrived considers the set-up given up, and cuts the call.
 func (sa *serverActor) linger(l *link) {
 	time.AfterFunc(sa.cfg.Linger, func() {
 		if !sa.mailbox.Post(func() { sa.discard(l) }) { // the actor has stopped meanwhile
@@ -90,13 +90,13 @@
 const stallDelayFactor = 4
 
 // maxStallTimeout limits the timeout that slow answers cause. The ends of calls come on the same connection,
-// and those lost there are repeated on the next one. They are owed to the callers within 1 s, however slow
-// the answers are.
+// and those lost there are repeated on the next one. They must reach the callers within 1 s, however slow the
+// answers are.
 const maxStallTimeout = 600 * time.Millisecond
 
 // maxQueuedTimeout limits the silence that a stated processor wait explains. The ends of calls that are lost
-// on a silent connection are owed within 1 s of the server's release, and a call that waits at the processor
-// is not released yet.
+// on a silent connection must reach the callers within 1 s of the server's release, and a call that waits at
+// the processor is not released yet.
 const maxQueuedTimeout = 1200 * time.Millisecond
 
 // stallTimeout returns how long a set-up may wait without a message on its connection. A server that has
@@ -123,10 +123,10 @@
 	}
 }
 
-// checkLink checks whether the connection in use still works. On a new connection the server speaks first, at
-// once. Later, an answer may be lost with all that follows it on the connection, a machine that vanished
-// leaves its connections open, and an idle server has nothing to send. A second connection tells these cases
-// apart, and replaces the first.
+// checkLink checks whether the connection in use still works. On a new connection the server sends a message
+// first, at once. Later, an answer may be lost with all that follows it on the connection, a machine that
+// vanished leaves its connections open, and an idle server has nothing to send. A second connection shows
+// which of these is the case, and replaces the first.
 func (sa *serverActor) checkLink(l *link) {
 	if sa.link != l {
 		return
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -154,7 +154,7 @@
 }
 
 // withdraw ends all that is still open at the server. A server is withdrawn once its process has stopped, and
-// then nobody else reports the ends of its calls.
+// then no message reports the ends of its calls.
 func (sa *serverActor) withdraw() {
 	sa.server.State = policy.Gone
 	sa.failWaiting(agent.Unwritten, policy.NotSent, errNotAccepting)
@@ -203,9 +203,9 @@
 }
 
 // writeSetUp sends a set-up. It checks the conditions once more, because a drain, the deadline or the
-// caller's cancellation may have come during a dial, a wait in a full mailbox or a blocked write. Whoever
-// learns of a drain or a cancellation first records it directly, since a message to this actor may wait
-// behind the set-up.
+// caller's cancellation may have come during a dial, a wait in a full mailbox or a blocked write. A drain or
+// a cancellation is recorded where this check sees it at once, since a message to this actor may wait behind
+// the set-up.
 func (sa *serverActor) writeSetUp(a agent.Attempt) {
 	remaining := time.Until(a.Deadline)
 	unwritten := func(r policy.Result, err error) {
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestStallTimeoutBounded guards the ends of calls, which come on the same connection and are owed to callers
-// in one second. Slow answers must not delay the replacement of a silent connection for longer.
+// TestStallTimeoutBounded guards the ends of calls, which come on the same connection and must reach the
+// callers in one second. Slow answers must not delay the replacement of a silent connection for longer.
 func TestStallTimeoutBounded(t *testing.T) {
 	for _, tc := range []struct{ delay, least, want time.Duration }{
 		{0, 80 * ms, 80 * ms},
@@ -438,7 +438,7 @@
 	}{
 		{"vanished", func(context.Context, string) (net.Conn, error) { return nil, errors.New("no route") }, true},
 		{"hung", func(context.Context, string) (net.Conn, error) { return net.Dial("tcp", hungServer.Addr().String()) }, true},
-		{"quiet", func(_ context.Context, addr string) (net.Conn, error) { return net.Dial("tcp", addr) }, false},
+		{"idle", func(_ context.Context, addr string) (net.Conn, error) { return net.Dial("tcp", addr) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var later atomic.Bool
