--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -438,7 +438,7 @@
 	}{
 		{"vanished", func(context.Context, string) (net.Conn, error) { return nil, errors.New("no route") }, true},
 		{"hung", func(context.Context, string) (net.Conn, error) { return net.Dial("tcp", hungServer.Addr().String()) }, true},
-		{"idle", func(_ context.Context, addr string) (net.Conn, error) { return net.Dial("tcp", addr) }, false},
+		{"quiet", func(_ context.Context, addr string) (net.Conn, error) { return net.Dial("tcp", addr) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var later atomic.Bool
