--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -91,7 +91,7 @@
 		if d.promises, err = newPromises(cfg, log); err != nil {
 			return nil, err
 		}
-		if d.promises.cfg.Load().KeepsCalls() {
+		if d.promises.cfg.Load().StoresCalls() {
 			kept = d.promises.keeper
 		}
 	}
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -63,7 +63,7 @@
 }
 
 func (c *controlGroup) LeadersPlan(ctx context.Context) (uint64, []byte, error) {
-	r, err := c.p.keeper.Group(c.id()).LeadersPlan(ctx)
+	r, err := c.p.keeper.Group(c.id()).LeaderPlan(ctx)
 	return r.Epoch, r.Plan, err
 }
 
--- a/internal/daemon/promisecmd.go
+++ b/internal/daemon/promisecmd.go
@@ -12,7 +12,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"woodrouter/internal/fleet/keeper"
+	"woodrouter/internal/fleet/promisestore"
 	"woodrouter/internal/fleet/replica"
 	"woodrouter/internal/yamlfile"
 	"woodrouter/promise"
@@ -82,7 +82,7 @@
 }
 
 func checkPromises(file string, out io.Writer) error {
-	c, err := keeper.LoadConfig(file)
+	c, err := promisestore.LoadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -106,13 +106,13 @@
 }
 
 // asking is a keeper that only asks: it takes no part in a group and claims nothing.
-func asking(file string) (*keeper.Keeper, keeper.Config, error) {
-	c, err := keeper.LoadConfig(file)
+func asking(file string) (*promisestore.Store, promisestore.Config, error) {
+	c, err := promisestore.LoadConfig(file)
 	if err != nil {
 		return nil, c, err
 	}
-	k := keeper.New("operator", slog.New(slog.DiscardHandler))
-	k.Move(c.Ring, c.Previous)
+	k := promisestore.New("operator", slog.New(slog.DiscardHandler))
+	k.SetRings(c.Ring, c.Previous)
 	return k, c, nil
 }
 
@@ -138,7 +138,7 @@
 // fencePromises has the groups of the former ring refuse claims by agents that still follow
 // it. Claims by the new ring pass, as agents make them there first while they know both.
 func fencePromises(ctx context.Context, file string, out io.Writer) error {
-	c, err := keeper.LoadConfig(file)
+	c, err := promisestore.LoadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -146,8 +146,8 @@
 		return fmt.Errorf("%s: field previous: empty; there is no former ring to fence off", file)
 	}
 	for _, g := range c.Previous.Groups {
-		client := keeper.Client(g)
-		_, err := client.ProposePatiently(ctx, promise.Entry{Op: promise.OpFence, Ring: c.Ring.Version})
+		client := promisestore.NewGroupClient(g)
+		_, err := client.ProposeWithRetry(ctx, promise.Entry{Op: promise.OpFence, Ring: c.Ring.Version})
 		client.Close()
 		if err != nil {
 			return fmt.Errorf("group %s: %w", g.ID, err)
@@ -187,7 +187,7 @@
 // each step is carried out once the one before it is committed; a step that stands already
 // does nothing, so a command that broke off is given again.
 func (c mendCommand) run(ctx context.Context, out io.Writer) error {
-	conf, err := keeper.LoadConfig(c.File)
+	conf, err := promisestore.LoadConfig(c.File)
 	if err != nil {
 		return err
 	}
@@ -231,9 +231,9 @@
 }
 
 func carryOut(ctx context.Context, g shard.Group, s shard.MembershipChange) error {
-	client := keeper.Client(g)
+	client := promisestore.NewGroupClient(g)
 	defer client.Close()
-	return replica.Patiently(ctx, func() error {
+	return replica.Retry(ctx, func() error {
 		if s.Remove != "" {
 			return client.Remove(ctx, s.Remove)
 		}
@@ -242,7 +242,7 @@
 }
 
 func (c memberCommand) change(ctx context.Context, out io.Writer, do func(*replica.Client) error) error {
-	conf, err := keeper.LoadConfig(c.File)
+	conf, err := promisestore.LoadConfig(c.File)
 	if err != nil {
 		return err
 	}
@@ -250,9 +250,9 @@
 	if !ok {
 		return fmt.Errorf("%s: no group %q", c.File, c.Group)
 	}
-	client := keeper.Client(g)
+	client := promisestore.NewGroupClient(g)
 	defer client.Close()
-	if err := replica.Patiently(ctx, func() error { return do(client) }); err != nil {
+	if err := replica.Retry(ctx, func() error { return do(client) }); err != nil {
 		return fmt.Errorf("group %s: %w", c.Group, err)
 	}
 	fmt.Fprintf(out, "group %s: done\n", c.Group)
--- a/internal/daemon/promises.go
+++ b/internal/daemon/promises.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"woodrouter/internal/console"
-	"woodrouter/internal/fleet/keeper"
+	"woodrouter/internal/fleet/promisestore"
 	"woodrouter/internal/fleet/replica"
 	"woodrouter/shard"
 )
@@ -22,9 +22,9 @@
 // what others promise where it is a member of a group (docs/replication.md). Off unless
 // WOODROUTER_PROMISES names its file.
 type promises struct {
-	keeper *keeper.Keeper
+	keeper *promisestore.Store
 	log    *slog.Logger
-	cfg    atomic.Pointer[keeper.Config]
+	cfg    atomic.Pointer[promisestore.Config]
 	node   atomic.Pointer[replica.Node] // nil: no part in a group, or none yet
 }
 
@@ -39,28 +39,28 @@
 }
 
 func newPromises(cfg Config, log *slog.Logger) (*promises, error) {
-	file, err := keeper.LoadConfig(cfg.Promises)
+	file, err := promisestore.LoadConfig(cfg.Promises)
 	if err != nil {
 		return nil, err
 	}
-	p := &promises{keeper: keeper.New(cmp.Or(file.Name, cfg.Name), log), log: log}
+	p := &promises{keeper: promisestore.New(cmp.Or(file.Name, cfg.Name), log), log: log}
 	p.take(file)
 	return p, nil
 }
 
-func (p *promises) take(file keeper.Config) {
+func (p *promises) take(file promisestore.Config) {
 	for _, found := range file.Ring.CheckZones() {
 		p.log.Warn("ring: a zone's loss would stop a group", "found", found)
 	}
 	p.cfg.Store(&file)
-	p.keeper.Move(file.Ring, file.Previous)
+	p.keeper.SetRings(file.Ring, file.Previous)
 	p.log.Info("ring taken", "version", file.Ring.Version, "groups", len(file.Ring.Groups), "replaces", file.Previous != nil)
 }
 
 // reload takes a changed file: its rings at once, the rest at the next start. A ring older
 // than the one in force is refused, as claims by it may be fenced off.
 func (p *promises) reload(path string) error {
-	next, err := keeper.LoadConfig(path)
+	next, err := promisestore.LoadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	if next.Ring.Version < now.Ring.Version {
 		return fmt.Errorf("promises: %s: field ring.version: %d is before %d, which is in force", path, next.Ring.Version, now.Ring.Version)
 	}
-	if next.Name != now.Name || next.KeepsCalls() != now.KeepsCalls() || !reflect.DeepEqual(next.Member, now.Member) {
+	if next.Name != now.Name || next.StoresCalls() != now.StoresCalls() || !reflect.DeepEqual(next.Member, now.Member) {
 		p.log.Warn("promises: name, member and calls hold from the next start")
 		next.Name, next.Member, next.Calls = now.Name, now.Member, now.Calls
 	}
@@ -134,10 +134,10 @@
 // keepVersions has the groups keep which settings, routes and second front's state this agent
 // runs by.
 func (d *Daemon) keepVersions() {
-	d.promises.keeper.Digest("settings", d.cfg.Settings)
+	d.promises.keeper.RecordDigest("settings", d.cfg.Settings)
 	for kind, path := range map[string]string{"routes": d.cfg.Routes, "plan": d.cfg.State} {
 		if path != "" {
-			d.promises.keeper.Version(kind, path)
+			d.promises.keeper.RecordVersion(kind, path)
 		}
 	}
 }
@@ -162,10 +162,10 @@
 func (p *promises) figures(line func(kind string, n int64, name string)) {
 	c := &p.keeper.Counts
 	line("c", c.Claimed.Load(), "promises_claimed")
-	line("c", c.Kept.Load(), "promises_kept")
-	line("c", c.Echoed.Load(), "promises_echoed")
-	line("c", c.Unkept.Load(), "promises_unkept")
-	line("c", c.Stale.Load(), "promises_stale_ring")
+	line("c", c.Stored.Load(), "promises_kept")
+	line("c", c.Adopted.Load(), "promises_echoed")
+	line("c", c.NotStored.Load(), "promises_unkept")
+	line("c", c.StaleRing.Load(), "promises_stale_ring")
 	line("c", c.Ended.Load(), "promises_ended")
 	line("c", c.EndsDropped.Load(), "promises_ends_dropped")
 }
@@ -186,7 +186,7 @@
 }
 
 // sayGroup words a group's state in a line.
-func sayGroup(id string, v keeper.View) string {
+func sayGroup(id string, v promisestore.GroupStatus) string {
 	if v.Err != nil {
 		return fmt.Sprintf("group %s: no leader within reach: %v", id, v.Err)
 	}
--- a/internal/daemon/replica.go
+++ b/internal/daemon/replica.go
@@ -27,7 +27,7 @@
 	}
 	log := slog.New(handler)
 	open := openMember
-	if control.Is(c.Config) {
+	if control.IsConfigFile(c.Config) {
 		open = openControl
 	}
 	end, log, err := open(c.Config, log)
--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -21,42 +21,42 @@
 // a put is not made again here, as a second one would be told of a conflict with the first.
 func (c *Client) Put(ctx context.Context, e rollout.Entry) (uint64, error) {
 	var r PutReply
-	err := c.Each(ctx, func(id string) (quorum.Answer, error) {
+	err := c.AskLeader(ctx, func(id string) (quorum.Answer, error) {
 		r = PutReply{}
 		err := c.Call(ctx, id, "Rollout.Put", PutArgs{e}, &r)
-		if err != nil && !errors.Is(err, quorum.ErrUnsent) {
-			return quorum.Answer{Outcome: quorum.Unknown, ComeBackMs: quorum.ComeBackUnknown.Milliseconds(),
+		if err != nil && !errors.Is(err, quorum.ErrNotSent) {
+			return quorum.Answer{Outcome: quorum.Unknown, ComeBackMs: quorum.DefaultRetryAfter.Milliseconds(),
 				Error: fmt.Sprintf("machine %s: %v", id, err)}, nil
 		}
 		return quorum.Answer{Outcome: r.Outcome, Leader: r.Leader, ComeBackMs: r.ComeBackMs, Error: r.Error}, err
 	}, func(a quorum.Answer) (bool, error) {
 		switch a.Outcome {
 		case Conflict:
-			return true, refusal{rollout.ErrConflict, a.Error}
+			return true, refusalError{rollout.ErrConflict, a.Error}
 		case quorum.Refused:
-			return true, refusal{rollout.ErrEntry, a.Error}
+			return true, refusalError{rollout.ErrEntry, a.Error}
 		}
 		return false, nil
 	})
 	return r.Revision, err
 }
 
-// Member has the leader take a machine out of the group or (args.Raft) into it.
-func (c *Client) Member(ctx context.Context, args MemberArgs) error {
-	return c.Each(ctx, func(id string) (a quorum.Answer, err error) {
+// ChangeMember has the leader take a machine out of the group or (args.Raft) into it.
+func (c *Client) ChangeMember(ctx context.Context, args MemberArgs) error {
+	return c.AskLeader(ctx, func(id string) (a quorum.Answer, err error) {
 		err = c.Call(ctx, id, "Rollout.Member", args, &a)
 		return a, err
 	}, nil)
 }
 
-// refusal is a machine's refusal in its own words, which begin with those of err.
-type refusal struct {
+// refusalError is a machine's refusal in its own words, which begin with those of err.
+type refusalError struct {
 	err  error
 	text string
 }
 
-func (r refusal) Error() string { return r.text }
-func (r refusal) Unwrap() error { return r.err }
+func (r refusalError) Error() string { return r.text }
+func (r refusalError) Unwrap() error { return r.err }
 
 // Overview is what one machine knows of a document, or ("") of all.
 func (c *Client) Overview(ctx context.Context, id, name string) (r OverviewReply, err error) {
--- a/internal/fleet/control/config.go
+++ b/internal/fleet/control/config.go
@@ -41,9 +41,9 @@
 // LoadConfig reads and proves a control machine's file. An error names the file and the field.
 func LoadConfig(path string) (Config, error) { return yamlfile.Load[Config](path) }
 
-// Is tells whether a file has a section of rollout: whether it is a control machine's. A file
+// IsConfigFile tells whether a file has a section of rollout: whether it is a control machine's. A file
 // that can't be read is not; whoever loads it finds out why.
-func Is(path string) bool {
+func IsConfigFile(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) > yamlfile.MaxSize {
 		return false
@@ -69,7 +69,7 @@
 		return err
 	}
 	if c.Rollout.Console != "" {
-		if err := quorum.Address(c.Rollout.Console); err != nil {
+		if err := quorum.CheckAddress(c.Rollout.Console); err != nil {
 			return fmt.Errorf("field rollout.console: %w", err)
 		}
 	}
@@ -77,7 +77,7 @@
 		return fmt.Errorf("field rollout.peers: this machine %q is not among them", c.ID)
 	}
 	for id, addr := range c.Rollout.Peers {
-		if err := quorum.Address(addr); err != nil {
+		if err := quorum.CheckAddress(addr); err != nil {
 			return fmt.Errorf("field rollout.peers.%s: %w", id, err)
 		}
 	}
@@ -96,7 +96,7 @@
 		name, text string
 		to         *time.Duration
 	}{{"dwell", r.Dwell, &s.Dwell}, {"patience", r.Patience, &s.Patience}, {"fresh", r.Fresh, &s.Fresh}} {
-		if err := quorum.Duration("rollout."+f.name, f.text, f.to); err != nil {
+		if err := quorum.ParseDuration("rollout."+f.name, f.text, f.to); err != nil {
 			return s, err
 		}
 	}
--- a/internal/fleet/control/conn.go
+++ b/internal/fleet/control/conn.go
@@ -20,29 +20,29 @@
 // Bounds of what callers may take. A watch is a request that waits, so that a connection's
 // bounds hold for watchers as for junk.
 const (
-	mostMessage  = 512 << 10 // bytes of one gob message: a document with room, or a report's refusals
-	mostTypes    = 64        // definitions of types on a connection; a caller of one service has about 15
-	mostRequests = 8         // unanswered requests on a connection; more wait unread
-	mostConns    = 4200      // connections, two of each of 1,460 agents and room; further ones are ended
-	requestTime  = 5 * time.Second
-	answerTime   = 5 * time.Second  // to take an answer
-	idleTime     = 30 * time.Second // between requests
+	maxMessageBytes    = 512 << 10 // bytes of one gob message: a document with room, or a report's refusals
+	maxTypeDefinitions = 64        // definitions of types on a connection; a caller of one service has about 15
+	maxPendingRequests = 8         // unanswered requests on a connection; more wait unread
+	maxConnections     = 4200      // connections, two of each of 1,460 agents and room; further ones are ended
+	requestTimeout     = 5 * time.Second
+	answerTimeout      = 5 * time.Second  // to take an answer
+	idleTimeout        = 30 * time.Second // between requests
 )
 
-// errJunk is a request that no caller of this service would send.
-var errJunk = errors.New("control: no request")
+// errBadRequest is a request that no caller of this service would send.
+var errBadRequest = errors.New("control: no request")
 
 // server takes callers' connections.
 type server struct {
-	rpc  *rpc.Server
-	ln   net.Listener
-	log  *slog.Logger
-	done sync.WaitGroup
+	rpc        *rpc.Server
+	ln         net.Listener
+	log        *slog.Logger
+	background sync.WaitGroup
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	closed bool
-	warned time.Time
+	mu          sync.Mutex
+	conns       map[net.Conn]bool
+	closed      bool
+	lastWarning time.Time
 }
 
 // closeGrace is how long answers to waiting callers may still take as the machine ends.
@@ -51,7 +51,7 @@
 // Serve takes callers on the machine's client address, and operators at its console, until
 // Close.
 func (n *Node) Serve() (err error) {
-	if n.console, err = n.openConsole(); err != nil {
+	if n.closeConsole, err = n.openConsole(); err != nil {
 		return err
 	}
 	srv := rpc.NewServer()
@@ -63,7 +63,7 @@
 		return fmt.Errorf("field client: %w", err)
 	}
 	n.server = &server{rpc: srv, ln: ln, log: n.log, conns: map[net.Conn]bool{}}
-	n.server.done.Go(n.server.accept)
+	n.server.background.Go(n.server.accept)
 	return nil
 }
 
@@ -76,24 +76,24 @@
 		case err != nil: // out of descriptors, mostly
 			s.log.Warn("accept failed", "error", err)
 			time.Sleep(10 * time.Millisecond)
-		case !s.enter(conn):
+		case !s.addConn(conn):
 			conn.Close()
 		}
 	}
 }
 
-func (s *server) enter(conn net.Conn) bool {
+func (s *server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
-	if len(s.conns) >= mostConns {
-		s.warn("caller turned away: too many connections", nil)
+	if len(s.conns) >= maxConnections {
+		s.warnLimited("caller turned away: too many connections", nil)
 		return false
 	}
 	s.conns[conn] = true
-	s.done.Go(func() {
+	s.background.Go(func() {
 		s.rpc.ServeCodec(newCodec(conn, s))
 		s.mu.Lock()
 		delete(s.conns, conn)
@@ -102,12 +102,12 @@
 	return true
 }
 
-// warn logs once a second at most: whoever floods us is not to fill the log. The lock is held.
-func (s *server) warn(msg string, err error, args ...any) {
-	if time.Since(s.warned) < time.Second {
+// warnLimited logs once a second at most: whoever floods us is not to fill the log. The lock is held.
+func (s *server) warnLimited(msg string, err error, args ...any) {
+	if time.Since(s.lastWarning) < time.Second {
 		return
 	}
-	s.warned = time.Now()
+	s.lastWarning = time.Now()
 	if err != nil {
 		args = append(args, "error", err)
 	}
@@ -120,18 +120,18 @@
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	cut := time.AfterFunc(closeGrace, s.cut)
+	cut := time.AfterFunc(closeGrace, s.closeConns)
 	now := time.Now()
 	s.mu.Lock()
 	for conn := range s.conns {
 		conn.SetReadDeadline(now) // nothing more is read; what waits is answered
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.background.Wait()
 	cut.Stop()
 }
 
-func (s *server) cut() {
+func (s *server) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.conns {
@@ -141,60 +141,60 @@
 
 // codec is one connection, in net/rpc's gob form, within the bounds above.
 type codec struct {
-	conn   net.Conn
-	server *server
-	in     *frames
-	dec    *gob.Decoder
-	out    *bufio.Writer
-	enc    *gob.Encoder
-	places chan struct{} // a place for each unanswered request
-	gone   chan struct{} // closed when nothing more can be read
-	ended  sync.Once
-	asked  bool        // a whole request has come
-	speaks speaker     // whose summaries of load come here
-	behind atomic.Bool // it was told in short that this machine knows less than it does
-	told   atomic.Bool // the last watch answered here heard that this machine lags
+	conn            net.Conn
+	server          *server
+	in              *messageReader
+	dec             *gob.Decoder
+	out             *bufio.Writer
+	enc             *gob.Encoder
+	slots           chan struct{} // a place for each unanswered request
+	readEnded       chan struct{} // closed when nothing more can be read
+	endOnce         sync.Once
+	hadRequest      bool          // a whole request has come
+	sender          summarySender // whose summaries of load come here
+	reportedBehind  atomic.Bool   // it was told in short that this machine knows less than it does
+	reportedLagging atomic.Bool   // the last watch answered here heard that this machine lags
 }
 
 func newCodec(conn net.Conn, s *server) *codec {
-	in := newFrames(bufio.NewReader(conn))
+	in := newMessageReader(bufio.NewReader(conn))
 	out := bufio.NewWriter(conn)
 	return &codec{conn: conn, server: s, in: in, dec: gob.NewDecoder(in), out: out, enc: gob.NewEncoder(out),
-		places: make(chan struct{}, mostRequests), gone: make(chan struct{})}
+		slots: make(chan struct{}, maxPendingRequests), readEnded: make(chan struct{})}
 }
 
 func (c *codec) ReadRequestHeader(r *rpc.Request) error {
-	c.places <- struct{}{} // WriteResponse gives it back
-	err := c.await()
+	c.slots <- struct{}{} // WriteResponse gives it back
+	err := c.awaitRequest()
 	if err == nil {
 		err = c.decode(r)
 	}
 	if err != nil {
-		c.end(err)
+		c.endReading(err)
 	}
 	return err
 }
 
-// await waits for a request's first byte; the rest is to come within requestTime.
-func (c *codec) await() error {
+// awaitRequest waits for a request's first byte; the rest is to come within requestTime.
+func (c *codec) awaitRequest() error {
 	if c.in.err != nil {
 		return c.in.err
 	}
-	idle := requestTime // whoever never asks is not to keep a place
-	if c.asked {
-		idle = idleTime
+	idle := requestTimeout // whoever never asks is not to keep a place
+	if c.hadRequest {
+		idle = idleTimeout
 	}
-	if err := c.readBy(idle); err != nil {
+	if err := c.setReadTimeout(idle); err != nil {
 		return err
 	}
 	if _, err := c.in.From.Peek(1); err != nil {
 		return err
 	}
-	return c.readBy(requestTime)
+	return c.setReadTimeout(requestTimeout)
 }
 
-// readBy sets the time to read, unless the machine stops: that has set it to none.
-func (c *codec) readBy(d time.Duration) error {
+// setReadTimeout sets the time to read, unless the machine stops: that has set it to none.
+func (c *codec) setReadTimeout(d time.Duration) error {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if c.server.closed {
@@ -213,11 +213,11 @@
 	}
 	err := c.decode(body)
 	if tell, ok := body.(*stewards.TellArgs); ok && err == nil {
-		err = c.bind(tell)
+		err = c.bindSender(tell)
 	}
-	c.asked = err == nil
+	c.hadRequest = err == nil
 	if err != nil && c.in.err == nil {
-		c.in.err = fmt.Errorf("%w: %w", errJunk, err) // answered, and nothing after it is read
+		c.in.err = fmt.Errorf("%w: %w", errBadRequest, err) // answered, and nothing after it is read
 	}
 	return err
 }
@@ -226,30 +226,30 @@
 func (c *codec) decode(v any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w: %v", errJunk, r)
+			err = fmt.Errorf("%w: %v", errBadRequest, r)
 			c.in.err = err // in the middle of a message: nothing after it can be read
 		}
 	}()
 	return c.dec.Decode(v)
 }
 
-// end is told once that nothing more can be read, and why.
-func (c *codec) end(err error) {
-	c.ended.Do(func() {
-		close(c.gone)
+// endReading is told once that nothing more can be read, and why.
+func (c *codec) endReading(err error) {
+	c.endOnce.Do(func() {
+		close(c.readEnded)
 		var timeout net.Error
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) {
 			return // the caller is gone, was idle, or the machine stops
 		}
 		c.server.mu.Lock()
 		defer c.server.mu.Unlock()
-		c.server.warn("caller's connection ended", err, "caller", c.conn.RemoteAddr())
+		c.server.warnLimited("caller's connection ended", err, "caller", c.conn.RemoteAddr())
 	})
 }
 
 func (c *codec) WriteResponse(r *rpc.Response, body any) error {
-	defer func() { <-c.places }()
-	c.conn.SetWriteDeadline(time.Now().Add(answerTime))
+	defer func() { <-c.slots }()
+	c.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
 	err := c.enc.Encode(r)
 	if err == nil {
 		err = c.enc.Encode(body)
@@ -264,59 +264,59 @@
 }
 
 func (c *codec) Close() error {
-	c.end(io.EOF)
+	c.endReading(io.EOF)
 	return c.conn.Close()
 }
 
-// frames reads gob messages, each within the bounds: gob itself takes messages of up to 1 GiB,
+// messageReader reads gob messages, each within the bounds: gob itself takes messages of up to 1 GiB,
 // and definitions of types without end.
-type frames struct {
+type messageReader struct {
 	gobframe.Reader
-	types int   // definitions so far
-	err   error // ends it
+	typeDefinitions int   // definitions so far
+	err             error // ends it
 }
 
-func newFrames(r *bufio.Reader) *frames {
-	f := &frames{}
+func newMessageReader(r *bufio.Reader) *messageReader {
+	f := &messageReader{}
 	f.Reader = gobframe.Reader{From: r, Head: func() (whole int, err error) {
 		if f.err == nil {
-			whole, f.err = f.next()
+			whole, f.err = f.checkHead()
 		}
 		return whole, f.err
 	}}
 	return f
 }
 
-// next looks at a message's head: its length, and whether it is a definition of a type (whose
+// checkHead looks at a message's head: its length, and whether it is a definition of a type (whose
 // id is negative, which gob writes as an odd number).
-func (f *frames) next() (int, error) {
-	size, width, err := f.number(0)
+func (f *messageReader) checkHead() (int, error) {
+	size, width, err := f.peekNumber(0)
 	if err != nil {
 		return 0, err
 	}
-	if size == 0 || size > mostMessage {
-		return 0, fmt.Errorf("%w: a message of %d bytes, most %d", errJunk, size, mostMessage)
+	if size == 0 || size > maxMessageBytes {
+		return 0, fmt.Errorf("%w: a message of %d bytes, most %d", errBadRequest, size, maxMessageBytes)
 	}
-	id, more, err := f.number(width)
+	id, more, err := f.peekNumber(width)
 	if err != nil {
 		return 0, err
 	}
 	if uint64(more) > size {
-		return 0, fmt.Errorf("%w: a message of %d bytes ends in its head", errJunk, size)
+		return 0, fmt.Errorf("%w: a message of %d bytes ends in its head", errBadRequest, size)
 	}
 	if id&1 == 1 {
-		if f.types++; f.types > mostTypes {
-			return 0, fmt.Errorf("%w: more than %d definitions of types", errJunk, mostTypes)
+		if f.typeDefinitions++; f.typeDefinitions > maxTypeDefinitions {
+			return 0, fmt.Errorf("%w: more than %d definitions of types", errBadRequest, maxTypeDefinitions)
 		}
 	}
 	return width + int(size), nil
 }
 
-// number peeks at an unsigned number of gob's at an offset, and tells its width.
-func (f *frames) number(at int) (n uint64, width int, err error) {
+// peekNumber peeks at an unsigned number of gob's at an offset, and tells its width.
+func (f *messageReader) peekNumber(at int) (n uint64, width int, err error) {
 	n, width, err = gobframe.Number(f.From, at)
 	if errors.Is(err, gobframe.ErrNumber) {
-		err = fmt.Errorf("%w: %w", errJunk, err)
+		err = fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	return n, width, err
 }
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -23,11 +23,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// wait bounds what a test waits for.
-const wait = 20 * time.Second
+// waitLimit bounds what a test waits for.
+const waitLimit = 20 * time.Second
 
-// machines are a group of control machines on loopback, three of them voters, c4 none.
-type machines struct {
+// testGroup are a group of control machines on loopback, three of them voters, c4 none.
+type testGroup struct {
 	t       *testing.T
 	configs map[string]Config
 	nodes   map[string]*Node
@@ -41,25 +41,25 @@
 	port atomic.Int64
 )
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	at, err := host()
 	require.NoError(t, err)
 	return fmt.Sprintf("%s:%d", at, 7000+port.Add(1))
 }
 
-func start(t *testing.T) *machines {
-	g := &machines{t: t, configs: map[string]Config{}, nodes: map[string]*Node{}}
+func startGroup(t *testing.T) *testGroup {
+	g := &testGroup{t: t, configs: map[string]Config{}, nodes: map[string]*Node{}}
 	no, ids := false, []string{"c1", "c2", "c3", "c4"}
 	peers, boot := map[string]string{}, []quorum.Peer{}
 	for _, id := range ids {
-		peers[id] = free(t)
-		boot = append(boot, quorum.Peer{ID: id, Raft: free(t)})
+		peers[id] = freeAddress(t)
+		boot = append(boot, quorum.Peer{ID: id, Raft: freeAddress(t)})
 	}
 	boot[3].Voter = &no
 	for i, id := range ids {
 		cfg := Config{Config: quorum.Config{ID: id, Raft: boot[i].Raft, Client: peers[id], Data: filepath.Join(t.TempDir(), id),
 			Bootstrap: boot, Snapshot: quorum.SnapshotConfig{Entries: 2}, Timing: quorum.TimingConfig{Heartbeat: "150ms", Election: "150ms", Commit: "10ms", Lease: "100ms"}},
-			Rollout: RolloutConfig{Console: free(t), Peers: peers, Dwell: "50ms", Patience: "1s"}}
+			Rollout: RolloutConfig{Console: freeAddress(t), Peers: peers, Dwell: "50ms", Patience: "1s"}}
 		require.NoError(t, cfg.Valid())
 		g.configs[id] = cfg
 		g.open(id)
@@ -74,20 +74,20 @@
 	return g
 }
 
-func (g *machines) open(id string) {
+func (g *testGroup) open(id string) {
 	n, err := Open(g.configs[id], slog.New(slog.DiscardHandler))
 	require.NoError(g.t, err)
 	require.NoError(g.t, n.Serve())
 	g.nodes[id] = n
 }
 
-func (g *machines) close(id string) {
+func (g *testGroup) close(id string) {
 	g.nodes[id].Close()
 	delete(g.nodes, id)
 }
 
 // leader is the machine that leads, once there is one.
-func (g *machines) leader() (id string) {
+func (g *testGroup) leader() (id string) {
 	require.Eventually(g.t, func() bool {
 		for id = range g.nodes {
 			if g.nodes[id].Leading() {
@@ -95,31 +95,31 @@
 			}
 		}
 		return false
-	}, wait, 10*time.Millisecond)
+	}, waitLimit, 10*time.Millisecond)
 	return id
 }
 
-func name(t *testing.T, text string) rollout.Name {
+func parseName(t *testing.T, text string) rollout.Name {
 	n, err := rollout.ParseName(text)
 	require.NoError(t, err)
 	return n
 }
 
 // put has a change taken, however long an election takes.
-func (g *machines) put(e rollout.Entry) (uint64, error) {
+func (g *testGroup) put(e rollout.Entry) (uint64, error) {
 	e.Op, e.Author = rollout.OpPut, "ann"
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	var number uint64
-	err := quorum.Patiently(ctx, func() (err error) {
+	err := quorum.Retry(ctx, func() (err error) {
 		number, err = g.client.Put(ctx, e)
 		return err
 	})
 	return number, err
 }
 
-// agent watches one machine, as call agents do.
-type agent struct {
+// testAgent watches one machine, as call agents do.
+type testAgent struct {
 	t    *testing.T
 	conn *rpc.Client
 	args rollout.WatchArgs
@@ -129,16 +129,16 @@
 	texts map[string]string // by name
 }
 
-func (g *machines) agent(id, name string) *agent {
+func (g *testGroup) agent(id, name string) *testAgent {
 	conn, err := rpc.Dial("tcp", g.configs[id].Client)
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { conn.Close() })
-	return &agent{t: g.t, conn: conn, texts: map[string]string{}, args: rollout.WatchArgs{Have: map[string]uint64{}, PatienceMs: 500,
+	return &testAgent{t: g.t, conn: conn, texts: map[string]string{}, args: rollout.WatchArgs{Have: map[string]uint64{}, PatienceMs: 500,
 		Report: rollout.Report{Agent: rollout.Agent{Name: name, Service: "lessons", Zone: "z1", Region: "r1"}, Life: 1}}}
 }
 
 // watch asks once, and takes the answer.
-func (a *agent) watch() (rollout.WatchReply, error) {
+func (a *testAgent) watch() (rollout.WatchReply, error) {
 	a.args.Report.Seq++
 	args := a.args
 	args.Have = maps.Clone(a.args.Have)
@@ -165,7 +165,7 @@
 }
 
 // run watches until the connection ends.
-func (a *agent) run() *agent {
+func (a *testAgent) run() *testAgent {
 	go func() {
 		for {
 			if _, err := a.watch(); err != nil {
@@ -177,15 +177,15 @@
 }
 
 // until waits for an agent's state to be as wished.
-func (a *agent) until(what string, ok func() bool) {
+func (a *testAgent) until(what string, ok func() bool) {
 	require.Eventually(a.t, func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		return ok()
-	}, wait, 10*time.Millisecond, "%s: %s", a.args.Report.Agent.Name, what)
+	}, waitLimit, 10*time.Millisecond, "%s: %s", a.args.Report.Agent.Name, what)
 }
 
-func (a *agent) has(name, text string) {
+func (a *testAgent) has(name, text string) {
 	a.until(text, func() bool { return a.texts[name] == text })
 }
 
@@ -193,14 +193,14 @@
 // without a vote among them; a second put against the same revision is refused, and whoever
 // comes late gets the whole set.
 func TestPutAndWatch(t *testing.T) {
-	g := start(t)
-	agents := []*agent{}
+	g := startGroup(t)
+	agents := []*testAgent{}
 	for i, id := range []string{"c1", "c2", "c3", "c4"} {
 		a := g.agent(id, fmt.Sprintf("a%d", i+1)).run()
 		a.until("up to date", func() bool { return a.last.Machine != "" && !a.last.Lagging })
 		agents = append(agents, a)
 	}
-	routes := name(t, "routes@all")
+	routes := parseName(t, "routes@all")
 	first, err := g.put(rollout.Entry{Name: routes, Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	for _, a := range agents {
--- a/internal/fleet/control/fault_test.go
+++ b/internal/fleet/control/fault_test.go
@@ -24,13 +24,13 @@
 	"woodrouter/rollout"
 )
 
-// TestCutOff: a machine that has no leader says that it lags, to those who wait at once and to
+// TestQuorumLost: a machine that has no leader says that it lags, to those who wait at once and to
 // those who come, and still has what it had; nothing is taken without a quorum. One that comes
 // back with an old disk lags until it is brought up, and its agents never go back.
-func TestCutOff(t *testing.T) {
-	g := start(t)
+func TestQuorumLost(t *testing.T) {
+	g := startGroup(t)
 	at4, at3 := g.agent("c4", "a4").run(), g.agent("c3", "a3").run()
-	routes := name(t, "routes@all")
+	routes := parseName(t, "routes@all")
 	first, err := g.put(rollout.Entry{Name: routes, Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	at3.has("routes@all", "routes: 1")
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	_, err = g.client.Put(ctx, rollout.Entry{Op: rollout.OpPut, Name: routes, Base: second, Text: []byte("routes: 3"), Author: "ann"})
-	require.True(t, errors.Is(err, quorum.ErrNoQuorum) || errors.Is(err, quorum.ErrUnknown), "%v", err)
+	require.True(t, errors.Is(err, quorum.ErrNoQuorum) || errors.Is(err, quorum.ErrUnknownOutcome), "%v", err)
 
 	g.open("c1")
 	g.open("c2")
@@ -80,16 +80,16 @@
 	back.has("routes@all", "routes: 3")
 }
 
-// TestStop: a machine that stops answers who waits at it, at once.
-func TestStop(t *testing.T) {
-	g := start(t)
+// TestStopAnswersWatchers: a machine that stops answers who waits at it, at once.
+func TestStopAnswersWatchers(t *testing.T) {
+	g := startGroup(t)
 	a := g.agent("c4", "a4")
 	a.args.PatienceMs = 9000
 	_, err := a.watch()
 	require.NoError(t, err)
 	ended := make(chan error, 1)
 	go func() { _, err := a.watch(); ended <- err }()
-	require.Eventually(t, func() bool { return g.nodes["c4"].watchers.Load() == 1 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return g.nodes["c4"].watchers.Load() == 1 }, waitLimit, time.Millisecond)
 	began := time.Now()
 	g.close("c4")
 	require.ErrorContains(t, <-ended, "stops")
@@ -116,13 +116,13 @@
 	return append(all[:from:from], value...)
 }
 
-// TestJunk: what no caller would send ends its own connection and nothing else.
-func TestJunk(t *testing.T) {
-	g := start(t)
+// TestMalformedRequests: what no caller would send ends its own connection and nothing else.
+func TestMalformedRequests(t *testing.T) {
+	g := startGroup(t)
 	a := g.agent("c4", "a4").run()
 	a.until("up to date", func() bool { return a.last.Machine != "" && !a.last.Lagging })
 	types := &bytes.Buffer{} // definitions of types without end
-	for range mostTypes {
+	for range maxTypeDefinitions {
 		var b bytes.Buffer
 		gob.NewEncoder(&b).Encode(rpc.Request{ServiceMethod: "x", Seq: 1})
 		types.Write(b.Bytes()[:1+b.Bytes()[0]]) // the definition alone
@@ -141,7 +141,7 @@
 		require.NoError(t, err)
 		conn.Write(junk)
 		if i < 5 {
-			conn.SetReadDeadline(time.Now().Add(wait))
+			conn.SetReadDeadline(time.Now().Add(waitLimit))
 			_, err = io.Copy(io.Discard, conn)
 			var late net.Error
 			require.False(t, errors.As(err, &late) && late.Timeout(), "junk %d: the connection stands", i)
@@ -150,30 +150,30 @@
 	}
 	// Over the bound of a message, by a client that is one otherwise.
 	big := g.agent("c4", "big")
-	big.args.Report.Refused = []rollout.Refusal{{Why: strings.Repeat("x", mostMessage)}}
+	big.args.Report.Refused = []rollout.Refusal{{Why: strings.Repeat("x", maxMessageBytes)}}
 	_, err := big.watch()
 	require.Error(t, err)
 	_, err = g.agent("c4", "big").watch()
 	require.NoError(t, err)
-	number, err := g.put(rollout.Entry{Name: name(t, "routes@all"), Text: []byte("routes: 1")})
+	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	a.until("served on", func() bool { return a.args.Have["routes@all"] == number })
 }
 
-// TestLateStages: what a former leader proposes late changes nothing, and nobody but a leader
+// TestLateStageEntries: what a former leader proposes late changes nothing, and nobody but a leader
 // proposes stages.
-func TestLateStages(t *testing.T) {
-	g := start(t)
+func TestLateStageEntries(t *testing.T) {
+	g := startGroup(t)
 	a := g.agent("c4", "a4").run()
 	a.until("heard", func() bool { return a.last.Machine != "" })
-	number, err := g.put(rollout.Entry{Name: name(t, "routes@all"), Text: []byte("routes: 1")})
+	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 1")
 	leader := g.nodes[g.leader()]
 	require.Eventually(t, func() bool {
 		o, _ := leader.overview("")
 		return len(o.Names) == 1 && o.Names[0].Latest.Stage == rollout.StageEverywhere && o.Names[0].Coverage.InForce <= 1
-	}, wait, 10*time.Millisecond)
+	}, waitLimit, 10*time.Millisecond)
 	for _, op := range []rollout.Op{rollout.OpStart, rollout.OpAdvance, rollout.OpHalt} {
 		r, answer, err := leader.Propose(rollout.Encode(rollout.Entry{Op: op, Revision: number, First: []string{"a4"}, Why: "late"}))
 		require.NoError(t, err)
@@ -188,14 +188,14 @@
 	require.Equal(t, rollout.StageEverywhere, o.Names[0].Latest.Stage)
 }
 
-// scripted is a machine whose answers a test gives.
-type scripted struct {
+// scriptedMachine is a machine whose answers a test gives.
+type scriptedMachine struct {
 	reply PutReply
 	hold  chan struct{} // not nil: it answers when this is closed
 	puts  atomic.Int64
 }
 
-func (s *scripted) Put(_ PutArgs, r *PutReply) error {
+func (s *scriptedMachine) Put(_ PutArgs, r *PutReply) error {
 	s.puts.Add(1)
 	if s.hold != nil {
 		<-s.hold
@@ -214,13 +214,13 @@
 		hold  chan struct{}
 		want  error
 	}{
-		"leadership lost mid-commit": {PutReply{Outcome: quorum.Unknown, ComeBackMs: 40}, nil, quorum.ErrUnknown},
-		"stopped mid-commit":         {PutReply{}, hold, quorum.ErrUnknown},
+		"leadership lost mid-commit": {PutReply{Outcome: quorum.Unknown, ComeBackMs: 40}, nil, quorum.ErrUnknownOutcome},
+		"stopped mid-commit":         {PutReply{}, hold, quorum.ErrUnknownOutcome},
 		"no leader":                  {PutReply{Outcome: quorum.NoQuorum, ComeBackMs: 40}, nil, quorum.ErrNoQuorum},
 		"changed meanwhile":          {PutReply{Outcome: Conflict, Error: "at 7 by bob"}, nil, rollout.ErrConflict},
 		"refused":                    {PutReply{Outcome: quorum.Refused, Error: "too large"}, nil, rollout.ErrEntry},
 	} {
-		s := &scripted{reply: c.reply, hold: c.hold}
+		s := &scriptedMachine{reply: c.reply, hold: c.hold}
 		srv := rpc.NewServer()
 		require.NoError(t, srv.RegisterName("Rollout", s))
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -245,58 +245,58 @@
 	}
 }
 
-// asked puts one order to a machine's console.
-func (g *machines) asked(id, order string) string {
+// askConsole puts one order to a machine's console.
+func (g *testGroup) askConsole(id, order string) string {
 	conn, err := net.Dial("tcp", g.configs[id].Rollout.Console)
 	require.NoError(g.t, err)
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(wait))
+	conn.SetDeadline(time.Now().Add(waitLimit))
 	fmt.Fprintln(conn, order)
 	answer, _ := io.ReadAll(conn)
 	return string(answer)
 }
 
-// TestOrders: operators look and change at any machine; the non-voter passes changes on.
-func TestOrders(t *testing.T) {
-	g := start(t)
+// TestConsoleOrders: operators look and change at any machine; the non-voter passes changes on.
+func TestConsoleOrders(t *testing.T) {
+	g := startGroup(t)
 	a := g.agent("c1", "a1").run()
 	a.until("heard", func() bool { return a.last.Machine != "" })
 	g.leader()
 	var first, second uint64
-	_, err := fmt.Sscanf(g.asked("c4", "config put routes@all 0 ann\nroutes: 1\nEOT"), "SUCCESS routes@all is at %d", &first)
+	_, err := fmt.Sscanf(g.askConsole("c4", "config put routes@all 0 ann\nroutes: 1\nEOT"), "SUCCESS routes@all is at %d", &first)
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 1\n")
-	require.Contains(t, g.asked("c4", "CONFIG PUT routes@all 0 bob\nroutes: 2\nEOT"), fmt.Sprintf("is at %d by ann", first))
-	require.Contains(t, g.asked("c4", "CONFIG PUT routes@all x bob\nEOT"), "FAILURE BASE")
-	require.Contains(t, g.asked("c4", "CONFIG PUT routes 0 bob\nEOT"), "KIND@SCOPE")
-	require.Contains(t, g.asked("c4", "CONFIG LOOK spread@all"), "FAILURE no document")
-	_, err = fmt.Sscanf(g.asked("c4", fmt.Sprintf("CONFIG PUT routes@all %d bob\nroutes: 2\nEOT", first)), "SUCCESS routes@all is at %d", &second)
+	require.Contains(t, g.askConsole("c4", "CONFIG PUT routes@all 0 bob\nroutes: 2\nEOT"), fmt.Sprintf("is at %d by ann", first))
+	require.Contains(t, g.askConsole("c4", "CONFIG PUT routes@all x bob\nEOT"), "FAILURE BASE")
+	require.Contains(t, g.askConsole("c4", "CONFIG PUT routes 0 bob\nEOT"), "KIND@SCOPE")
+	require.Contains(t, g.askConsole("c4", "CONFIG LOOK spread@all"), "FAILURE no document")
+	_, err = fmt.Sscanf(g.askConsole("c4", fmt.Sprintf("CONFIG PUT routes@all %d bob\nroutes: 2\nEOT", first)), "SUCCESS routes@all is at %d", &second)
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 2\n")
 	require.Eventually(t, func() bool { // c4 hears of the agent at c1 from c1
-		return strings.Contains(g.asked("c4", "CONFIG"), fmt.Sprintf("routes@all revision %d, stage everywhere", second)) &&
-			strings.Contains(g.asked("c4", "CONFIG LOOK routes@all"), "zone z1: in force ")
-	}, wait, 50*time.Millisecond)
-	look := g.asked("c4", "CONFIG LOOK routes@all")
+		return strings.Contains(g.askConsole("c4", "CONFIG"), fmt.Sprintf("routes@all revision %d, stage everywhere", second)) &&
+			strings.Contains(g.askConsole("c4", "CONFIG LOOK routes@all"), "zone z1: in force ")
+	}, waitLimit, 50*time.Millisecond)
+	look := g.askConsole("c4", "CONFIG LOOK routes@all")
 	require.Contains(t, look, "| routes: 2\n")
 	require.Contains(t, look, fmt.Sprintf("revision %d: superseded, base 0, by ann", first))
 	require.True(t, strings.HasSuffix(look, "EOT\n"))
 	var third uint64
-	_, err = fmt.Sscanf(g.asked("c4", fmt.Sprintf("CONFIG BACK routes@all %d %d ann", first, second)), "SUCCESS routes@all is at %d", &third)
+	_, err = fmt.Sscanf(g.askConsole("c4", fmt.Sprintf("CONFIG BACK routes@all %d %d ann", first, second)), "SUCCESS routes@all is at %d", &third)
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 1\n")
-	require.Contains(t, g.asked("c4", fmt.Sprintf("CONFIG REMOVE routes@all %d ann", third)), "SUCCESS")
+	require.Contains(t, g.askConsole("c4", fmt.Sprintf("CONFIG REMOVE routes@all %d ann", third)), "SUCCESS")
 	a.has("routes@all", "")
-	require.Contains(t, g.asked("c1", "CONFIG LEAVE c4"), "SUCCESS")
+	require.Contains(t, g.askConsole("c1", "CONFIG LEAVE c4"), "SUCCESS")
 	lists := func(member string, want bool) func() bool { // c1 tells what it knows itself, and need not lead
 		return func() bool {
-			_, members, ok := strings.Cut(g.asked("c1", "CONFIG"), "machines: ")
+			_, members, ok := strings.Cut(g.askConsole("c1", "CONFIG"), "machines: ")
 			return ok && strings.Contains(members, member) == want
 		}
 	}
-	require.Eventually(t, lists("c4=", false), wait, 10*time.Millisecond)
-	require.Contains(t, g.asked("c1", "CONFIG JOIN c4 "+g.configs["c4"].Raft+" novote"), "SUCCESS")
-	require.Eventually(t, lists("c4="+g.configs["c4"].Raft+" (no vote)", true), wait, 10*time.Millisecond)
+	require.Eventually(t, lists("c4=", false), waitLimit, 10*time.Millisecond)
+	require.Contains(t, g.askConsole("c1", "CONFIG JOIN c4 "+g.configs["c4"].Raft+" novote"), "SUCCESS")
+	require.Eventually(t, lists("c4="+g.configs["c4"].Raft+" (no vote)", true), waitLimit, 10*time.Millisecond)
 }
 
 // TestLoadConfig: a control machine's file is known by its section, and refused by field.
@@ -315,7 +315,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "c.yaml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		require.True(t, Is(path), text)
+		require.True(t, IsConfigFile(path), text)
 		_, err := LoadConfig(path)
 		if want == "" {
 			require.NoError(t, err)
@@ -324,42 +324,42 @@
 			require.ErrorContains(t, err, "c.yaml")
 		}
 	}
-	require.False(t, Is("../../../deploy/replica.yaml"))
+	require.False(t, IsConfigFile("../../../deploy/replica.yaml"))
 	cfg, err := LoadConfig("../../../deploy/control.yaml")
 	require.NoError(t, err)
 	require.False(t, cfg.Bootstrap[3].Votes())
 }
 
-// TestReturn: a zone's agents that come back at once all get the whole set from one machine; one
+// TestManyAgentsReturn: a zone's agents that come back at once all get the whole set from one machine; one
 // watcher too many is told to go elsewhere.
-func TestReturn(t *testing.T) {
-	g := start(t)
-	number, err := g.put(rollout.Entry{Name: name(t, "routes@all"), Text: []byte("routes: 1")})
+func TestManyAgentsReturn(t *testing.T) {
+	g := startGroup(t)
+	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	g.agent("c4", "first").run().has("routes@all", "routes: 1")
-	var back []*agent
+	var back []*testAgent
 	for i := range 146 {
 		back = append(back, g.agent("c4", fmt.Sprintf("a%d", i)).run())
 	}
 	for _, a := range back {
 		a.until("the whole set", func() bool { return a.args.Have["routes@all"] == number })
 	}
-	g.nodes["c4"].watchers.Add(mostWatchers)
+	g.nodes["c4"].watchers.Add(maxWatchers)
 	_, err = g.agent("c4", "late").watch()
-	require.ErrorContains(t, err, errFull.Error())
-	g.nodes["c4"].watchers.Add(-mostWatchers)
+	require.ErrorContains(t, err, errTooManyWatchers.Error())
+	g.nodes["c4"].watchers.Add(-maxWatchers)
 }
 
-// TestWiped: the machine without a vote may lose its disk and come back under its id; it is
+// TestNonVoterLosesDisk: the machine without a vote may lose its disk and come back under its id; it is
 // brought up by a snapshot, and its agents get no older text meanwhile.
-func TestWiped(t *testing.T) {
-	g := start(t)
+func TestNonVoterLosesDisk(t *testing.T) {
+	g := startGroup(t)
 	a := g.agent("c1", "a1").run()
 	a.until("heard", func() bool { return a.last.Machine != "" })
 	var number uint64
 	for i := range 4 {
 		var err error
-		number, err = g.put(rollout.Entry{Name: name(t, "routes@all"), Base: number, Text: fmt.Appendf(nil, "routes: %d", i)})
+		number, err = g.put(rollout.Entry{Name: parseName(t, "routes@all"), Base: number, Text: fmt.Appendf(nil, "routes: %d", i)})
 		require.NoError(t, err)
 		a.has("routes@all", fmt.Sprintf("routes: %d", i))
 	}
--- a/internal/fleet/control/orders.go
+++ b/internal/fleet/control/orders.go
@@ -20,8 +20,8 @@
 // Operators' orders at a control machine's console. Any machine takes them: what is asked is
 // answered from what it knows, what is changed goes to the leader.
 
-// orderWait bounds an order that changes something.
-const orderWait = 4 * time.Second
+// orderTimeout bounds an order that changes something.
+const orderTimeout = 4 * time.Second
 
 // openConsole serves operators, where the file names an address.
 func (n *Node) openConsole() (close func(), err error) {
@@ -33,13 +33,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("field rollout.console: %w", err)
 	}
-	c := &console.Console{Log: n.log, Orders: n.orders()}
+	c := &console.Console{Log: n.log, Orders: n.consoleOrders()}
 	go c.Serve(ln)
 	n.log.Info("console open", "listen", ln.Addr().String())
 	return func() { ln.Close(); c.Close() }, nil
 }
 
-func (n *Node) orders() map[string]console.Order {
+func (n *Node) consoleOrders() map[string]console.Order {
 	change := func(words []string, e rollout.Entry) string {
 		base := words[len(words)-2]
 		var err error
@@ -50,11 +50,11 @@
 			return console.Failure + fmt.Sprintf(" BASE %.40q is no number", base)
 		}
 		e.Op, e.Author = rollout.OpPut, words[len(words)-1]
-		return n.change(e)
+		return n.putChange(e)
 	}
 	return map[string]console.Order{
-		"CONFIG":      {Usage: "CONFIG", Do: func([]string, []byte) string { return n.sayAll() }},
-		"CONFIG LOOK": {Usage: "CONFIG LOOK NAME", Least: 1, Most: 1, Do: func(w []string, _ []byte) string { return n.sayOne(w[0]) }},
+		"CONFIG":      {Usage: "CONFIG", Do: func([]string, []byte) string { return n.describeAll() }},
+		"CONFIG LOOK": {Usage: "CONFIG LOOK NAME", Least: 1, Most: 1, Do: func(w []string, _ []byte) string { return n.describeDocument(w[0]) }},
 		"CONFIG PUT": {Usage: "CONFIG PUT NAME BASE AUTHOR, the text, a line EOT; BASE 0: a new document", Least: 3, Most: 3, Body: true,
 			Do: func(w []string, text []byte) string { return change(w, rollout.Entry{Text: text}) }},
 		"CONFIG REMOVE": {Usage: "CONFIG REMOVE NAME BASE AUTHOR", Least: 3, Most: 3,
@@ -72,23 +72,23 @@
 				if len(w) == 3 && w[2] != "novote" {
 					return console.Failure + fmt.Sprintf(" %.40q is not novote", w[2])
 				}
-				if err := quorum.Address(w[1]); err != nil {
+				if err := quorum.CheckAddress(w[1]); err != nil {
 					return failure(err)
 				}
-				return n.member(MemberArgs{ID: w[0], Raft: w[1], Voter: len(w) == 2})
+				return n.changeMember(MemberArgs{ID: w[0], Raft: w[1], Voter: len(w) == 2})
 			}},
 		"CONFIG LEAVE": {Usage: "CONFIG LEAVE ID", Least: 1, Most: 1,
-			Do: func(w []string, _ []byte) string { return n.member(MemberArgs{ID: w[0]}) }},
+			Do: func(w []string, _ []byte) string { return n.changeMember(MemberArgs{ID: w[0]}) }},
 	}
 }
 
-// member has the leader change the group: given again it does no harm.
-func (n *Node) member(args MemberArgs) string {
+// changeMember has the leader change the group: given again it does no harm.
+func (n *Node) changeMember(args MemberArgs) string {
 	client := NewClient(n.cfg.Rollout.Peers)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(n.ctx, orderWait)
+	ctx, cancel := context.WithTimeout(n.ctx, orderTimeout)
 	defer cancel()
-	if err := quorum.Patiently(ctx, func() error { return client.Member(ctx, args) }); err != nil {
+	if err := quorum.Retry(ctx, func() error { return client.ChangeMember(ctx, args) }); err != nil {
 		return failure(err)
 	}
 	return console.Success + " done"
@@ -96,20 +96,20 @@
 
 func failure(err error) string { return console.Failure + " " + err.Error() }
 
-// change has the leader take a change. Where no leader is known it waits for one; a change
+// putChange has the leader take a change. Where no leader is known it waits for one; a change
 // that may stand is not made again.
-func (n *Node) change(e rollout.Entry) string {
+func (n *Node) putChange(e rollout.Entry) string {
 	client := NewClient(n.cfg.Rollout.Peers)
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(n.ctx, orderWait)
+	ctx, cancel := context.WithTimeout(n.ctx, orderTimeout)
 	defer cancel()
 	for {
 		number, err := client.Put(ctx, e)
-		var later *quorum.Later
+		var later *quorum.RetryAfterError
 		switch {
 		case err == nil:
 			return fmt.Sprintf("%s %v is at %d", console.Success, e.Name, number)
-		case errors.Is(err, quorum.ErrUnknown):
+		case errors.Is(err, quorum.ErrUnknownOutcome):
 			return fmt.Sprintf("%s %v; look (CONFIG LOOK %v) before it is ordered again", console.Failure, err, e.Name)
 		case !errors.As(err, &later):
 			return failure(err)
@@ -122,21 +122,21 @@
 	}
 }
 
-// sayAll words all documents, and the services whose load this machine is steward of, a line each.
-func (n *Node) sayAll() string {
+// describeAll words all documents, and the services whose load this machine is steward of, a line each.
+func (n *Node) describeAll() string {
 	o, err := n.overview("")
 	if err != nil {
 		return failure(err)
 	}
 	var b strings.Builder
-	n.head(&b, o)
+	n.writeHead(&b, o)
 	for _, v := range o.Names {
-		fmt.Fprintf(&b, "%v %s\n", v.Latest.Name, sayRevision(v))
+		fmt.Fprintf(&b, "%v %s\n", v.Latest.Name, describeRevision(v))
 	}
 	return b.String() + n.stewards.Say() + console.End
 }
 
-func (n *Node) head(b *strings.Builder, o OverviewReply) {
+func (n *Node) writeHead(b *strings.Builder, o OverviewReply) {
 	fmt.Fprintf(b, "%s machine %s (%s, leader %s) at %d", console.Success, o.Machine, strings.ToLower(o.State), cmp.Or(o.Leader, "not known"), o.Applied)
 	if o.Lagging {
 		fmt.Fprint(b, ", LAGGING: what follows may be old")
@@ -144,7 +144,7 @@
 	fmt.Fprintf(b, "\nmachines: %s\n", strings.Join(o.Members, ", "))
 }
 
-func sayRevision(v NameView) string {
+func describeRevision(v NameView) string {
 	text := fmt.Sprintf("revision %d, stage %s", v.Latest.Revision, v.Latest.Stage)
 	if v.Latest.Removed {
 		text += ", removed"
@@ -160,11 +160,11 @@
 	return text
 }
 
-// mostListed bounds the agents that an answer names in one list.
-const mostListed = 50
+// maxListedAgents bounds the agents that an answer names in one list.
+const maxListedAgents = 50
 
-// sayOne words one document: where it is in force, its history, its text.
-func (n *Node) sayOne(name string) string {
+// describeDocument words one document: where it is in force, its history, its text.
+func (n *Node) describeDocument(name string) string {
 	o, err := n.overview(name)
 	switch {
 	case err != nil:
@@ -173,24 +173,24 @@
 		return fmt.Sprintf("%s no document %s: BASE 0 makes one", console.Failure, name)
 	}
 	var b strings.Builder
-	n.head(&b, o)
+	n.writeHead(&b, o)
 	v := o.Names[0]
-	fmt.Fprintf(&b, "%v %s, by %s at %s\n", v.Latest.Name, sayRevision(v), v.Latest.Author, sayTime(v.Latest.AtUs))
+	fmt.Fprintf(&b, "%v %s, by %s at %s\n", v.Latest.Name, describeRevision(v), v.Latest.Author, formatTime(v.Latest.AtUs))
 	for _, zone := range slices.Sorted(maps.Keys(v.Coverage.Zones)) {
 		z := v.Coverage.Zones[zone]
 		fmt.Fprintf(&b, "zone %s: in force %d of %d\n", cmp.Or(zone, "(none)"), z.InForce, z.Agents)
 	}
 	for i, r := range v.Coverage.Refused {
-		if i == mostListed {
+		if i == maxListedAgents {
 			fmt.Fprintf(&b, "refused by %d more\n", len(v.Coverage.Refused)-i)
 			break
 		}
 		fmt.Fprintf(&b, "refused by %s: revision %d: %s\n", r.Agent, r.Revision, oneLine(r.Why))
 	}
-	sayAgents(&b, "behind", v.Coverage.Behind)
-	sayAgents(&b, "out of reach", v.Coverage.OutOfReach)
+	writeAgents(&b, "behind", v.Coverage.Behind)
+	writeAgents(&b, "out of reach", v.Coverage.OutOfReach)
 	for _, r := range v.History {
-		fmt.Fprintf(&b, "revision %d: %s, base %d, by %s at %s, %d bytes", r.Revision, r.Stage, r.Base, r.Author, sayTime(r.AtUs), len(r.Text))
+		fmt.Fprintf(&b, "revision %d: %s, base %d, by %s at %s, %d bytes", r.Revision, r.Stage, r.Base, r.Author, formatTime(r.AtUs), len(r.Text))
 		if r.Removed {
 			fmt.Fprint(&b, ", removed")
 		}
@@ -210,18 +210,18 @@
 	return b.String() + console.End
 }
 
-func sayAgents(b *strings.Builder, what string, agents []string) {
+func writeAgents(b *strings.Builder, what string, agents []string) {
 	if len(agents) == 0 {
 		return
 	}
-	fmt.Fprintf(b, "%s: %d: %s", what, len(agents), strings.Join(agents[:min(len(agents), mostListed)], " "))
-	if len(agents) > mostListed {
-		fmt.Fprintf(b, " and %d more", len(agents)-mostListed)
+	fmt.Fprintf(b, "%s: %d: %s", what, len(agents), strings.Join(agents[:min(len(agents), maxListedAgents)], " "))
+	if len(agents) > maxListedAgents {
+		fmt.Fprintf(b, " and %d more", len(agents)-maxListedAgents)
 	}
 	fmt.Fprintln(b)
 }
 
-func sayTime(us int64) string { return time.UnixMicro(us).UTC().Format("2006-01-02T15:04:05.000Z") }
+func formatTime(us int64) string { return time.UnixMicro(us).UTC().Format("2006-01-02T15:04:05.000Z") }
 
 // oneLine keeps an agent's words from looking like lines of the answer.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/fleet/control/service.go
+++ b/internal/fleet/control/service.go
@@ -15,33 +15,33 @@
 
 // Bounds of what agents may ask.
 const (
-	mostWatchers  = 2000
-	mostAnswering = 16               // looks at the state for watchers at once
-	mostPatience  = 10 * time.Second // below idleTime
-	mostWord      = 512              // bytes of a name in a report; rollout's are shorter
-	mostKinds     = 64
-	mostRefused   = 128
+	maxWatchers        = 2000
+	maxConcurrentLooks = 16               // looks at the state for watchers at once
+	maxPatience        = 10 * time.Second // below idleTime
+	maxNameBytes       = 512              // bytes of a name in a report; rollout's are shorter
+	maxKinds           = 64
+	maxRefused         = 128
 )
 
 // firstAgain is the patience that agents of a first stage are asked to come back with, so that
 // the steward hears how they fare; behindFor is how long a machine waits to catch up with what
 // a watcher knows before it says that it is behind.
 const (
-	firstAgain = 250 * time.Millisecond
-	behindFor  = 250 * time.Millisecond
+	firstStagePatience = 250 * time.Millisecond
+	catchUpWait        = 250 * time.Millisecond
 )
 
 var (
-	errStopping = errors.New("control: this machine stops")
-	errFull     = errors.New("control: too many watchers")
-	errAsked    = errors.New("control: watch")
+	errStopping        = errors.New("control: this machine stops")
+	errTooManyWatchers = errors.New("control: too many watchers")
+	errBadWatch        = errors.New("control: watch")
 )
 
 // Service is a control machine's net/rpc service, named "Rollout".
-type Service struct{ n *Node }
+type Service struct{ node *Node }
 
-// guard makes a fault of one answer an error of that answer: net/rpc would end the process.
-func (n *Node) guard(err *error) {
+// recoverPanic makes a fault of one answer an error of that answer: net/rpc would end the process.
+func (n *Node) recoverPanic(err *error) {
 	if r := recover(); r != nil {
 		n.log.Error("panic in an answer", "reason", r, "stack", string(debug.Stack()))
 		*err = errors.New("control: a fault of this machine")
@@ -58,65 +58,65 @@
 // machine begins or ceases to lag, or when its patience ends. Nothing is kept for a watcher:
 // what it gets is what it lacks when it is answered.
 func (s *Service) Watch(call *WatchCall, reply *rollout.WatchReply) (err error) {
-	defer s.n.guard(&err)
-	n := s.n
-	if err := proveWatch(&call.WatchArgs); err != nil {
+	defer s.node.recoverPanic(&err)
+	n := s.node
+	if err := checkWatch(&call.WatchArgs); err != nil {
 		return err
 	}
-	if n.watchers.Add(1) > mostWatchers {
+	if n.watchers.Add(1) > maxWatchers {
 		n.watchers.Add(-1)
-		return errFull
+		return errTooManyWatchers
 	}
 	defer n.watchers.Add(-1)
 	call.Report.Machine = n.cfg.ID
-	n.hear(call.Report)
-	patience := time.NewTimer(min(time.Duration(max(call.PatienceMs, 0))*time.Millisecond, mostPatience))
+	n.recordReport(call.Report)
+	patience := time.NewTimer(min(time.Duration(max(call.PatienceMs, 0))*time.Millisecond, maxPatience))
 	defer patience.Stop()
 	for first := true; ; first = false {
-		l := n.look(call, first)
-		if first && l.behind && !call.from.behind.Swap(true) {
-			patience.Reset(min(time.Duration(max(call.PatienceMs, 0))*time.Millisecond, behindFor))
+		l := n.watchStateFor(call, first)
+		if first && l.behind && !call.from.reportedBehind.Swap(true) {
+			patience.Reset(min(time.Duration(max(call.PatienceMs, 0))*time.Millisecond, catchUpWait))
 		}
 		over := false
-		if !l.tell {
+		if !l.answerNow {
 			select {
 			case <-l.changed:
 				continue
 			case <-n.ctx.Done():
 				return errStopping
-			case <-call.from.gone:
+			case <-call.from.readEnded:
 				return errStopping
 			case <-patience.C:
 				over = true
 			}
 		}
 		if over { // what came in the same moment is not to wait for the next watch
-			l = n.look(call, false)
+			l = n.watchStateFor(call, false)
 		}
-		call.from.told.Store(l.reply.Lagging)
+		call.from.reportedLagging.Store(l.reply.Lagging)
 		*reply = l.reply
 		return nil
 	}
 }
 
-// look is what the state has for a watcher now.
-type look struct {
-	reply   rollout.WatchReply
-	tell    bool // it is to be told at once
-	behind  bool // the watcher knows more than this machine
-	changed <-chan struct{}
+// watchState is what the state has for a watcher now.
+type watchState struct {
+	reply     rollout.WatchReply
+	answerNow bool // it is to be told at once
+	behind    bool // the watcher knows more than this machine
+	changed   <-chan struct{}
 }
 
-func (n *Node) look(call *WatchCall, first bool) (l look) {
-	n.answering <- struct{}{}
-	defer func() { <-n.answering }()
+func (n *Node) watchStateFor(call *WatchCall, first bool) (l watchState) {
+	n.lookSlots <- struct{}{}
+	defer func() { <-n.lookSlots }()
 	m := n.fsm
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	agent := call.Report.Agent
 	l.changed = m.changed
 	// A process that was stopped may answer before watchLag has looked.
-	lagging := m.lagging || n.deaf()
+	lagging := m.lagging || n.outOfContact()
 	l.reply = rollout.WatchReply{Machine: n.cfg.ID, Version: m.state.Applied(), Lagging: lagging}
 	for _, d := range m.state.DocumentsFor(agent) {
 		if d.Revision > call.Have[d.Name.String()] {
@@ -124,43 +124,43 @@
 		}
 	}
 	if m.state.InFirstStage(agent) {
-		l.reply.AgainMs = firstAgain.Milliseconds()
+		l.reply.AgainMs = firstStagePatience.Milliseconds()
 	}
 	// An agent without anything hears all there is, if it be nothing, as soon as there is a log.
 	l.reply.Whole = len(call.Have) == 0
 	fresh := first && l.reply.Whole && call.Version == 0 && l.reply.Version > 0
 	l.behind = call.Version > l.reply.Version
-	l.tell = len(l.reply.Docs) > 0 || fresh || lagging != call.from.told.Load()
+	l.answerNow = len(l.reply.Docs) > 0 || fresh || lagging != call.from.reportedLagging.Load()
 	return l
 }
 
-// proveWatch refuses what no agent says, so that it is kept by nobody; a refusal's words are
+// checkWatch refuses what no agent says, so that it is kept by nobody; a refusal's words are
 // cut to their bound.
-func proveWatch(w *rollout.WatchArgs) error {
+func checkWatch(w *rollout.WatchArgs) error {
 	r := &w.Report
-	word := func(s string) bool { return len(s) <= mostWord }
+	word := func(s string) bool { return len(s) <= maxNameBytes }
 	switch {
 	case r.Agent.Name == "":
-		return fmt.Errorf("%w: field report.agent.name: empty", errAsked)
+		return fmt.Errorf("%w: field report.agent.name: empty", errBadWatch)
 	case !word(r.Agent.Name) || !word(r.Agent.Service) || !word(r.Agent.Zone) || !word(r.Agent.Region):
-		return fmt.Errorf("%w: field report.agent: a name over %d bytes", errAsked, mostWord)
+		return fmt.Errorf("%w: field report.agent: a name over %d bytes", errBadWatch, maxNameBytes)
 	case len(w.Have) > rollout.MaxDocuments || len(r.Seen) > rollout.MaxDocuments:
-		return fmt.Errorf("%w: over %d documents", errAsked, rollout.MaxDocuments)
-	case len(r.InForce) > mostKinds:
-		return fmt.Errorf("%w: field report.force: over %d kinds", errAsked, mostKinds)
-	case len(r.Refused) > mostRefused:
-		return fmt.Errorf("%w: field report.refused: over %d", errAsked, mostRefused)
+		return fmt.Errorf("%w: over %d documents", errBadWatch, rollout.MaxDocuments)
+	case len(r.InForce) > maxKinds:
+		return fmt.Errorf("%w: field report.force: over %d kinds", errBadWatch, maxKinds)
+	case len(r.Refused) > maxRefused:
+		return fmt.Errorf("%w: field report.refused: over %d", errBadWatch, maxRefused)
 	}
 	for _, names := range []map[string]uint64{w.Have, r.Seen, r.InForce} {
 		for name := range names {
 			if !word(name) {
-				return fmt.Errorf("%w: a name over %d bytes", errAsked, mostWord)
+				return fmt.Errorf("%w: a name over %d bytes", errBadWatch, maxNameBytes)
 			}
 		}
 	}
 	for i, f := range r.Refused {
 		if !word(f.Name.Kind) || !word(string(f.Name.Scope.Level)) || !word(f.Name.Scope.Of) {
-			return fmt.Errorf("%w: field report.refused[%d].name: over %d bytes", errAsked, i, mostWord)
+			return fmt.Errorf("%w: field report.refused[%d].name: over %d bytes", errBadWatch, i, maxNameBytes)
 		}
 		r.Refused[i].Why = f.Why[:min(len(f.Why), rollout.MaxWhyBytes)]
 	}
@@ -186,9 +186,9 @@
 // can use the text is for their loaders to say, at the first stage: a control machine knows
 // neither their settings nor their files, and looks only whether it is YAML and not too large.
 func (s *Service) Put(args PutArgs, reply *PutReply) (err error) {
-	defer s.n.guard(&err)
-	n, e := s.n, args.Entry
-	if err := provePut(e); err != nil {
+	defer s.node.recoverPanic(&err)
+	n, e := s.node, args.Entry
+	if err := checkPut(e); err != nil {
 		*reply = PutReply{Outcome: quorum.Refused, Error: err.Error()}
 		return nil
 	}
@@ -207,7 +207,7 @@
 	return nil
 }
 
-func provePut(e rollout.Entry) error {
+func checkPut(e rollout.Entry) error {
 	if e.Op != rollout.OpPut {
 		return fmt.Errorf("%w: field op: %.40q is not for callers", rollout.ErrEntry, e.Op)
 	}
@@ -233,9 +233,9 @@
 // Member changes the group. Only the leader does.
 func (s *Service) Member(args MemberArgs, reply *quorum.Answer) error {
 	if args.Raft == "" {
-		*reply = s.n.Remove(args.ID)
+		*reply = s.node.Remove(args.ID)
 	} else {
-		*reply = s.n.Join(args.ID, args.Raft, args.Voter)
+		*reply = s.node.Join(args.ID, args.Raft, args.Voter)
 	}
 	return nil
 }
@@ -262,8 +262,8 @@
 
 // Overview tells what this machine knows.
 func (s *Service) Overview(args OverviewArgs, reply *OverviewReply) (err error) {
-	defer s.n.guard(&err)
-	*reply, err = s.n.overview(args.Name)
+	defer s.node.recoverPanic(&err)
+	*reply, err = s.node.overview(args.Name)
 	return err
 }
 
--- a/internal/fleet/control/spread_test.go
+++ b/internal/fleet/control/spread_test.go
@@ -18,16 +18,16 @@
 	"woodrouter/spread"
 )
 
-// alone is a control machine that never has a quorum: its peers do not exist.
-func alone(t *testing.T) *machines {
-	g := start(t)
+// startWithoutQuorum is a control machine that never has a quorum: its peers do not exist.
+func startWithoutQuorum(t *testing.T) *testGroup {
+	g := startGroup(t)
 	for _, id := range []string{"c1", "c2", "c3"} {
 		g.close(id)
 	}
 	return g
 }
 
-func (g *machines) dial(id string) *rpc.Client {
+func (g *testGroup) dial(id string) *rpc.Client {
 	conn, err := rpc.Dial("tcp", g.configs[id].Client)
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { conn.Close() })
@@ -48,7 +48,7 @@
 // TestSpread: a machine without a quorum hears summaries and answers with views, of 730 servers too,
 // each service by its own steward, and its console tells of them.
 func TestSpread(t *testing.T) {
-	g := alone(t)
+	g := startWithoutQuorum(t)
 	conn := g.dial("c4")
 	for seq := uint64(1); seq <= 3; seq++ {
 		var r stewards.TellReply
@@ -63,21 +63,21 @@
 	require.ErrorContains(t, conn.Call(stewards.Method, summary("a1", 3, 1), &r), stewards.ErrOld.Error(), "told again")
 	var size bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&size).Encode(summary("a1", 4, stewards.MostServers)))
-	require.Less(t, size.Len(), mostMessage, "the largest summary that is taken fits a message")
+	require.Less(t, size.Len(), maxMessageBytes, "the largest summary that is taken fits a message")
 	other := summary("b1", 1, 3)
 	other.Service = "exams"
 	require.NoError(t, g.dial("c4").Call(stewards.Method, other, &r))
 	require.Len(t, r.View.Dues, 3)
-	said := g.asked("c4", "CONFIG")
+	said := g.askConsole("c4", "CONFIG")
 	require.Contains(t, said, "LAGGING")
 	require.Contains(t, said, "steward of exams: 1 of ")
 	require.Contains(t, said, "steward of lessons: 1 of ")
 }
 
-// TestSpreadJunk: what no agent would send ends its connection, or gets an error; a connection
+// TestMalformedSummaries: what no agent would send ends its connection, or gets an error; a connection
 // takes one agent's place and no more; others are served on.
-func TestSpreadJunk(t *testing.T) {
-	g := alone(t)
+func TestMalformedSummaries(t *testing.T) {
+	g := startWithoutQuorum(t)
 	good := g.dial("c4")
 	var r stewards.TellReply
 	require.NoError(t, good.Call(stewards.Method, summary("good", 1, 3), &r))
@@ -99,14 +99,14 @@
 	require.ErrorContains(t, g.dial("c4").Call(stewards.Method, long, &r), "field p")
 	// Too large: the connection ends.
 	huge := summary("x", 1, 1)
-	huge.Summary.Counts[0].Server = strings.Repeat("x", mostMessage)
+	huge.Summary.Counts[0].Server = strings.Repeat("x", maxMessageBytes)
 	require.Error(t, g.dial("c4").Call(stewards.Method, huge, &r))
 	// One that claims 1<<28 servers and has one.
 	raw, err := net.Dial("tcp", g.configs["c4"].Client)
 	require.NoError(t, err)
 	defer raw.Close()
 	raw.Write(hugeSlice(t))
-	raw.SetReadDeadline(time.Now().Add(wait))
+	raw.SetReadDeadline(time.Now().Add(waitLimit))
 	_, err = io.Copy(io.Discard, raw)
 	var late net.Error
 	require.False(t, errors.As(err, &late) && late.Timeout(), "the connection stands")
--- a/internal/fleet/keeper/config.go
+++ b/internal/fleet/promisestore/config.go
@@ -1,4 +1,4 @@
-package keeper
+package promisestore
 
 import (
 	"errors"
@@ -34,8 +34,8 @@
 	return c, nil
 }
 
-// KeepsCalls tells whether calls are claimed and kept.
-func (c Config) KeepsCalls() bool { return c.Calls == nil || *c.Calls }
+// StoresCalls tells whether calls are claimed and kept.
+func (c Config) StoresCalls() bool { return c.Calls == nil || *c.Calls }
 
 // Valid names every field that can't be used.
 func (c Config) Valid() error {
--- a/internal/fleet/keeper/keeper_test.go
+++ b/internal/fleet/promisestore/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package promisestore
 
 import (
 	"context"
@@ -18,29 +18,29 @@
 	"woodrouter/shard"
 )
 
-// log is a group in memory: the state machine alone. fail answers the next proposals with
+// memoryGroup is a group in memory: the state machine alone. fail answers the next proposals with
 // errors; of an unknown one the entry stands.
-type log struct {
+type memoryGroup struct {
 	Group // what a test does not ask for
 	state *promise.State
 	fail  []error
 }
 
-func (l *log) Propose(_ context.Context, e promise.Entry) (promise.Result, error) {
+func (l *memoryGroup) Propose(_ context.Context, e promise.Entry) (promise.Result, error) {
 	if len(l.fail) > 0 {
 		err := l.fail[0]
 		l.fail = l.fail[1:]
-		if err == replica.ErrUnknown {
+		if err == replica.ErrUnknownOutcome {
 			l.state.Apply(l.state.Applied()+1, promise.Encode(e))
 		}
 		if err != nil {
-			return promise.Result{}, &replica.Later{Err: err, After: 600 * time.Millisecond}
+			return promise.Result{}, &replica.RetryAfterError{Err: err, After: 600 * time.Millisecond}
 		}
 	}
 	return l.state.Apply(l.state.Applied()+1, promise.Encode(e))
 }
 
-func (l *log) ProposePatiently(ctx context.Context, e promise.Entry) (r promise.Result, err error) {
+func (l *memoryGroup) ProposeWithRetry(ctx context.Context, e promise.Entry) (r promise.Result, err error) {
 	for range 3 {
 		if r, err = l.Propose(ctx, e); err == nil {
 			break
@@ -48,10 +48,10 @@
 	}
 	return r, err
 }
-func (l *log) Overview(context.Context) (replica.StatusReply, error) {
+func (l *memoryGroup) LeaderStatus(context.Context) (replica.StatusReply, error) {
 	return replica.StatusReply{Drained: l.state.DrainedServers(), Versions: l.state.Versions()}, nil
 }
-func (l *log) Close() {}
+func (l *memoryGroup) Close() {}
 
 func ring(version uint64, groups ...string) shard.Ring {
 	r := shard.Ring{Version: version}
@@ -61,10 +61,10 @@
 	return r
 }
 
-// knowing returns an agent's keeper that follows these rings on these logs.
-func knowing(name string, now shard.Ring, previous *shard.Ring, logs map[string]Group) *Keeper {
+// newTestStore returns an agent's keeper that follows these rings on these logs.
+func newTestStore(name string, now shard.Ring, previous *shard.Ring, logs map[string]Group) *Store {
 	k := New(name, slog.New(slog.DiscardHandler))
-	k.view.Store(&view{now: now, previous: previous, groups: logs})
+	k.rings.Store(&ringView{current: now, previous: previous, groups: logs})
 	return k
 }
 
@@ -80,14 +80,14 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		logs := map[string]Group{"g1": &log{state: promise.New()}, "g2": &log{state: promise.New()}, "g3": &log{state: promise.New()}}
-		views := []func(string) *Keeper{
-			func(n string) *Keeper { return knowing(n, old, nil, logs) },
-			func(n string) *Keeper { return knowing(n, next, &old, logs) },
-			func(n string) *Keeper { return knowing(n, next, nil, logs) },
+		logs := map[string]Group{"g1": &memoryGroup{state: promise.New()}, "g2": &memoryGroup{state: promise.New()}, "g3": &memoryGroup{state: promise.New()}}
+		views := []func(string) *Store{
+			func(n string) *Store { return newTestStore(n, old, nil, logs) },
+			func(n string) *Store { return newTestStore(n, next, &old, logs) },
+			func(n string) *Store { return newTestStore(n, next, nil, logs) },
 		}
 		first := rapid.IntRange(0, 1).Draw(t, "views")
-		holds := map[*Keeper]string{}
+		holds := map[*Store]string{}
 		sent, told := 0, map[agent.Outcome]bool{}
 		hear := func(k agent.StoreResult, mine agent.Outcome) {
 			switch {
@@ -120,8 +120,8 @@
 	})
 }
 
-// TestUnkept: what a keeper tells the core where a group fails it.
-func TestUnkept(t *testing.T) {
+// TestGroupFailures: what a keeper tells the core where a group fails it.
+func TestGroupFailures(t *testing.T) {
 	served := agent.Promise{Outcome: agent.Served, Server: "s", Description: []byte("room")}
 	cases := []struct {
 		name           string
@@ -130,13 +130,13 @@
 	}{
 		{"well", nil, nil, true, true},
 		{"no quorum for the claim", []error{replica.ErrNoQuorum}, nil, false, false},
-		{"a claim that may stand is made again", []error{replica.ErrUnknown}, nil, true, true},
-		{"an answer that may stand is kept again", nil, []error{replica.ErrUnknown, replica.ErrNoQuorum}, true, true},
+		{"a claim that may stand is made again", []error{replica.ErrUnknownOutcome}, nil, true, true},
+		{"an answer that may stand is kept again", nil, []error{replica.ErrUnknownOutcome, replica.ErrNoQuorum}, true, true},
 		{"no quorum for the answer in time", nil, []error{replica.ErrNoQuorum, replica.ErrNoQuorum, replica.ErrNoQuorum}, true, false},
 	}
 	for _, c := range cases {
-		l := &log{state: promise.New(), fail: c.claim}
-		k := knowing("a1", ring(1, "g1"), nil, map[string]Group{"g1": l})
+		l := &memoryGroup{state: promise.New(), fail: c.claim}
+		k := newTestStore("a1", ring(1, "g1"), nil, map[string]Group{"g1": l})
 		done := make(chan agent.StoreResult, 1)
 		k.Claim(agent.Call{ID: "c", Deadline: time.Now().Add(time.Minute)}, time.Second, func(k agent.StoreResult) { done <- k })
 		got := <-done
--- a/internal/fleet/quorum/client_test.go
+++ b/internal/fleet/quorum/client_test.go
@@ -17,9 +17,9 @@
 
 func (echo) Say(n int, r *int) error { *r = n; return nil }
 
-// TestIdle: a call on a connection that the member has ended meanwhile goes on a new one; it is
+// TestReconnectAfterMemberClosed: a call on a connection that the member has ended meanwhile goes on a new one; it is
 // not told as one that may stand, as nothing of it was sent.
-func TestIdle(t *testing.T) {
+func TestReconnectAfterMemberClosed(t *testing.T) {
 	srv := rpc.NewServer()
 	require.NoError(t, srv.RegisterName("Echo", echo{}))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,11 +47,11 @@
 	close(ending)
 }
 
-// TestUnknownLeader: a leader of which it is not known what it made of a proposal (stalled, or
+// TestUnknownOutcomeForgetsLeader: a leader of which it is not known what it made of a proposal (stalled, or
 // deposed) is not asked first again, so that its callers find the next one.
-func TestUnknownLeader(t *testing.T) {
+func TestUnknownOutcomeForgetsLeader(t *testing.T) {
 	c := NewClient(map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
-	c.Follow("a")
+	c.SetLeader("a")
 	var asked []string
 	ask := func(id string) (Answer, error) {
 		asked = append(asked, id)
@@ -60,18 +60,18 @@
 		}
 		return Answer{Outcome: Committed}, nil
 	}
-	require.ErrorIs(t, c.Each(context.Background(), ask, nil), ErrUnknown)
+	require.ErrorIs(t, c.AskLeader(context.Background(), ask, nil), ErrUnknownOutcome)
 	require.Equal(t, []string{"a"}, asked)
-	err := c.Each(context.Background(), ask, nil)
+	err := c.AskLeader(context.Background(), ask, nil)
 	if asked[1] == "a" { // in turn, where none is known to lead
-		err = c.Each(context.Background(), ask, nil)
+		err = c.AskLeader(context.Background(), ask, nil)
 	}
 	require.NoError(t, err)
 	require.Equal(t, "b", asked[len(asked)-1])
 }
 
-// lateCodec keeps its first answer back until a second one is due, and writes it before that.
-type lateCodec struct {
+// delayingCodec keeps its first answer back until a second one is due, and writes it before that.
+type delayingCodec struct {
 	io.ReadWriteCloser
 	in   *gob.Decoder
 	out  *gob.Encoder
@@ -79,9 +79,9 @@
 	body any
 }
 
-func (c *lateCodec) ReadRequestHeader(r *rpc.Request) error { return c.in.Decode(r) }
-func (c *lateCodec) ReadRequestBody(body any) error         { return c.in.Decode(body) }
-func (c *lateCodec) WriteResponse(r *rpc.Response, body any) error {
+func (c *delayingCodec) ReadRequestHeader(r *rpc.Request) error { return c.in.Decode(r) }
+func (c *delayingCodec) ReadRequestBody(body any) error         { return c.in.Decode(body) }
+func (c *delayingCodec) WriteResponse(r *rpc.Response, body any) error {
 	if c.kept == nil {
 		first := *r
 		c.kept, c.body = &first, body
@@ -100,7 +100,7 @@
 	require.NoError(t, srv.RegisterName("Echo", echo{}))
 	go func() {
 		if conn, err := ln.Accept(); err == nil {
-			srv.ServeCodec(&lateCodec{ReadWriteCloser: conn, in: gob.NewDecoder(conn), out: gob.NewEncoder(conn)})
+			srv.ServeCodec(&delayingCodec{ReadWriteCloser: conn, in: gob.NewDecoder(conn), out: gob.NewEncoder(conn)})
 		}
 	}()
 	c := NewClient(map[string]string{"a": ln.Addr().String()})
--- a/internal/fleet/quorum/config.go
+++ b/internal/fleet/quorum/config.go
@@ -60,7 +60,7 @@
 		return errors.New("field data: empty; a member needs a directory of its own")
 	}
 	for _, f := range []struct{ name, addr string }{{"raft", c.Raft}, {"client", c.Client}} {
-		if err := Address(f.addr); err != nil {
+		if err := CheckAddress(f.addr); err != nil {
 			return fmt.Errorf("field %s: %w", f.name, err)
 		}
 	}
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// Address tells what is wrong with a host:port.
-func Address(addr string) error {
+// CheckAddress tells what is wrong with a host:port.
+func CheckAddress(addr string) error {
 	if addr == "" {
 		return errors.New("empty; host:port")
 	}
@@ -110,13 +110,13 @@
 // Timing is raft's timers as durations.
 type Timing struct{ Heartbeat, Election, Commit, Lease time.Duration }
 
-// Defaults are the timers for members on one campus: a new leader within about a second of
+// DefaultTiming are the timers for members on one campus: a new leader within about a second of
 // a kill. Raft's own defaults (1 s heartbeat) suit wide-area groups.
-var Defaults = Timing{Heartbeat: 300 * time.Millisecond, Election: 300 * time.Millisecond,
+var DefaultTiming = Timing{Heartbeat: 300 * time.Millisecond, Election: 300 * time.Millisecond,
 	Commit: 20 * time.Millisecond, Lease: 150 * time.Millisecond}
 
-// Duration reads a field's text into to, unless it is empty. The error names the field.
-func Duration(field, text string, to *time.Duration) error {
+// ParseDuration reads a field's text into to, unless it is empty. The error names the field.
+func ParseDuration(field, text string, to *time.Duration) error {
 	if text == "" {
 		return nil
 	}
@@ -130,13 +130,13 @@
 
 // Durations reads the timers. An error names the field.
 func (t TimingConfig) Durations() (Timing, error) {
-	out := Defaults
+	out := DefaultTiming
 	for _, f := range []struct {
 		name, text string
 		to         *time.Duration
 	}{{"heartbeat", t.Heartbeat, &out.Heartbeat}, {"election", t.Election, &out.Election},
 		{"commit", t.Commit, &out.Commit}, {"lease", t.Lease, &out.Lease}} {
-		if err := Duration("timing."+f.name, f.text, f.to); err != nil {
+		if err := ParseDuration("timing."+f.name, f.text, f.to); err != nil {
 			return out, err
 		}
 	}
--- a/internal/fleet/quorum/member.go
+++ b/internal/fleet/quorum/member.go
@@ -17,9 +17,9 @@
 	bbolt "go.etcd.io/bbolt"
 )
 
-// Machine is the state that the log's entries make. Apply, Snapshot and Restore are called
+// StateMachine is the state that the log's entries make. Apply, Snapshot and Restore are called
 // from one goroutine at a time; a machine that is read meanwhile has a lock of its own.
-type Machine interface {
+type StateMachine interface {
 	// Apply applies an entry. One that it refuses changes nothing, on every member alike.
 	Apply(index uint64, data []byte) (any, error)
 	// Snapshot is a copy of the state, written while entries go on being applied.
@@ -41,15 +41,15 @@
 	log   *slog.Logger
 }
 
-// applied is what Apply hands back to the proposer through raft's future.
-type applied struct {
+// applyResult is what Apply hands back to the proposer through raft's future.
+type applyResult struct {
 	result any
 	err    error
 }
 
 // fsm is a machine as raft has it.
 type fsm struct {
-	machine Machine
+	machine StateMachine
 	log     *slog.Logger
 }
 
@@ -61,10 +61,10 @@
 	if err != nil {
 		f.log.Warn("entry refused", "index", l.Index, "error", err)
 	}
-	return applied{res, err}
+	return applyResult{res, err}
 }
 
-func (f fsm) Snapshot() (raft.FSMSnapshot, error) { return image{f.machine.Snapshot()}, nil }
+func (f fsm) Snapshot() (raft.FSMSnapshot, error) { return fsmSnapshot{f.machine.Snapshot()}, nil }
 
 func (f fsm) Restore(rc io.ReadCloser) error {
 	defer rc.Close()
@@ -75,9 +75,9 @@
 	return f.machine.Restore(data)
 }
 
-type image struct{ Image }
+type fsmSnapshot struct{ Image }
 
-func (i image) Persist(sink raft.SnapshotSink) error {
+func (i fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(i.Bytes()); err != nil {
 		sink.Cancel()
 		return err
@@ -85,11 +85,11 @@
 	return sink.Close()
 }
 
-func (image) Release() {}
+func (fsmSnapshot) Release() {}
 
 // Open starts a member from its file's settings. A data directory that can't be read is an
 // error naming the file; nothing in it is changed.
-func Open(cfg Config, machine Machine, log *slog.Logger) (*Member, error) {
+func Open(cfg Config, machine StateMachine, log *slog.Logger) (*Member, error) {
 	timing, err := cfg.Timing.Durations()
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 		m.store.Close()
 		return nil, fmt.Errorf("data directory %s: snapshots: %w", cfg.Data, err)
 	}
-	if m.Transport, err = transport(cfg, log); err != nil {
+	if m.Transport, err = openTransport(cfg, log); err != nil {
 		m.store.Close()
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 	c.SnapshotThreshold = cmp.Or(cfg.Snapshot.Entries, 8192)
 	c.TrailingLogs = c.SnapshotThreshold / 2
 	c.SnapshotInterval = 5 * time.Second
-	c.Logger = newRaftLog(m.log)
+	c.Logger = newRaftLogger(m.log)
 	return c
 }
 
@@ -199,9 +199,9 @@
 	return err
 }
 
-// transport is raft's TCP transport on a stream layer that dials a member through the
+// openTransport is raft's TCP transport on a stream layer that dials a member through the
 // file's links (a fault proxy in the tests), the configuration holding advertised addresses.
-func transport(cfg Config, log *slog.Logger) (*raft.NetworkTransport, error) {
+func openTransport(cfg Config, log *slog.Logger) (*raft.NetworkTransport, error) {
 	ln, err := net.Listen("tcp", cfg.Raft)
 	if err != nil {
 		return nil, fmt.Errorf("field raft: %w", err)
@@ -211,22 +211,22 @@
 		ln.Close()
 		return nil, fmt.Errorf("field advertise: %w", err)
 	}
-	layer := &streams{Listener: ln, adv: addr, links: cfg.Links}
+	layer := &streamLayer{Listener: ln, advertised: addr, links: cfg.Links}
 	return raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: layer, MaxPool: 3, Timeout: 2 * time.Second,
-		Logger: newRaftLog(log),
+		Logger: newRaftLogger(log),
 	}), nil
 }
 
-type streams struct {
+type streamLayer struct {
 	net.Listener
-	adv   net.Addr
-	links map[string]string
+	advertised net.Addr
+	links      map[string]string
 }
 
-func (s *streams) Addr() net.Addr { return s.adv }
+func (s *streamLayer) Addr() net.Addr { return s.advertised }
 
-func (s *streams) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	to := string(address)
 	if via, ok := s.links[to]; ok {
 		to = via
--- a/internal/fleet/quorum/propose.go
+++ b/internal/fleet/quorum/propose.go
@@ -33,36 +33,36 @@
 // applied it. Where the answer's outcome is not Committed nothing was applied as far as is
 // known; err is the machine's refusal of an entry that is in the log.
 func (m *Member) Propose(data []byte) (result any, a Answer, err error) {
-	if a = m.Lead(); a.Outcome != Committed {
+	if a = m.CheckLeader(); a.Outcome != Committed {
 		return nil, a, nil
 	}
 	f := m.Raft.Apply(data, applyTimeout)
-	if a = m.Failed(f.Error()); a.Outcome != Committed {
+	if a = m.AnswerForError(f.Error()); a.Outcome != Committed {
 		return nil, a, nil
 	}
-	r := f.Response().(applied)
+	r := f.Response().(applyResult)
 	return r.result, a, r.err
 }
 
 // Barrier returns once all that was committed before it is applied here, and this member was
 // still the leader then.
 func (m *Member) Barrier() Answer {
-	if a := m.Lead(); a.Outcome != Committed {
+	if a := m.CheckLeader(); a.Outcome != Committed {
 		return a
 	}
-	return m.Failed(m.Raft.Barrier(applyTimeout).Error())
+	return m.AnswerForError(m.Raft.Barrier(applyTimeout).Error())
 }
 
 // Join has a leader add a member through raft's membership change; Remove takes one out.
 func (m *Member) Join(id, address string, voter bool) Answer {
-	if a := m.Lead(); a.Outcome != Committed {
+	if a := m.CheckLeader(); a.Outcome != Committed {
 		return a
 	}
 	add := m.Raft.AddVoter
 	if !voter {
 		add = m.Raft.AddNonvoter
 	}
-	a := m.Failed(add(raft.ServerID(id), raft.ServerAddress(address), 0, applyTimeout).Error())
+	a := m.AnswerForError(add(raft.ServerID(id), raft.ServerAddress(address), 0, applyTimeout).Error())
 	if a.Outcome == Committed {
 		m.log.Info("member added", "member", id, "raft", address, "voter", voter)
 	}
@@ -71,42 +71,42 @@
 
 // Remove has a leader take a member out.
 func (m *Member) Remove(id string) Answer {
-	if a := m.Lead(); a.Outcome != Committed {
+	if a := m.CheckLeader(); a.Outcome != Committed {
 		return a
 	}
-	a := m.Failed(m.Raft.RemoveServer(raft.ServerID(id), 0, applyTimeout).Error())
+	a := m.AnswerForError(m.Raft.RemoveServer(raft.ServerID(id), 0, applyTimeout).Error())
 	if a.Outcome == Committed {
 		m.log.Info("member removed", "member", id)
 	}
 	return a
 }
 
-// Lead is Committed where this member leads, and else what a proposer is told at once: a
+// CheckLeader is Committed where this member leads, and else what a proposer is told at once: a
 // follower names the leader, a member that knows none tells when to come back. A minority
 // never commits.
-func (m *Member) Lead() Answer {
+func (m *Member) CheckLeader() Answer {
 	if m.Leading() {
 		return Answer{Outcome: Committed}
 	}
 	if id := m.Leader(); id != "" {
 		return Answer{Outcome: NotLeader, Leader: id}
 	}
-	return Answer{Outcome: NoQuorum, ComeBackMs: m.comeBack()}
+	return Answer{Outcome: NoQuorum, ComeBackMs: m.retryAfterMs()}
 }
 
-// comeBack is when a new leader may be known: an election's time-out, twice, as raft draws
+// retryAfterMs is when a new leader may be known: an election's time-out, twice, as raft draws
 // each between one and two of them.
-func (m *Member) comeBack() int64 { return (2 * m.Timing.Election).Milliseconds() }
+func (m *Member) retryAfterMs() int64 { return (2 * m.Timing.Election).Milliseconds() }
 
-// Failed words raft's error: not taken (no leader) or not known (leadership lost on the way).
-func (m *Member) Failed(err error) Answer {
+// AnswerForError words raft's error: not taken (no leader) or not known (leadership lost on the way).
+func (m *Member) AnswerForError(err error) Answer {
 	switch {
 	case err == nil:
 		return Answer{Outcome: Committed}
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout):
-		return Answer{Outcome: NoQuorum, ComeBackMs: m.comeBack(), Error: err.Error()}
+		return Answer{Outcome: NoQuorum, ComeBackMs: m.retryAfterMs(), Error: err.Error()}
 	default: // ErrLeadershipLost, a time-out: the entry may yet be committed by the next leader
-		return Answer{Outcome: Unknown, ComeBackMs: m.comeBack(), Error: err.Error()}
+		return Answer{Outcome: Unknown, ComeBackMs: m.retryAfterMs(), Error: err.Error()}
 	}
 }
 
--- a/internal/fleet/quorum/raftlog.go
+++ b/internal/fleet/quorum/raftlog.go
@@ -11,28 +11,28 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLog hands raft's log lines to the program's. A member that is gone is told of five times
+// raftLogSink hands raft's log lines to the program's. A member that is gone is told of five times
 // a second for as long as it is: of equal lines one a second is enough.
-type raftLog struct {
+type raftLogSink struct {
 	log *slog.Logger
 
-	mu   sync.Mutex
-	last map[string]time.Time // of each line, by message and member: as many as there are members
+	mu          sync.Mutex
+	lastWritten map[string]time.Time // of each line, by message and member: as many as there are members
 }
 
-// raftLogEvery is the least time between two equal lines of raft's.
-const raftLogEvery = time.Second
+// raftLogInterval is the least time between two equal lines of raft's.
+const raftLogInterval = time.Second
 
-// newRaftLog returns raft's logger, for lines of WARN and above.
-func newRaftLog(log *slog.Logger) hclog.Logger {
+// newRaftLogger returns raft's logger, for lines of WARN and above.
+func newRaftLogger(log *slog.Logger) hclog.Logger {
 	l := hclog.NewInterceptLogger(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: io.Discard})
-	l.RegisterSink(&raftLog{log: log, last: map[string]time.Time{}})
+	l.RegisterSink(&raftLogSink{log: log, lastWritten: map[string]time.Time{}})
 	return l
 }
 
 // Accept is hclog.SinkAdapter's.
-func (r *raftLog) Accept(_ string, level hclog.Level, msg string, args ...any) {
-	if level < hclog.Warn || !r.due(msg, args) {
+func (r *raftLogSink) Accept(_ string, level hclog.Level, msg string, args ...any) {
+	if level < hclog.Warn || !r.allow(msg, args) {
 		return
 	}
 	to := slog.LevelWarn // a lost link or member, not a fault of this program
@@ -45,9 +45,9 @@
 	r.log.Log(context.Background(), to, "raft: "+msg, args...)
 }
 
-// due tells whether a line may be written: lines are equal where the message and the member
+// allow tells whether a line may be written: lines are equal where the message and the member
 // it names are.
-func (r *raftLog) due(msg string, args []any) bool {
+func (r *raftLogSink) allow(msg string, args []any) bool {
 	key := msg
 	for i := 0; i+1 < len(args); i += 2 {
 		if args[i] == "peer" || args[i] == "target" {
@@ -56,9 +56,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.last[key]) < raftLogEvery {
+	if time.Since(r.lastWritten[key]) < raftLogInterval {
 		return false
 	}
-	r.last[key] = time.Now()
+	r.lastWritten[key] = time.Now()
 	return true
 }
--- a/internal/fleet/replica/client_test.go
+++ b/internal/fleet/replica/client_test.go
@@ -13,13 +13,13 @@
 	"woodrouter/promise"
 )
 
-// scripted is a member whose answers a test gives.
-type scripted struct{ reply func() Reply }
+// scriptedMember is a member whose answers a test gives.
+type scriptedMember struct{ reply func() Reply }
 
-func (s *scripted) Propose(_ ProposeArgs, r *Reply) error { *r = s.reply(); return nil }
+func (s *scriptedMember) Propose(_ ProposeArgs, r *Reply) error { *r = s.reply(); return nil }
 
-// members serves scripted members; a nil one takes calls and never answers.
-func members(t *testing.T, scripts map[string]func() Reply) *Client {
+// serveMembers serves scripted members; a nil one takes calls and never answers.
+func serveMembers(t *testing.T, scripts map[string]func() Reply) *Client {
 	at := map[string]string{}
 	for id, reply := range scripts {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 		at[id] = ln.Addr().String()
 		if reply != nil {
 			srv := rpc.NewServer()
-			require.NoError(t, srv.RegisterName("Replica", &scripted{reply}))
+			require.NoError(t, srv.RegisterName("Replica", &scriptedMember{reply}))
 			go srv.Accept(ln)
 		}
 	}
@@ -40,7 +40,7 @@
 func always(r Reply) func() Reply { return func() Reply { return r } }
 
 func TestClient(t *testing.T) {
-	promised, follower := always(Reply{Outcome: Promised}), always(Reply{Outcome: NotLeader, Leader: "c-2"})
+	promised, follower := always(Reply{Outcome: Committed}), always(Reply{Outcome: NotLeader, Leader: "c-2"})
 	lost := always(Reply{Outcome: Unknown, ComeBackMs: 40})
 	cases := []struct {
 		name    string
@@ -50,24 +50,24 @@
 	}{
 		{"a leader under an id that is not known is found", map[string]func() Reply{"a": follower, "b": follower, "c": promised}, "a", nil},
 		{"no leader anywhere", map[string]func() Reply{"a": always(Reply{Outcome: NoQuorum, ComeBackMs: 40})}, "", ErrNoQuorum},
-		{"leadership lost on the way", map[string]func() Reply{"a": lost}, "", ErrUnknown},
-		{"no answer: it may stand", map[string]func() Reply{"a": nil}, "", ErrUnknown},
+		{"leadership lost on the way", map[string]func() Reply{"a": lost}, "", ErrUnknownOutcome},
+		{"no answer: it may stand", map[string]func() Reply{"a": nil}, "", ErrUnknownOutcome},
 		{"a ring older than the fence", map[string]func() Reply{"a": always(Reply{Outcome: Stale})}, "", promise.ErrStale},
 	}
 	for _, c := range cases {
-		client := members(t, c.scripts)
+		client := serveMembers(t, c.scripts)
 		client.CallTimeout = 100 * time.Millisecond
-		client.Follow(c.leader)
+		client.SetLeader(c.leader)
 		_, err := client.Propose(context.Background(), promise.Entry{Op: promise.OpClaim})
 		require.ErrorIs(t, err, c.want, c.name)
-		var later *Later
+		var later *RetryAfterError
 		if errors.As(err, &later) {
 			require.Positive(t, later.After, c.name)
 		}
 	}
 	// An entry that may stand stays unknown, whatever later tries say.
 	n := 0
-	client := members(t, map[string]func() Reply{"a": func() Reply {
+	client := serveMembers(t, map[string]func() Reply{"a": func() Reply {
 		if n++; n == 1 {
 			return lost()
 		}
@@ -75,6 +75,6 @@
 	}})
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	_, err := client.ProposePatiently(ctx, promise.Entry{Op: promise.OpClaim})
-	require.ErrorIs(t, err, ErrUnknown)
+	_, err := client.ProposeWithRetry(ctx, promise.Entry{Op: promise.OpClaim})
+	require.ErrorIs(t, err, ErrUnknownOutcome)
 }
--- a/internal/fleet/replica/config.go
+++ b/internal/fleet/replica/config.go
@@ -46,39 +46,39 @@
 
 // Valid names the first field that can't be used.
 func (c Config) Valid() error {
-	if err := c.member().Valid(); err != nil {
+	if err := c.quorumConfig().Valid(); err != nil {
 		return err
 	}
-	_, err := c.Timing.keep()
+	_, err := c.Timing.retention()
 	return err
 }
 
-// member is what the file says of the member apart from promises.
-func (c Config) member() quorum.Config {
+// quorumConfig is what the file says of the member apart from promises.
+func (c Config) quorumConfig() quorum.Config {
 	t := c.Timing
 	return quorum.Config{ID: c.ID, Raft: c.Raft, Advertise: c.Advertise, Client: c.Client, Data: c.Data,
 		Bootstrap: c.Bootstrap, Links: c.Links, Snapshot: c.Snapshot,
 		Timing: quorum.TimingConfig{Heartbeat: t.Heartbeat, Election: t.Election, Commit: t.Commit, Lease: t.Lease}}
 }
 
-// Defaults are raft's timers where the file gives none.
-var Defaults = quorum.Defaults
+// DefaultTiming are raft's timers where the file gives none.
+var DefaultTiming = quorum.DefaultTiming
 
 // keepDefault is how long promises are kept where the file does not say; keepLeast is the
 // shortest they may be: the longest deadline that a platform gives its callers (9 s), a
 // caller's way to another agent, and clocks that differ.
 const (
-	keepDefault = 10 * time.Minute
-	keepLeast   = 30 * time.Second
+	defaultRetention = 10 * time.Minute
+	minRetention     = 30 * time.Second
 )
 
-func (t TimingConfig) keep() (time.Duration, error) {
-	keep := keepDefault
-	if err := quorum.Duration("timing.keep", t.Keep, &keep); err != nil {
+func (t TimingConfig) retention() (time.Duration, error) {
+	keep := defaultRetention
+	if err := quorum.ParseDuration("timing.keep", t.Keep, &keep); err != nil {
 		return keep, err
 	}
-	if keep < keepLeast {
-		return keep, fmt.Errorf("field timing.keep: %v is under %v, in which a caller may ask again", keep, keepLeast)
+	if keep < minRetention {
+		return keep, fmt.Errorf("field timing.keep: %v is under %v, in which a caller may ask again", keep, minRetention)
 	}
 	return keep, nil
 }
--- a/internal/fleet/replica/corrupt_test.go
+++ b/internal/fleet/replica/corrupt_test.go
@@ -17,8 +17,8 @@
 	"woodrouter/promise"
 )
 
-// member opens a group of one in a directory, and a client of it.
-func member(t *testing.T, dir string) (*Node, *Client, func()) {
+// openMember opens a group of one in a directory, and a client of it.
+func openMember(t *testing.T, dir string) (*Node, *Client, func()) {
 	n, err := Open(Config{ID: "n1", Raft: "127.0.0.1:0", Client: "127.0.0.1:0", Data: dir}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	ln, err := n.Serve()
@@ -27,8 +27,8 @@
 	return n, c, func() { c.Close(); ln.Close(); n.Close() }
 }
 
-// alone makes it a group.
-func alone(t *testing.T, n *Node) {
+// bootstrapAlone makes it a group.
+func bootstrapAlone(t *testing.T, n *Node) {
 	one := raft.Configuration{Servers: []raft.Server{{ID: "n1", Address: n.Transport.LocalAddr()}}}
 	require.NoError(t, n.Raft.BootstrapCluster(one).Error())
 }
@@ -36,16 +36,16 @@
 func propose(t *testing.T, c *Client, call string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	_, err := c.ProposePatiently(ctx, promise.Entry{Op: promise.OpResolve, Call: call, Answer: promise.AnswerFailed})
+	_, err := c.ProposeWithRetry(ctx, promise.Entry{Op: promise.OpResolve, Call: call, Answer: promise.AnswerFailed})
 	require.NoError(t, err)
 }
 
-// TestJunk: what no member or agent would send ends its own connection and nothing else, at
+// TestMalformedInput: what no member or agent would send ends its own connection and nothing else, at
 // the log's address as at the callers'.
-func TestJunk(t *testing.T) {
-	n, c, end := member(t, t.TempDir())
+func TestMalformedInput(t *testing.T) {
+	n, c, end := openMember(t, t.TempDir())
 	defer end()
-	alone(t, n)
+	bootstrapAlone(t, n)
 	propose(t, c, "before")
 	rng := rand.New(rand.NewPCG(5, 5))
 	for _, addr := range []string{string(n.Transport.LocalAddr()), c.Address("n1")} {
@@ -68,8 +68,8 @@
 // names the file or directory, and what is there stays as it was.
 func TestCorruptData(t *testing.T) {
 	dir := t.TempDir()
-	n, c, end := member(t, dir)
-	alone(t, n)
+	n, c, end := openMember(t, dir)
+	bootstrapAlone(t, n)
 	propose(t, c, "kept")
 	require.NoError(t, n.Raft.Snapshot().Error())
 	end()
@@ -91,7 +91,7 @@
 		require.Equal(t, spoilt, kept, "%s was changed", path)
 		require.NoError(t, os.WriteFile(path, was, 0o600))
 	}
-	n, _, end = member(t, dir) // as it was: the promise is there
+	n, _, end = openMember(t, dir) // as it was: the promise is there
 	n.fsm.read(func(s *promise.State) { _, found := s.Resolution("kept"); require.True(t, found) })
 	end()
 }
--- a/internal/fleet/replica/node.go
+++ b/internal/fleet/replica/node.go
@@ -12,35 +12,35 @@
 // Node is one member of a group that keeps promises.
 type Node struct {
 	*quorum.Member
-	cfg   Config
-	fsm   *machine
-	keep  time.Duration
-	log   *slog.Logger
-	stop  chan struct{} // closed when the member ends
-	ended sync.WaitGroup
+	cfg        Config
+	fsm        *stateMachine
+	retention  time.Duration
+	log        *slog.Logger
+	stop       chan struct{} // closed when the member ends
+	background sync.WaitGroup
 }
 
-// machine is the state of promises as quorum.Machine. Raft's goroutine applies entries; reads
+// stateMachine is the state of promises as quorum.Machine. Raft's goroutine applies entries; reads
 // come from the RPC goroutines, hence the lock.
-type machine struct {
+type stateMachine struct {
 	mu    sync.RWMutex
 	state *promise.State
 	log   *slog.Logger
 }
 
-func (m *machine) Apply(index uint64, data []byte) (any, error) {
+func (m *stateMachine) Apply(index uint64, data []byte) (any, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Apply(index, data)
 }
 
-func (m *machine) Snapshot() quorum.Image {
+func (m *stateMachine) Snapshot() quorum.Image {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.Image()
 }
 
-func (m *machine) Restore(data []byte) error {
+func (m *stateMachine) Restore(data []byte) error {
 	s, err := promise.Restore(data)
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (m *machine) read(f func(*promise.State)) {
+func (m *stateMachine) read(f func(*promise.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	f(m.state)
@@ -61,22 +61,22 @@
 // Open starts a member from its file's settings. A data directory that can't be read is an
 // error naming the file; nothing in it is changed.
 func Open(cfg Config, log *slog.Logger) (*Node, error) {
-	keep, err := cfg.Timing.keep()
+	keep, err := cfg.Timing.retention()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, keep: keep, log: log, stop: make(chan struct{}), fsm: &machine{state: promise.New(), log: log}}
-	if n.Member, err = quorum.Open(cfg.member(), n.fsm, log); err != nil {
+	n := &Node{cfg: cfg, retention: keep, log: log, stop: make(chan struct{}), fsm: &stateMachine{state: promise.New(), log: log}}
+	if n.Member, err = quorum.Open(cfg.quorumConfig(), n.fsm, log); err != nil {
 		return nil, err
 	}
-	n.ended.Go(n.expire)
+	n.background.Go(n.expire)
 	return n, nil
 }
 
 // expire has the leader propose, every tenth of the time that promises are kept, that older
 // ones are forgotten. Time stands in the entry alone: each member forgets the same ones.
 func (n *Node) expire() {
-	tick := time.NewTicker(n.keep / 10)
+	tick := time.NewTicker(n.retention / 10)
 	defer tick.Stop()
 	for {
 		select {
@@ -86,7 +86,7 @@
 			if !n.Leading() {
 				continue
 			}
-			e := promise.Entry{Op: promise.OpExpire, BeforeUs: now.Add(-n.keep).UnixMicro()}
+			e := promise.Entry{Op: promise.OpExpire, BeforeUs: now.Add(-n.retention).UnixMicro()}
 			r, a, err := n.Propose(promise.Encode(e))
 			if a.Outcome != quorum.Committed {
 				n.log.Warn("old promises not forgotten yet", "error", a.Error)
@@ -108,6 +108,6 @@
 func (n *Node) Close() error {
 	close(n.stop)
 	err := n.Member.Close()
-	n.ended.Wait()
+	n.background.Wait()
 	return err
 }
--- a/internal/fleet/replica/service.go
+++ b/internal/fleet/replica/service.go
@@ -13,7 +13,7 @@
 
 // Outcomes of a proposal, as a member answers them.
 const (
-	Promised  = quorum.Committed // a quorum holds it; Result says what stands
+	Committed = quorum.Committed // a quorum holds it; Result says what stands
 	NotLeader = quorum.NotLeader // not taken; Leader names whom to ask
 	NoQuorum  = quorum.NoQuorum  // not taken: no leader is known; come back after ComeBackMs
 	Unknown   = quorum.Unknown   // taken, but leadership was lost before a quorum was seen: it may stand
@@ -59,57 +59,57 @@
 }
 
 // Service is a member's net/rpc service, named "Replica".
-type Service struct{ n *Node }
+type Service struct{ node *Node }
 
 // Propose puts an entry in the log and answers once a quorum has it.
 func (s *Service) Propose(args ProposeArgs, reply *Reply) error {
-	r, a, err := s.n.Propose(promise.Encode(args.Entry))
-	*reply = worded(a)
+	r, a, err := s.node.Propose(promise.Encode(args.Entry))
+	*reply = replyFor(a)
 	switch {
 	case errors.Is(err, promise.ErrStale):
 		reply.Outcome, reply.Error = Stale, err.Error()
 	case err != nil:
 		reply.Outcome, reply.Error = Refused, err.Error()
-	case a.Outcome == Promised:
+	case a.Outcome == Committed:
 		reply.Result = r.(promise.Result)
 	}
 	return nil
 }
 
-// worded is an answer as it goes over the wire.
-func worded(a quorum.Answer) Reply {
+// replyFor is an answer as it goes over the wire.
+func replyFor(a quorum.Answer) Reply {
 	return Reply{Outcome: a.Outcome, Leader: a.Leader, ComeBackMs: a.ComeBackMs, Error: a.Error}
 }
 
 // Read answers a call's resolution after a barrier: every entry promised before the read
 // was applied here, and this member was still leader when the barrier committed.
 func (s *Service) Read(args ReadArgs, reply *ReadReply) error {
-	if reply.Reply = worded(s.n.Barrier()); reply.Outcome == Promised {
-		s.n.fsm.read(func(st *promise.State) { reply.Resolution, reply.Found = st.Resolution(args.Call) })
+	if reply.Reply = replyFor(s.node.Barrier()); reply.Outcome == Committed {
+		s.node.fsm.read(func(st *promise.State) { reply.Resolution, reply.Found = st.Resolution(args.Call) })
 	}
 	return nil
 }
 
 // Join adds a voter through raft's membership change; Remove takes one out.
 func (s *Service) Join(args MemberArgs, reply *Reply) error {
-	*reply = worded(s.n.Join(args.ID, args.Raft, true))
+	*reply = replyFor(s.node.Join(args.ID, args.Raft, true))
 	return nil
 }
 
 func (s *Service) Remove(args MemberArgs, reply *Reply) error {
-	*reply = worded(s.n.Remove(args.ID))
+	*reply = replyFor(s.node.Remove(args.ID))
 	return nil
 }
 
 // Status tells this member's view, without asking the others.
 func (s *Service) Status(_ struct{}, reply *StatusReply) error {
-	reply.ID, reply.State, reply.Leader = s.n.cfg.ID, s.n.Raft.State().String(), s.n.Leader()
-	s.n.fsm.read(func(st *promise.State) {
+	reply.ID, reply.State, reply.Leader = s.node.cfg.ID, s.node.Raft.State().String(), s.node.Leader()
+	s.node.fsm.read(func(st *promise.State) {
 		reply.Applied, reply.Calls, reply.Claims, reply.Fence = st.Applied(), st.Calls(), st.Claims(), st.Fence()
 		reply.Epoch, _ = st.Plan()
 		reply.Drained, reply.Versions = st.DrainedServers(), st.Versions()
 	})
-	for _, m := range s.n.Servers() {
+	for _, m := range s.node.Servers() {
 		reply.Members = append(reply.Members, fmt.Sprintf("%s=%s", m.ID, m.Address))
 	}
 	return nil
@@ -124,7 +124,7 @@
 // Plan tells the plan that this member has applied. What it tells is committed; a newer one
 // may be, too, which the asker knows by its epoch.
 func (s *Service) Plan(_ struct{}, reply *PlanReply) error {
-	reply.Epoch, reply.Plan = s.n.Plan()
+	reply.Epoch, reply.Plan = s.node.Plan()
 	return nil
 }
 
--- a/internal/fleet/watcher/joint_test.go
+++ b/internal/fleet/watcher/joint_test.go
@@ -49,7 +49,7 @@
 		require.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), patience)
 		defer cancel()
-		require.NoError(t, quorum.Patiently(ctx, func() (err error) {
+		require.NoError(t, quorum.Retry(ctx, func() (err error) {
 			number, err = operator.Put(ctx, rollout.Entry{Op: rollout.OpPut, Author: "ann", Name: n, Base: base, Text: []byte(text)})
 			return err
 		}))
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -18,9 +18,9 @@
 	"github.com/goccy/go-yaml"
 
 	"woodrouter/internal/faultnet"
-	"woodrouter/internal/fleet/keeper"
 	"woodrouter/internal/fleet/members"
 	"woodrouter/internal/fleet/placer"
+	"woodrouter/internal/fleet/promisestore"
 	"woodrouter/internal/fleet/replica"
 	"woodrouter/shard"
 )
@@ -182,9 +182,9 @@
 }
 
 // promises is an agent's file: the others' addresses lead through the links' proxies.
-func (f *Fleet) promises(a *Agent) keeper.Config {
+func (f *Fleet) promises(a *Agent) promisestore.Config {
 	calls := !f.site.NoCalls
-	c := keeper.Config{Calls: &calls, Ring: shard.Ring{Version: f.Ring.Version}}
+	c := promisestore.Config{Calls: &calls, Ring: shard.Ring{Version: f.Ring.Version}}
 	for _, g := range f.Ring.Groups {
 		seen := shard.Group{ID: g.ID}
 		part := false
@@ -253,7 +253,7 @@
 		return err
 	}
 	file, spares := filepath.Join(f.Dir, "operator.yaml"), filepath.Join(f.Dir, "spares.yaml")
-	if err := write(file, keeper.Config{Ring: f.Ring}); err != nil {
+	if err := write(file, promisestore.Config{Ring: f.Ring}); err != nil {
 		return err
 	}
 	if err := write(spares, []shard.Member{a.Member}); err != nil {
--- a/internal/lab/promiselab/group.go
+++ b/internal/lab/promiselab/group.go
@@ -115,13 +115,13 @@
 	}
 	admin := g.Client()
 	defer admin.Close()
-	if err := replica.Patiently(ctx, func() error { return admin.Remove(ctx, old.ID) }); err != nil {
+	if err := replica.Retry(ctx, func() error { return admin.Remove(ctx, old.ID) }); err != nil {
 		return fmt.Errorf("remove %s: %w", old.ID, err)
 	}
 	if err := g.add(g.Procs[name].Bin, name, newID, nil); err != nil {
 		return err
 	}
-	return replica.Patiently(ctx, func() error { return admin.Join(ctx, newID, g.raft[name]) })
+	return replica.Retry(ctx, func() error { return admin.Join(ctx, newID, g.raft[name]) })
 }
 
 // Client reaches the group through every member.
--- a/internal/lab/promiselab/history.go
+++ b/internal/lab/promiselab/history.go
@@ -59,7 +59,7 @@
 	switch {
 	case errors.Is(err, promise.ErrEntry):
 		out = seen{Another: true}
-	case errors.Is(err, replica.ErrUnknown) && in.Kind != "":
+	case errors.Is(err, replica.ErrUnknownOutcome) && in.Kind != "":
 		out, end = seen{Unknown: true}, math.MaxInt64
 	case err != nil: // nothing happened: not taken, or a read without an answer
 		h.refused++
@@ -172,7 +172,7 @@
 				_, err = h.propose(ctx, c, n, in, promise.OpResolve)
 			}
 		}
-		var later *replica.Later
+		var later *replica.RetryAfterError
 		if errors.As(err, &later) {
 			time.Sleep(later.After / 4) // as told, and sooner for a busier run
 		}
@@ -227,7 +227,7 @@
 
 // readBack reads a call, again where the group asks to come back.
 func readBack(ctx context.Context, c *replica.Client, call string) (r promise.Resolution, found bool, err error) {
-	err = replica.Patiently(ctx, func() error {
+	err = replica.Retry(ctx, func() error {
 		r, found, err = c.Read(ctx, call)
 		return err
 	})
--- a/internal/lab/promiselab/schedule.go
+++ b/internal/lab/promiselab/schedule.go
@@ -203,7 +203,7 @@
 	defer alone.Close()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
 		_, err := alone.Propose(ctx, promise.Entry{Op: promise.OpDrain, Server: "s9"})
-		var later *replica.Later
+		var later *replica.RetryAfterError
 		if errors.As(err, &later) && errors.Is(err, replica.ErrNoQuorum) && later.After > 0 {
 			if err := s.progress(ctx, 10); err != nil {
 				return err
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -379,7 +379,7 @@
 }
 
 func (g *group) LeadersPlan(ctx context.Context) (uint64, []byte, error) {
-	r, err := g.client.LeadersPlan(ctx)
+	r, err := g.client.LeaderPlan(ctx)
 	return r.Epoch, r.Plan, err
 }
 
