--- a/internal/fleet/quorum/client.go
+++ b/internal/fleet/quorum/client.go
@@ -14,40 +14,40 @@
 	"time"
 )
 
-// ErrNoQuorum is a proposal that no member could take: the caller is told to come back.
+// ErrNoQuorum says that no member could accept the proposal. The caller may retry.
 var ErrNoQuorum = errors.New("quorum: none within reach")
 
-// ErrUnknownOutcome is a proposal that may or may not stand.
+// ErrUnknownOutcome says that the proposal may or may not have been committed.
 var ErrUnknownOutcome = errors.New("quorum: not known whether it stands")
 
-// Client reaches a group through its members' client addresses, following the leader. It may
-// be used from many goroutines.
+// Client calls a group through its members' client addresses and follows the leader. It is safe
+// for concurrent use.
 type Client struct {
 	mu       sync.Mutex
 	members  map[string]*memberConn
-	rotation []string // who is asked next while no leader is known
-	leader   string
-	// CallTimeout bounds one call to one member; 0: 3 s.
+	rotation []string // the order in which members are asked while no leader is known
+	leader   string   // the leader's id; "": not known
+	// CallTimeout limits one call to one member; 0 means 3 s.
 	CallTimeout time.Duration
 }
 
-// memberConn is the connection to one member. Its lock is held while it is dialled, so that a
-// member that does not answer keeps nobody who asks another waiting.
+// memberConn is the connection to one member. Each has its own lock, which is held while dialling,
+// so that a member that does not answer delays no calls to the others.
 type memberConn struct {
 	addr       string
 	mu         sync.Mutex
 	conn       *rpc.Client
-	lastAnswer time.Time // of the last answer, or of the dial
+	lastAnswer time.Time // when the last answer came, or the connection was opened
 }
 
-// unresponsiveAfter is how long a connection may bring no answer before a call that ran out of time
-// on it ends it: one caller's short time must not cut what others wait for.
+// unresponsiveAfter is how long a connection must have been without an answer before a call that
+// times out closes it: one caller's short timeout must not break the calls of others.
 const unresponsiveAfter = time.Second
 
-// dialTimeout bounds a dial to one member.
+// dialTimeout limits dialling one member.
 const dialTimeout = time.Second
 
-// NewClient knows the members by id and client address.
+// NewClient returns a client of the given members, a map from id to client address.
 func NewClient(members map[string]string) *Client {
 	c := &Client{members: map[string]*memberConn{}, rotation: slices.Sorted(maps.Keys(members))}
 	for id, addr := range members {
@@ -56,20 +56,21 @@
 	return c
 }
 
-// Members are the ids of the members that the client knows, in order.
+// Members returns the ids of the members that the client knows, sorted.
 func (c *Client) Members() []string { return slices.Sorted(maps.Keys(c.members)) }
 
-// Address is a member's client address; "": not known.
+// Address returns a member's client address, or "" for an unknown member.
 func (c *Client) Address(id string) string {
-	if l := c.members[id]; l != nil {
-		return l.addr
+	if m := c.members[id]; m != nil {
+		return m.addr
 	}
 	return ""
 }
 
-// Retry repeats what does nothing when it stands already (a membership change, an entry
-// proposed again) while the group tells when to come back, in a quarter of that time, until
-// the context ends. If any try may stand, the last refusal is ErrUnknown.
+// Retry repeats an idempotent operation (a membership change, or an entry that may be proposed
+// again) as long as it fails with a RetryAfterError, waiting a quarter of the advised time between
+// attempts, until the context ends. If any attempt may have been committed, the final error is
+// ErrUnknownOutcome.
 func Retry(ctx context.Context, do func() error) error {
 	unknown := false
 	for {
@@ -92,25 +93,26 @@
 	}
 }
 
-// RetryAfterError is a refusal with when to come back.
+// RetryAfterError is a failure after which the caller may retry, with the advised wait.
 type RetryAfterError struct {
-	Err     error
+	Err     error // ErrNoQuorum or ErrUnknownOutcome
 	After   time.Duration
 	Message string
 }
 
-func (l *RetryAfterError) Error() string {
-	return fmt.Sprintf("%v: %s; come back in %v", l.Err, l.Message, l.After)
+func (e *RetryAfterError) Error() string {
+	return fmt.Sprintf("%v: %s; come back in %v", e.Err, e.Message, e.After)
 }
-func (l *RetryAfterError) Unwrap() error { return l.Err }
+func (e *RetryAfterError) Unwrap() error { return e.Err }
 
-// AskLeader asks members, the leader first, until one answers for the group. A member that can't
-// be reached and one that names no leader are passed for the next; the last refusal stands.
-// final maps the outcomes that are an answer for the group, with the error its caller gets;
-// nil: Committed alone is, and its error is nil.
-func (c *Client) AskLeader(ctx context.Context, ask func(id string) (Answer, error), final func(Answer) (done bool, err error)) error {
+// AskLeader asks members, the leader first, until one answers for the group. If a member can't be
+// reached or knows no leader, the next one is asked; if none answers for the group, the error tells
+// what the last one said. Committed ends the search without an error, Unknown ends it with
+// ErrUnknownOutcome. final, if not nil, reports which other outcomes end it, and with which error.
+func (c *Client) AskLeader(ctx context.Context, ask func(id string) (Answer, error),
+	final func(Answer) (done bool, err error)) error {
 	last := &RetryAfterError{ErrNoQuorum, DefaultRetryAfter, "no member asked"}
-	sent := false // a member may have taken it without answering: the end is then unknown
+	sent := false // a member may have accepted the request without answering: the outcome is then unknown
 	for range 2 * len(c.members) {
 		if ctx.Err() != nil {
 			last.Message += ": " + ctx.Err().Error()
@@ -136,7 +138,7 @@
 		case NotLeader:
 			c.SetLeader(r.Leader)
 		case Unknown:
-			c.forgetLeader(id) // it lost its leadership, or says nothing: the next call asks another first
+			c.forgetLeader(id) // deposed or stalled: the next call asks another member first
 			return &RetryAfterError{ErrUnknownOutcome, after, r.Error}
 		default:
 			c.SetLeader("")
@@ -149,8 +151,8 @@
 	return last
 }
 
-// DefaultRetryAfter is told where no member answered that could tell: two of the default
-// elections, as a member would.
+// DefaultRetryAfter is the wait advised when no member answered: two default election timeouts, as
+// a member would advise.
 var DefaultRetryAfter = 2 * DefaultTiming.Election
 
 func (c *Client) nextMember() string {
@@ -160,13 +162,13 @@
 		return c.leader
 	}
 	id := c.rotation[0]
-	c.rotation = append(c.rotation[1:], id) // the next try goes to another member
+	c.rotation = append(c.rotation[1:], id) // the next attempt goes to another member
 	return id
 }
 
-// SetLeader has the next call ask the leader that a member named. One whose id this client does
-// not know (a member replaced under a new id since its file was written) is found by asking
-// all in turn: to stay with the member that named it would be to ask that one for ever.
+// SetLeader makes the next call ask the leader that a member named. If its id is unknown to this
+// client (a member replaced under a new id since the client's file was written), all members are
+// asked in turn: to keep asking the member that named it would never reach the leader.
 func (c *Client) SetLeader(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +178,7 @@
 	}
 }
 
-// forgetLeader has the next call ask another member first.
+// forgetLeader makes the next call ask another member first.
 func (c *Client) forgetLeader(id string) {
 	c.mu.Lock()
 	if c.leader == id {
@@ -185,105 +187,108 @@
 	c.mu.Unlock()
 }
 
-// ErrNotSent is a call of which nothing reached the member.
+// ErrNotSent says that nothing of the call reached the member.
 var ErrNotSent = errors.New("not sent")
 
-// Call makes one call of one member, within the context and CallTimeout.
+// Call makes one call to one member, limited by the context and CallTimeout.
 func (c *Client) Call(ctx context.Context, id, method string, args, reply any) error {
-	l := c.members[id]
-	if l == nil {
+	m := c.members[id]
+	if m == nil {
 		return fmt.Errorf("%w: no member %q is known", ErrNotSent, id)
 	}
 	for {
-		conn, err := l.connect(ctx)
+		conn, err := m.connect(ctx)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
-		again, err := l.call(ctx, conn, cmp.Or(c.CallTimeout, 3*time.Second), method, args, reply)
-		if !again {
+		retry, err := m.call(ctx, conn, cmp.Or(c.CallTimeout, 3*time.Second), method, args, reply)
+		if !retry {
 			return err
 		}
 	}
 }
 
-// call makes one call on a connection; again: the member had ended it before, as it does with
-// idle ones, and nothing was sent.
-func (l *memberConn) call(ctx context.Context, conn *rpc.Client, timeout time.Duration, method string, args, reply any) (retry bool, err error) {
+// call makes one call on a connection. retry is true if the member had closed the connection
+// before the call, as it does with idle ones, and nothing was sent.
+func (m *memberConn) call(ctx context.Context, conn *rpc.Client, timeout time.Duration,
+	method string, args, reply any) (retry bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	// A value of its own: an answer that comes late is decoded when the caller may be reading
-	// another member's.
+	// Decoded into a separate value: a late answer may arrive while the caller reads another
+	// member's answer from reply.
 	received := reflect.New(reflect.TypeOf(reply).Elem())
 	select {
 	case call := <-conn.Go(method, args, received.Interface(), make(chan *rpc.Call, 1)).Done:
 		if call.Error == nil {
 			reflect.ValueOf(reply).Elem().Set(received.Elem())
 		}
-		return l.recordAnswer(conn, call.Error), call.Error
+		return m.recordAnswer(conn, call.Error), call.Error
 	case <-ctx.Done():
-		l.recordTimeout(conn)
+		m.recordTimeout(conn)
 		return false, fmt.Errorf("%s: no answer: %w", method, ctx.Err())
 	}
 }
 
-func (l *memberConn) connect(ctx context.Context) (*rpc.Client, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.conn != nil {
-		return l.conn, nil
+func (m *memberConn) connect(ctx context.Context) (*rpc.Client, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.conn != nil {
+		return m.conn, nil
 	}
-	d := net.Dialer{Timeout: dialTimeout}
-	nc, err := d.DialContext(ctx, "tcp", l.addr)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", m.addr)
 	if err != nil {
 		return nil, err
 	}
-	l.conn, l.lastAnswer = rpc.NewClient(nc), time.Now()
-	return l.conn, nil
+	m.conn, m.lastAnswer = rpc.NewClient(conn), time.Now()
+	return m.conn, nil
 }
 
-// recordAnswer notes an answer; an error that is none of the member's own ends the connection.
-// unsent: it had ended before the call, and not by us, whose calls it would have cut.
-func (l *memberConn) recordAnswer(conn *rpc.Client, err error) (unsent bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if _, said := err.(rpc.ServerError); err == nil || said {
-		l.lastAnswer = time.Now()
+// recordAnswer records that a call ended. An error that is not the member's answer closes the
+// connection. unsent is true if the connection was closed before the call, and not by this client,
+// which would have broken calls that may have been sent.
+func (m *memberConn) recordAnswer(conn *rpc.Client, err error) (unsent bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if _, fromMember := err.(rpc.ServerError); err == nil || fromMember {
+		m.lastAnswer = time.Now()
 		return false
 	}
-	unsent = errors.Is(err, rpc.ErrShutdown) && l.conn == conn
-	l.drop(conn)
+	unsent = errors.Is(err, rpc.ErrShutdown) && m.conn == conn
+	m.drop(conn)
 	return unsent
 }
 
-// recordTimeout ends a connection on which a call ran out of time, if it has been deaf for long.
-func (l *memberConn) recordTimeout(conn *rpc.Client) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Since(l.lastAnswer) >= unresponsiveAfter {
-		l.drop(conn)
+// recordTimeout closes a connection on which a call timed out, if no answer has come on it for
+// unresponsiveAfter.
+func (m *memberConn) recordTimeout(conn *rpc.Client) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if time.Since(m.lastAnswer) >= unresponsiveAfter {
+		m.drop(conn)
 	}
 }
 
-// drop ends a connection unless another has taken its place.
-func (l *memberConn) drop(conn *rpc.Client) {
+// drop closes a connection, and forgets it unless another has replaced it.
+func (m *memberConn) drop(conn *rpc.Client) {
 	conn.Close()
-	if l.conn == conn {
-		l.conn = nil
+	if m.conn == conn {
+		m.conn = nil
 	}
 }
 
-func (l *memberConn) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.conn != nil {
-		l.conn.Close()
-		l.conn = nil
+func (m *memberConn) close() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.conn != nil {
+		m.conn.Close()
+		m.conn = nil
 	}
 }
 
-// Close ends the client's connections.
+// Close closes the client's connections.
 func (c *Client) Close() {
-	for _, l := range c.members {
-		l.close()
+	for _, m := range c.members {
+		m.close()
 	}
 }
--- a/internal/fleet/quorum/client_test.go
+++ b/internal/fleet/quorum/client_test.go
@@ -13,12 +13,13 @@
 	"github.com/stretchr/testify/require"
 )
 
+// echo is an RPC service that returns its argument.
 type echo struct{}
 
 func (echo) Say(n int, r *int) error { *r = n; return nil }
 
-// TestReconnectAfterMemberClosed: a call on a connection that the member has ended meanwhile goes on a new one; it is
-// not told as one that may stand, as nothing of it was sent.
+// TestReconnectAfterMemberClosed checks that a call on a connection that the member has closed in
+// the meantime is made on a new one, and is not reported as possibly committed: nothing of it was sent.
 func TestReconnectAfterMemberClosed(t *testing.T) {
 	srv := rpc.NewServer()
 	require.NoError(t, srv.RegisterName("Echo", echo{}))
@@ -39,7 +40,7 @@
 	require.NoError(t, c.Call(context.Background(), "m", "Echo.Say", 1, &r))
 	conn := c.members["m"].conn
 	ending <- struct{}{}
-	for conn.Call("Echo.Say", 0, &r) != rpc.ErrShutdown { // until the client knows of the end
+	for conn.Call("Echo.Say", 0, &r) != rpc.ErrShutdown { // until the client has noticed the close
 	}
 	require.NoError(t, c.Call(context.Background(), "m", "Echo.Say", 2, &r))
 	require.Equal(t, 2, r)
@@ -47,8 +48,8 @@
 	close(ending)
 }
 
-// TestUnknownOutcomeForgetsLeader: a leader of which it is not known what it made of a proposal (stalled, or
-// deposed) is not asked first again, so that its callers find the next one.
+// TestUnknownOutcomeForgetsLeader checks that a leader that left a proposal's outcome unknown
+// (stalled, or deposed) is not asked first again, so that the client finds the next leader.
 func TestUnknownOutcomeForgetsLeader(t *testing.T) {
 	c := NewClient(map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:1"})
 	c.SetLeader("a")
@@ -63,14 +64,14 @@
 	require.ErrorIs(t, c.AskLeader(context.Background(), ask, nil), ErrUnknownOutcome)
 	require.Equal(t, []string{"a"}, asked)
 	err := c.AskLeader(context.Background(), ask, nil)
-	if asked[1] == "a" { // in turn, where none is known to lead
+	if asked[1] == "a" { // without a known leader, members are asked in turn
 		err = c.AskLeader(context.Background(), ask, nil)
 	}
 	require.NoError(t, err)
 	require.Equal(t, "b", asked[len(asked)-1])
 }
 
-// delayingCodec keeps its first answer back until a second one is due, and writes it before that.
+// delayingCodec holds the first answer back and writes it just before the second one.
 type delayingCodec struct {
 	io.ReadWriteCloser
 	in   *gob.Decoder
@@ -90,8 +91,8 @@
 	return errors.Join(c.out.Encode(c.kept), c.out.Encode(c.body), c.out.Encode(r), c.out.Encode(body))
 }
 
-// TestLateAnswer: what a member answers after its caller has given up changes nothing that the
-// caller has heard from another since.
+// TestLateAnswer checks that an answer that comes after its call has timed out does not overwrite
+// the reply value, which may hold another member's answer by then.
 func TestLateAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/fleet/quorum/config.go
+++ b/internal/fleet/quorum/config.go
@@ -1,8 +1,8 @@
-// Package quorum runs a state machine in a replicated log on github.com/hashicorp/raft, stored
-// by github.com/hashicorp/raft-boltdb/v2: a member's stores, transport, first members,
-// snapshots and log lines, what a proposal came to, and a client that follows the leader. What
-// the entries mean is the machine's that its user brings: promises (internal/fleet/replica) and
-// the distribution of configuration (internal/fleet/control).
+// Package quorum replicates a state machine with a log on github.com/hashicorp/raft, stored by
+// github.com/hashicorp/raft-boltdb/v2. It provides a member's stores, transport, bootstrap,
+// snapshots and logging, the outcomes of proposals, and a client that follows the leader. Its
+// users supply the state machine, which interprets the entries: internal/fleet/replica (promises)
+// and internal/fleet/control (the distribution of configuration).
 package quorum
 
 import (
@@ -12,46 +12,46 @@
 	"time"
 )
 
-// Config is the part of a member's operators' file that has no word of what the log holds.
+// Config is the part of a member's configuration file that does not depend on the state machine.
 type Config struct {
 	ID        string            `yaml:"id"`                  // this member's name in the group
-	Raft      string            `yaml:"raft"`                // host:port the log's traffic is taken on
-	Advertise string            `yaml:"advertise,omitempty"` // host:port the others reach it at; "": Raft
-	Client    string            `yaml:"client"`              // host:port callers reach it at (net/rpc)
-	Data      string            `yaml:"data"`                // the data directory: log, stable store, snapshots
-	Bootstrap []Peer            `yaml:"bootstrap,omitempty"` // the first members, given to a new group once; empty: join later
-	Links     map[string]string `yaml:"links,omitempty"`     // a member's advertised address -> where to dial it (a proxy)
+	Raft      string            `yaml:"raft"`                // host:port on which raft listens
+	Advertise string            `yaml:"advertise,omitempty"` // host:port other members dial; "": Raft
+	Client    string            `yaml:"client"`              // host:port on which clients are served (net/rpc)
+	Data      string            `yaml:"data"`                // the directory of log, stable store and snapshots
+	Bootstrap []Peer            `yaml:"bootstrap,omitempty"` // first members of a new group; empty: join later
+	Links     map[string]string `yaml:"links,omitempty"`     // address to dial (a proxy) by advertised address
 	Snapshot  SnapshotConfig    `yaml:"snapshot,omitempty"`
 	Timing    TimingConfig      `yaml:"timing,omitempty"`
 }
 
-// Peer is one member: its id and advertised log address.
+// Peer is one member: its id and advertised raft address.
 type Peer struct {
 	ID   string `yaml:"id"`
 	Raft string `yaml:"raft"`
-	// Voter is false for a member that gets the log but has no say in what is committed or who
-	// leads; not given: it votes.
+	// Voter is false for a member that receives the log but takes no part in commits and elections;
+	// nil means that it votes.
 	Voter *bool `yaml:"voter,omitempty"`
 }
 
-// Votes tells whether a member is a voter.
+// Votes reports whether the member is a voter.
 func (p Peer) Votes() bool { return p.Voter == nil || *p.Voter }
 
-// SnapshotConfig says when the log is compacted.
+// SnapshotConfig sets when the log is compacted.
 type SnapshotConfig struct {
-	Entries uint64 `yaml:"entries,omitempty"` // entries since the last snapshot that start a new one; 0: 8192
-	Keep    int    `yaml:"keep,omitempty"`    // snapshots kept on disk; 0: 2
+	Entries uint64 `yaml:"entries,omitempty"` // log entries between snapshots; 0: 8192
+	Keep    int    `yaml:"keep,omitempty"`    // snapshots kept on disk, at least 2; 0: 2
 }
 
-// TimingConfig gives raft's timers as Go durations; empty fields keep those of Defaults.
+// TimingConfig sets raft's timers as Go durations; empty fields are as in DefaultTiming.
 type TimingConfig struct {
-	Heartbeat string `yaml:"heartbeat,omitempty"` // a follower calls an election after this without news
-	Election  string `yaml:"election,omitempty"`
-	Commit    string `yaml:"commit,omitempty"`
-	Lease     string `yaml:"lease,omitempty"`
+	Heartbeat string `yaml:"heartbeat,omitempty"` // a follower without contact this long calls an election
+	Election  string `yaml:"election,omitempty"`  // a candidate without a leader this long calls another
+	Commit    string `yaml:"commit,omitempty"`    // the longest wait before followers are told of a commit
+	Lease     string `yaml:"lease,omitempty"`     // a leader without a quorum's contact this long steps down
 }
 
-// Valid names the first field that can't be used.
+// Valid returns an error that names the first unusable field.
 func (c Config) Valid() error {
 	if c.ID == "" {
 		return errors.New("field id: empty")
@@ -93,12 +93,13 @@
 	case voters == 0:
 		return errors.New("field bootstrap: no voter among them; nothing could be committed")
 	case voters%2 == 0:
-		return fmt.Errorf("field bootstrap: %d voters bear the loss of no more than %d would, and a cut can halve them: give one voter: false", voters, voters-1)
+		return fmt.Errorf("field bootstrap: %d voters survive no more failures than %d would, and a network "+
+			"partition can split them in half: set voter: false for one of them", voters, voters-1)
 	}
 	return nil
 }
 
-// CheckAddress tells what is wrong with a host:port.
+// CheckAddress returns an error if addr is not of the form host:port.
 func CheckAddress(addr string) error {
 	if addr == "" {
 		return errors.New("empty; host:port")
@@ -107,28 +108,29 @@
 	return err
 }
 
-// Timing is raft's timers as durations.
+// Timing holds raft's timers.
 type Timing struct{ Heartbeat, Election, Commit, Lease time.Duration }
 
-// DefaultTiming are the timers for members on one campus: a new leader within about a second of
-// a kill. Raft's own defaults (1 s heartbeat) suit wide-area groups.
+// DefaultTiming is for members on one campus: a leader that is killed is replaced within about a
+// second. Raft's own defaults (1 s heartbeat) suit wide-area groups.
 var DefaultTiming = Timing{Heartbeat: 300 * time.Millisecond, Election: 300 * time.Millisecond,
 	Commit: 20 * time.Millisecond, Lease: 150 * time.Millisecond}
 
-// ParseDuration reads a field's text into to, unless it is empty. The error names the field.
+// ParseDuration parses a field's text into to, and leaves to as it is if the text is empty. An
+// error names the field.
 func ParseDuration(field, text string, to *time.Duration) error {
 	if text == "" {
 		return nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
-		return fmt.Errorf("field %s: %q is no positive duration", field, text)
+		return fmt.Errorf("field %s: %q is not a positive duration", field, text)
 	}
 	*to = d
 	return nil
 }
 
-// Durations reads the timers. An error names the field.
+// Durations parses the timers. An error names the field.
 func (t TimingConfig) Durations() (Timing, error) {
 	out := DefaultTiming
 	for _, f := range []struct {
@@ -141,7 +143,8 @@
 		}
 	}
 	if out.Lease > out.Heartbeat {
-		return out, fmt.Errorf("field timing.lease: %v beyond the heartbeat %v (raft refuses it)", out.Lease, out.Heartbeat)
+		return out, fmt.Errorf("field timing.lease: %v is longer than the heartbeat %v, which raft refuses",
+			out.Lease, out.Heartbeat)
 	}
 	return out, nil
 }
--- a/internal/fleet/quorum/config_test.go
+++ b/internal/fleet/quorum/config_test.go
@@ -6,7 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestVoters: the fourth machine has no vote, and groups that a cut can halve are refused.
+// TestVoters checks that a fourth machine without a vote is allowed, and that a bootstrap list is
+// refused if it has an even number of voters (a network partition could split it in half), no voter,
+// an id twice, or lacks this member.
 func TestVoters(t *testing.T) {
 	no := false
 	peer := func(id string, voter *bool) Peer { return Peer{ID: id, Raft: "127.0.0.1:1", Voter: voter} }
--- a/internal/fleet/quorum/member.go
+++ b/internal/fleet/quorum/member.go
@@ -17,21 +17,22 @@
 	bbolt "go.etcd.io/bbolt"
 )
 
-// StateMachine is the state that the log's entries make. Apply, Snapshot and Restore are called
-// from one goroutine at a time; a machine that is read meanwhile has a lock of its own.
+// StateMachine is the replicated state. Apply, Snapshot and Restore are never called at the same
+// time; a state machine that is also read by others needs a lock of its own.
 type StateMachine interface {
-	// Apply applies an entry. One that it refuses changes nothing, on every member alike.
+	// Apply applies an entry. It must be deterministic, and a refused entry must change nothing.
 	Apply(index uint64, data []byte) (any, error)
-	// Snapshot is a copy of the state, written while entries go on being applied.
+	// Snapshot returns a copy of the state, which is written while further entries are applied.
 	Snapshot() Image
+	// Restore replaces the state by that of a snapshot.
 	Restore(data []byte) error
 }
 
-// Image is a copy of a machine's state.
+// Image is a copy of the state, as a snapshot stores it.
 type Image interface{ Bytes() []byte }
 
-// Member is one member of a group: raft, its stores and its transport. What it has of raft's
-// is for what this package has no words for.
+// Member is one member of a group. Raft and Transport are exported for operations that this
+// package does not wrap.
 type Member struct {
 	Raft      *raft.Raft
 	Transport *raft.NetworkTransport
@@ -41,13 +42,13 @@
 	log   *slog.Logger
 }
 
-// applyResult is what Apply hands back to the proposer through raft's future.
+// applyResult is what StateMachine.Apply returned, passed to the proposer through raft's future.
 type applyResult struct {
 	result any
 	err    error
 }
 
-// fsm is a machine as raft has it.
+// fsm adapts a StateMachine to raft.FSM.
 type fsm struct {
 	machine StateMachine
 	log     *slog.Logger
@@ -87,8 +88,8 @@
 
 func (fsmSnapshot) Release() {}
 
-// Open starts a member from its file's settings. A data directory that can't be read is an
-// error naming the file; nothing in it is changed.
+// Open starts a member. If the data directory can't be read, the error names the file, and nothing
+// in it is changed.
 func Open(cfg Config, machine StateMachine, log *slog.Logger) (*Member, error) {
 	timing, err := cfg.Timing.Durations()
 	if err != nil {
@@ -123,12 +124,13 @@
 	return m, nil
 }
 
-// openStore opens the log and stable store; bolt waits for a lock held by another process,
-// so a time-out says which file is held.
+// openStore opens the log and stable store. If another process holds the file's lock, it fails
+// after boltOptions' timeout with an error that names the file.
 func openStore(path string) (*raftboltdb.BoltStore, error) {
 	s, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: boltOptions()})
 	if err != nil {
-		return nil, fmt.Errorf("data directory: %s: %w (a corrupt or foreign file: move it away and let the member catch up from the others)", path, err)
+		return nil, fmt.Errorf("data directory: %s: %w (if the file is corrupt or not a raft store, "+
+			"move it away and let the member catch up from the others)", path, err)
 	}
 	return s, nil
 }
@@ -147,8 +149,8 @@
 	return c
 }
 
-// bootstrap gives a new group its first members, once: a member with state of its own, or
-// with no bootstrap list, waits to be added by the leader.
+// bootstrap sets the first members of a new group. A member that already has state, or that has no
+// bootstrap list, does nothing: it is in a group, or waits until the leader adds it.
 func (m *Member) bootstrap(id string, peers []Peer, snaps raft.SnapshotStore) error {
 	if len(peers) == 0 {
 		return nil
@@ -165,7 +167,7 @@
 		}
 	}
 	if i := slices.IndexFunc(peers, func(p Peer) bool { return p.ID == id }); i < 0 || !peers[i].Votes() {
-		return nil // the voters' leader brings it the log
+		return nil // a non-voter gets the log from the voters' leader
 	}
 	err = m.Raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 	if errors.Is(err, raft.ErrCantBootstrap) {
@@ -174,22 +176,22 @@
 	return err
 }
 
-// Leading tells whether this member leads its group, as far as it knows: a leader that was cut
-// off finds out when it proposes.
+// Leading reports whether this member believes that it leads the group. A leader that has lost
+// contact with a quorum may only find out when it proposes.
 func (m *Member) Leading() bool { return m.Raft.State() == raft.Leader }
 
-// Leader is the leader's id as far as this member knows; "": none.
+// Leader returns the id of the leader known to this member, or "" if it knows none.
 func (m *Member) Leader() string {
 	_, id := m.Raft.LeaderWithID()
 	return string(id)
 }
 
-// Close ends the member's part in the group without leaving it. A leader hands its lead over
-// first, so that a planned restart costs no election's time.
+// Close stops the member, which stays in the group's configuration. A leader first transfers its
+// leadership, so that a planned restart does not cost the group an election timeout.
 func (m *Member) Close() error {
 	if m.Leading() {
 		if err := m.Raft.LeadershipTransfer().Error(); err != nil {
-			m.log.Info("lead not handed over", "error", err)
+			m.log.Info("leadership transfer failed", "error", err)
 		}
 	}
 	err := m.Raft.Shutdown().Error()
@@ -199,8 +201,8 @@
 	return err
 }
 
-// openTransport is raft's TCP transport on a stream layer that dials a member through the
-// file's links (a fault proxy in the tests), the configuration holding advertised addresses.
+// openTransport opens raft's TCP transport. It dials a member at the address that Config.Links
+// gives for its advertised address, if any (a fault-injecting proxy in tests).
 func openTransport(cfg Config, log *slog.Logger) (*raft.NetworkTransport, error) {
 	ln, err := net.Listen("tcp", cfg.Raft)
 	if err != nil {
@@ -218,6 +220,7 @@
 	}), nil
 }
 
+// streamLayer is a raft.StreamLayer on TCP.
 type streamLayer struct {
 	net.Listener
 	advertised net.Addr
@@ -234,5 +237,5 @@
 	return net.DialTimeout("tcp", to, timeout)
 }
 
-// boltOptions has a lock held by another process end in an error, not a wait without end.
+// boltOptions limits the wait for a lock held by another process, which is unlimited by default.
 func boltOptions() *bbolt.Options { return &bbolt.Options{Timeout: time.Second} }
--- a/internal/fleet/quorum/propose.go
+++ b/internal/fleet/quorum/propose.go
@@ -7,31 +7,31 @@
 	"github.com/hashicorp/raft"
 )
 
-// Outcomes of a proposal, as members answer them. A user may have further ones of its own,
-// for entries that its machine refuses.
+// The outcomes of a proposal, as members answer them. Users of this package may define further ones
+// for entries that their state machine refuses.
 const (
-	Committed = "promised"   // a quorum holds it; the word is from the first user
-	NotLeader = "not-leader" // not taken; Leader names whom to ask
-	NoQuorum  = "no-quorum"  // not taken: no leader is known; come back after ComeBackMs
-	Unknown   = "unknown"    // taken, but leadership was lost before a quorum was seen: it may stand
-	Refused   = "refused"    // the entry can't be applied, on every member alike
+	Committed = "promised"   // a quorum holds the entry; on the wire it keeps the name that promises gave it
+	NotLeader = "not-leader" // not accepted; Answer.Leader is the leader's id
+	NoQuorum  = "no-quorum"  // not accepted, as no leader is known; retry after Answer.ComeBackMs
+	Unknown   = "unknown"    // accepted, but leadership was lost before the commit: it may yet be committed
+	Refused   = "refused"    // the state machine refused the entry
 )
 
-// Answer is what a member tells a proposer, apart from the machine's result.
+// Answer is a member's answer to a proposal, without the state machine's result.
 type Answer struct {
 	Outcome    string
-	Leader     string // the leader's id where known
-	ComeBackMs int64  // with NoQuorum and Unknown: when asking again may help
+	Leader     string // the leader's id, if known
+	ComeBackMs int64  // with NoQuorum and Unknown: ms after which a retry may succeed
 	Error      string
 }
 
-// applyTimeout bounds how long a proposal may wait for a quorum; a minority's leader steps
-// down within its lease, long before.
+// applyTimeout limits how long a proposal may wait for a quorum. A leader that loses its quorum
+// steps down within its lease, much earlier.
 const applyTimeout = 2 * time.Second
 
-// Propose puts an entry in the log and returns once a quorum has it and the machine has
-// applied it. Where the answer's outcome is not Committed nothing was applied as far as is
-// known; err is the machine's refusal of an entry that is in the log.
+// Propose appends an entry to the log and returns once a quorum holds it and the state machine has
+// applied it. If the answer's outcome is not Committed, the entry is not known to be applied. err is
+// the state machine's refusal of an entry that is in the log.
 func (m *Member) Propose(data []byte) (result any, a Answer, err error) {
 	if a = m.CheckLeader(); a.Outcome != Committed {
 		return nil, a, nil
@@ -44,8 +44,8 @@
 	return r.result, a, r.err
 }
 
-// Barrier returns once all that was committed before it is applied here, and this member was
-// still the leader then.
+// Barrier returns Committed once all entries committed before the call are applied here, if this
+// member was still the leader then.
 func (m *Member) Barrier() Answer {
 	if a := m.CheckLeader(); a.Outcome != Committed {
 		return a
@@ -53,7 +53,7 @@
 	return m.AnswerForError(m.Raft.Barrier(applyTimeout).Error())
 }
 
-// Join has a leader add a member through raft's membership change; Remove takes one out.
+// Join adds a member to the group; only the leader can.
 func (m *Member) Join(id, address string, voter bool) Answer {
 	if a := m.CheckLeader(); a.Outcome != Committed {
 		return a
@@ -69,7 +69,7 @@
 	return a
 }
 
-// Remove has a leader take a member out.
+// Remove removes a member from the group; only the leader can.
 func (m *Member) Remove(id string) Answer {
 	if a := m.CheckLeader(); a.Outcome != Committed {
 		return a
@@ -81,9 +81,8 @@
 	return a
 }
 
-// CheckLeader is Committed where this member leads, and else what a proposer is told at once: a
-// follower names the leader, a member that knows none tells when to come back. A minority
-// never commits.
+// CheckLeader returns Committed if this member leads, or else the answer for a proposer: NotLeader
+// with the leader's id, or, if no leader is known, NoQuorum with the time after which to retry.
 func (m *Member) CheckLeader() Answer {
 	if m.Leading() {
 		return Answer{Outcome: Committed}
@@ -94,23 +93,24 @@
 	return Answer{Outcome: NoQuorum, ComeBackMs: m.retryAfterMs()}
 }
 
-// retryAfterMs is when a new leader may be known: an election's time-out, twice, as raft draws
-// each between one and two of them.
+// retryAfterMs is the time, in ms, after which a new leader may be known: two election timeouts, as
+// raft picks each wait at random between one and two of them.
 func (m *Member) retryAfterMs() int64 { return (2 * m.Timing.Election).Milliseconds() }
 
-// AnswerForError words raft's error: not taken (no leader) or not known (leadership lost on the way).
+// AnswerForError returns the answer for an error of raft's: Committed for nil, NoQuorum if the
+// entry was not accepted, and Unknown if it may yet be committed.
 func (m *Member) AnswerForError(err error) Answer {
 	switch {
 	case err == nil:
 		return Answer{Outcome: Committed}
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout):
 		return Answer{Outcome: NoQuorum, ComeBackMs: m.retryAfterMs(), Error: err.Error()}
-	default: // ErrLeadershipLost, a time-out: the entry may yet be committed by the next leader
+	default: // ErrLeadershipLost or a timeout: the next leader may still commit the entry
 		return Answer{Outcome: Unknown, ComeBackMs: m.retryAfterMs(), Error: err.Error()}
 	}
 }
 
-// Servers are the members of the group as this one knows them.
+// Servers returns the members of the group as known to this one, or nil if that can't be read.
 func (m *Member) Servers() []raft.Server {
 	f := m.Raft.GetConfiguration()
 	if f.Error() != nil {
