--- a/internal/fleet/replica/client.go
+++ b/internal/fleet/replica/client.go
@@ -8,27 +8,27 @@
 	"woodrouter/promise"
 )
 
-// ErrNoQuorum is a proposal that no member could take: the caller is told to come back.
+// ErrNoQuorum says that no member could accept the proposal. The caller may retry.
 var ErrNoQuorum = quorum.ErrNoQuorum
 
-// ErrUnknownOutcome is a proposal that may or may not stand: ask again with the same call id, and
-// the first resolution that stands is the answer.
+// ErrUnknownOutcome says that the proposal may or may not have been committed. Proposing again with
+// the same call id is safe: the answer is the first resolution that was committed.
 var ErrUnknownOutcome = quorum.ErrUnknownOutcome
 
-// RetryAfterError is a refusal with when to come back.
+// RetryAfterError is a failure after which the caller may retry, with the advised wait.
 type RetryAfterError = quorum.RetryAfterError
 
-// Retry repeats what does nothing when it stands already.
+// Retry repeats an idempotent operation while it fails with a RetryAfterError.
 var Retry = quorum.Retry
 
-// Client reaches a group that keeps promises. It may be used from many goroutines.
+// Client calls a group that stores promises. It is safe for concurrent use.
 type Client struct{ *quorum.Client }
 
-// NewClient knows the members by id and client address.
+// NewClient returns a client of the given members, a map from id to client address.
 func NewClient(members map[string]string) *Client { return &Client{quorum.NewClient(members)} }
 
-// Propose puts an entry in the group's log. It follows the leader until the context ends;
-// ErrNoQuorum and ErrUnknown carry when to come back in a *Later.
+// Propose appends an entry to the group's log. It follows the leader until the context ends.
+// ErrNoQuorum and ErrUnknownOutcome come in a *RetryAfterError.
 func (c *Client) Propose(ctx context.Context, e promise.Entry) (promise.Result, error) {
 	var r Reply
 	err := c.askLeader(ctx, func(id string) (*Reply, error) {
@@ -38,9 +38,9 @@
 	return r.Result, err
 }
 
-// ProposeWithRetry proposes until a quorum has the entry, the group refuses it, or the
-// context ends: for entries that do nothing when proposed again (a claim and a resolution of
-// one token, an end, a drain).
+// ProposeWithRetry proposes until a quorum holds the entry, the group refuses it, or the context
+// ends. The entry must be idempotent, as are a claim, a resolution by the same token, an end and a
+// drain.
 func (c *Client) ProposeWithRetry(ctx context.Context, e promise.Entry) (r promise.Result, err error) {
 	err = Retry(ctx, func() error {
 		r, err = c.Propose(ctx, e)
@@ -49,7 +49,7 @@
 	return r, err
 }
 
-// Read is a call's resolution, read through the leader after a barrier.
+// Read returns a call's resolution, read through the leader after a barrier, and whether there is one.
 func (c *Client) Read(ctx context.Context, call string) (promise.Resolution, bool, error) {
 	var r ReadReply
 	err := c.askLeader(ctx, func(id string) (*Reply, error) {
@@ -59,12 +59,12 @@
 	return r.Resolution, r.Found, err
 }
 
-// Join has the leader add a member as a voter; Remove has it take one out.
+// Join makes the leader add a member as a voter.
 func (c *Client) Join(ctx context.Context, id, raft string) error {
 	return c.changeMembership(ctx, "Replica.Join", MemberArgs{ID: id, Raft: raft})
 }
 
-// Remove has the leader take a member out of the group.
+// Remove makes the leader remove a member from the group.
 func (c *Client) Remove(ctx context.Context, id string) error {
 	return c.changeMembership(ctx, "Replica.Remove", MemberArgs{ID: id})
 }
@@ -76,13 +76,13 @@
 	})
 }
 
-// Status is one member's view of the group.
+// Status returns one member's view of the group.
 func (c *Client) Status(ctx context.Context, id string) (StatusReply, error) {
 	var s StatusReply
 	return s, c.Call(ctx, id, "Replica.Status", struct{}{}, &s)
 }
 
-// LeaderStatus is a status read through the leader: what the group holds.
+// LeaderStatus returns the leader's view of the group.
 func (c *Client) LeaderStatus(ctx context.Context) (StatusReply, error) {
 	var s StatusReply
 	err := c.askLeader(ctx, func(id string) (*Reply, error) {
@@ -101,8 +101,8 @@
 	return s, err
 }
 
-// Plan is the plan of zones of whichever member first answers one of an epoch from least on.
-// Any member will do: what it has applied is committed.
+// Plan asks all members and returns the first plan of zones whose epoch is at least minEpoch. Any
+// member can answer, as what it has applied is committed.
 func (c *Client) Plan(ctx context.Context, minEpoch uint64) (r PlanReply, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -112,7 +112,7 @@
 		go func() {
 			var reply PlanReply
 			if c.Call(ctx, id, "Replica.Plan", struct{}{}, &reply) != nil {
-				answers <- PlanReply{} // epoch 0; an answer that comes late may still be read into the other
+				answers <- PlanReply{} // epoch 0; not reply, which a failed call may have changed
 				return
 			}
 			answers <- reply
@@ -123,11 +123,12 @@
 			return r, nil
 		}
 	}
-	return r, &RetryAfterError{Err: ErrNoQuorum, After: quorum.DefaultRetryAfter, Message: fmt.Sprintf("no member has a plan of epoch %d or later", minEpoch)}
+	return r, &RetryAfterError{Err: ErrNoQuorum, After: quorum.DefaultRetryAfter,
+		Message: fmt.Sprintf("no member has a plan of epoch %d or later", minEpoch)}
 }
 
-// LeaderPlan is the plan that the leader has applied, and with it the proof that there is one
-// within reach; epoch 0 for none yet.
+// LeaderPlan returns the plan of zones that the leader has applied, with epoch 0 if there is none
+// yet. Without an error it also shows that the leader can be reached.
 func (c *Client) LeaderPlan(ctx context.Context) (r PlanReply, err error) {
 	s, err := c.LeaderStatus(ctx)
 	if err != nil {
@@ -136,7 +137,8 @@
 	return r, c.Call(ctx, s.ID, "Replica.Plan", struct{}{}, &r)
 }
 
-// askLeader follows the leader (quorum.Client.Each) and words what a member refused.
+// askLeader calls quorum.Client.AskLeader, and turns a refusal into promise.ErrEntry or
+// promise.ErrStale.
 func (c *Client) askLeader(ctx context.Context, ask func(id string) (*Reply, error)) error {
 	return c.AskLeader(ctx, func(id string) (quorum.Answer, error) {
 		r, err := ask(id)
--- a/internal/fleet/replica/client_test.go
+++ b/internal/fleet/replica/client_test.go
@@ -13,12 +13,13 @@
 	"woodrouter/promise"
 )
 
-// scriptedMember is a member whose answers a test gives.
+// scriptedMember is a member that answers as the test's function says.
 type scriptedMember struct{ reply func() Reply }
 
 func (s *scriptedMember) Propose(_ ProposeArgs, r *Reply) error { *r = s.reply(); return nil }
 
-// serveMembers serves scripted members; a nil one takes calls and never answers.
+// serveMembers serves scripted members and returns a client of them. A member whose function is nil
+// accepts connections and never answers.
 func serveMembers(t *testing.T, scripts map[string]func() Reply) *Client {
 	at := map[string]string{}
 	for id, reply := range scripts {
@@ -39,13 +40,15 @@
 
 func always(r Reply) func() Reply { return func() Reply { return r } }
 
+// TestClient checks the error that a proposal gets for each answer of a member, and that every
+// refusal that allows a retry says when.
 func TestClient(t *testing.T) {
 	promised, follower := always(Reply{Outcome: Committed}), always(Reply{Outcome: NotLeader, Leader: "c-2"})
 	lost := always(Reply{Outcome: Unknown, ComeBackMs: 40})
 	cases := []struct {
 		name    string
 		scripts map[string]func() Reply
-		leader  string // whom the client follows at first
+		leader  string // the member that the client asks first
 		want    error
 	}{
 		{"a leader under an id that is not known is found", map[string]func() Reply{"a": follower, "b": follower, "c": promised}, "a", nil},
@@ -65,7 +68,7 @@
 			require.Positive(t, later.After, c.name)
 		}
 	}
-	// An entry that may stand stays unknown, whatever later tries say.
+	// Once an entry may have been committed, its outcome stays unknown, whatever later attempts say.
 	n := 0
 	client := serveMembers(t, map[string]func() Reply{"a": func() Reply {
 		if n++; n == 1 {
--- a/internal/fleet/replica/config_test.go
+++ b/internal/fleet/replica/config_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// TestLoadConfig checks that the error for an unusable file names its field, and that the deploy
+// folder's file is accepted.
 func TestLoadConfig(t *testing.T) {
 	good := "id: n1\nraft: 127.0.0.1:0\nclient: 127.0.0.1:0\ndata: d\n"
 	cases := map[string]string{
--- a/internal/fleet/replica/corrupt_test.go
+++ b/internal/fleet/replica/corrupt_test.go
@@ -17,7 +17,8 @@
 	"woodrouter/promise"
 )
 
-// openMember opens a group of one in a directory, and a client of it.
+// openMember opens the only member of a group in a directory, and a client of it. The function
+// returned closes both.
 func openMember(t *testing.T, dir string) (*Node, *Client, func()) {
 	n, err := Open(Config{ID: "n1", Raft: "127.0.0.1:0", Client: "127.0.0.1:0", Data: dir}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -27,12 +28,13 @@
 	return n, c, func() { c.Close(); ln.Close(); n.Close() }
 }
 
-// bootstrapAlone makes it a group.
+// bootstrapAlone makes the member a group of one.
 func bootstrapAlone(t *testing.T, n *Node) {
 	one := raft.Configuration{Servers: []raft.Server{{ID: "n1", Address: n.Transport.LocalAddr()}}}
 	require.NoError(t, n.Raft.BootstrapCluster(one).Error())
 }
 
+// propose has a resolution of a call committed.
 func propose(t *testing.T, c *Client, call string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -40,8 +42,8 @@
 	require.NoError(t, err)
 }
 
-// TestMalformedInput: what no member or agent would send ends its own connection and nothing else, at
-// the log's address as at the callers'.
+// TestMalformedInput checks that random bytes on a connection affect nothing else, at the raft
+// address and at the client address: the member commits as before.
 func TestMalformedInput(t *testing.T) {
 	n, c, end := openMember(t, t.TempDir())
 	defer end()
@@ -56,7 +58,7 @@
 			for j := range junk {
 				junk[j] = byte(rng.Uint32())
 			}
-			junk[0] = byte(i % 8) // the kinds of message that raft's transport knows, and some that it does not
+			junk[0] = byte(i % 8) // the message types that raft's transport knows, and some that it does not
 			conn.Write(junk)
 			conn.Close()
 		}
@@ -64,8 +66,9 @@
 	propose(t, c, "after")
 }
 
-// TestCorruptData: a member whose log store or snapshots are spoilt does not start; the error
-// names the file or directory, and what is there stays as it was.
+// TestCorruptData checks that a member does not start if its log store or its snapshot is corrupt,
+// that the error names the file or directory, and that nothing there is changed. With the file
+// restored, the member starts and has the promise.
 func TestCorruptData(t *testing.T) {
 	dir := t.TempDir()
 	n, c, end := openMember(t, dir)
@@ -79,19 +82,19 @@
 	for path, names := range map[string]string{snaps[0]: dir, filepath.Join(dir, "raft.db"): "raft.db"} {
 		was, err := os.ReadFile(path)
 		require.NoError(t, err)
-		spoilt := bytes.Clone(was)
-		spoilt[len(spoilt)/2] ^= 0xff
+		corrupt := bytes.Clone(was)
+		corrupt[len(corrupt)/2] ^= 0xff
 		if filepath.Base(path) == "raft.db" {
-			spoilt = []byte("not a bolt file, but long enough to be read as one's header....")
+			corrupt = []byte("not a bolt file, but long enough to be read as one's header....")
 		}
-		require.NoError(t, os.WriteFile(path, spoilt, 0o600))
+		require.NoError(t, os.WriteFile(path, corrupt, 0o600))
 		_, err = Open(Config{ID: "n1", Raft: "127.0.0.1:0", Client: "127.0.0.1:0", Data: dir}, slog.New(slog.DiscardHandler))
 		require.ErrorContains(t, err, names)
 		kept, _ := os.ReadFile(path)
-		require.Equal(t, spoilt, kept, "%s was changed", path)
+		require.Equal(t, corrupt, kept, "%s was changed", path)
 		require.NoError(t, os.WriteFile(path, was, 0o600))
 	}
-	n, _, end = openMember(t, dir) // as it was: the promise is there
+	n, _, end = openMember(t, dir)
 	n.fsm.read(func(s *promise.State) { _, found := s.Resolution("kept"); require.True(t, found) })
 	end()
 }
--- a/internal/fleet/replica/node.go
+++ b/internal/fleet/replica/node.go
@@ -9,19 +9,19 @@
 	"woodrouter/promise"
 )
 
-// Node is one member of a group that keeps promises.
+// Node is one member of a group that stores promises.
 type Node struct {
 	*quorum.Member
 	cfg        Config
 	fsm        *stateMachine
-	retention  time.Duration
+	retention  time.Duration // how long promises are kept
 	log        *slog.Logger
-	stop       chan struct{} // closed when the member ends
-	background sync.WaitGroup
+	stop       chan struct{}  // closed when the member stops
+	background sync.WaitGroup // the goroutines to wait for at the stop
 }
 
-// stateMachine is the state of promises as quorum.Machine. Raft's goroutine applies entries; reads
-// come from the RPC goroutines, hence the lock.
+// stateMachine makes promise.State a quorum.StateMachine. Raft's goroutine applies entries while
+// RPC goroutines read, hence the lock.
 type stateMachine struct {
 	mu    sync.RWMutex
 	state *promise.State
@@ -58,14 +58,15 @@
 	f(m.state)
 }
 
-// Open starts a member from its file's settings. A data directory that can't be read is an
-// error naming the file; nothing in it is changed.
+// Open starts a member. If the data directory can't be read, the error names the file, and nothing
+// in it is changed.
 func Open(cfg Config, log *slog.Logger) (*Node, error) {
-	keep, err := cfg.Timing.retention()
+	retention, err := cfg.Timing.retention()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, retention: keep, log: log, stop: make(chan struct{}), fsm: &stateMachine{state: promise.New(), log: log}}
+	n := &Node{cfg: cfg, retention: retention, log: log, stop: make(chan struct{}),
+		fsm: &stateMachine{state: promise.New(), log: log}}
 	if n.Member, err = quorum.Open(cfg.quorumConfig(), n.fsm, log); err != nil {
 		return nil, err
 	}
@@ -73,8 +74,8 @@
 	return n, nil
 }
 
-// expire has the leader propose, every tenth of the time that promises are kept, that older
-// ones are forgotten. Time stands in the entry alone: each member forgets the same ones.
+// expire has the leader propose, every tenth of the retention time, that older promises be deleted.
+// The time limit is in the entry, so that every member deletes the same ones.
 func (n *Node) expire() {
 	tick := time.NewTicker(n.retention / 10)
 	defer tick.Stop()
@@ -89,22 +90,22 @@
 			e := promise.Entry{Op: promise.OpExpire, BeforeUs: now.Add(-n.retention).UnixMicro()}
 			r, a, err := n.Propose(promise.Encode(e))
 			if a.Outcome != quorum.Committed {
-				n.log.Warn("old promises not forgotten yet", "error", a.Error)
+				n.log.Warn("expired promises not deleted yet", "error", a.Error)
 			} else if err == nil && r.(promise.Result).Forgotten > 0 {
-				n.log.Debug("old promises forgotten", "count", r.(promise.Result).Forgotten)
+				n.log.Debug("expired promises deleted", "count", r.(promise.Result).Forgotten)
 			}
 		}
 	}
 }
 
-// Plan is the plan of zones that this member has applied, and its epoch.
+// Plan returns the plan of zones that this member has applied, and its epoch.
 func (n *Node) Plan() (epoch uint64, plan []byte) {
 	n.fsm.read(func(s *promise.State) { epoch, plan = s.Plan() })
 	return epoch, plan
 }
 
-// Close ends the member's part in the group without leaving it. A leader hands its lead over
-// first, so that a planned restart costs no election's time.
+// Close stops the member, which stays in the group's configuration. A leader first transfers its
+// leadership, so that a planned restart does not cost the group an election timeout.
 func (n *Node) Close() error {
 	close(n.stop)
 	err := n.Member.Close()
--- a/internal/fleet/replica/service.go
+++ b/internal/fleet/replica/service.go
@@ -11,32 +11,32 @@
 	"woodrouter/promise"
 )
 
-// Outcomes of a proposal, as a member answers them.
+// The outcomes of a proposal, as a member answers them.
 const (
-	Committed = quorum.Committed // a quorum holds it; Result says what stands
-	NotLeader = quorum.NotLeader // not taken; Leader names whom to ask
-	NoQuorum  = quorum.NoQuorum  // not taken: no leader is known; come back after ComeBackMs
-	Unknown   = quorum.Unknown   // taken, but leadership was lost before a quorum was seen: it may stand
-	Refused   = quorum.Refused   // the entry can't be applied (promise.ErrEntry), on every member alike
+	Committed = quorum.Committed // a quorum holds the entry; Reply.Result is what applying it gave
+	NotLeader = quorum.NotLeader // not accepted; Reply.Leader is the leader's id
+	NoQuorum  = quorum.NoQuorum  // not accepted, as no leader is known; retry after Reply.ComeBackMs
+	Unknown   = quorum.Unknown   // accepted, but leadership was lost before the commit: it may yet be committed
+	Refused   = quorum.Refused   // the entry can't be applied (promise.ErrEntry)
 	Stale     = "stale"          // a claim by a ring older than the group's fence (promise.ErrStale)
 )
 
 // ProposeArgs is an entry for the log.
 type ProposeArgs struct{ Entry promise.Entry }
 
-// Reply is what a member answers a proposal or a read with.
+// Reply is a member's answer to a proposal, a read or a membership change.
 type Reply struct {
 	Outcome    string
 	Result     promise.Result
-	Leader     string // the leader's id where known
-	ComeBackMs int64  // with NoQuorum and Unknown: when asking again may help
+	Leader     string // the leader's id, if known
+	ComeBackMs int64  // with NoQuorum and Unknown: ms after which a retry may succeed
 	Error      string
 }
 
-// ReadArgs asks for a call's resolution, read after all that was promised before the read.
+// ReadArgs asks for the resolution of the call with this id.
 type ReadArgs struct{ Call string }
 
-// ReadReply is a linearizable read: Found and Resolution as the state had them.
+// ReadReply is the answer to a linearizable read.
 type ReadReply struct {
 	Reply
 	Found      bool
@@ -52,16 +52,16 @@
 	Applied           uint64
 	Calls, Claims     int
 	Fence             uint64
-	Epoch             uint64 // of the plan of zones in force; 0: none
-	Drained           []string
+	Epoch             uint64            // of the plan of zones in force; 0: none
+	Drained           []string          // the subjects of the drain orders in force
 	Versions          map[string]string // by kind: plan, settings, routes
-	Members           []string          // id=address, in the configuration's order
+	Members           []string          // id=address, in the order of raft's configuration
 }
 
 // Service is a member's net/rpc service, named "Replica".
 type Service struct{ node *Node }
 
-// Propose puts an entry in the log and answers once a quorum has it.
+// Propose appends an entry to the log and answers once a quorum holds it.
 func (s *Service) Propose(args ProposeArgs, reply *Reply) error {
 	r, a, err := s.node.Propose(promise.Encode(args.Entry))
 	*reply = replyFor(a)
@@ -76,13 +76,13 @@
 	return nil
 }
 
-// replyFor is an answer as it goes over the wire.
+// replyFor returns an answer as it goes over the wire.
 func replyFor(a quorum.Answer) Reply {
 	return Reply{Outcome: a.Outcome, Leader: a.Leader, ComeBackMs: a.ComeBackMs, Error: a.Error}
 }
 
-// Read answers a call's resolution after a barrier: every entry promised before the read
-// was applied here, and this member was still leader when the barrier committed.
+// Read answers with a call's resolution after a barrier: every entry committed before the read is
+// applied here, and this member was still the leader when the barrier was committed.
 func (s *Service) Read(args ReadArgs, reply *ReadReply) error {
 	if reply.Reply = replyFor(s.node.Barrier()); reply.Outcome == Committed {
 		s.node.fsm.read(func(st *promise.State) { reply.Resolution, reply.Found = st.Resolution(args.Call) })
@@ -90,18 +90,19 @@
 	return nil
 }
 
-// Join adds a voter through raft's membership change; Remove takes one out.
+// Join adds a voter to the group.
 func (s *Service) Join(args MemberArgs, reply *Reply) error {
 	*reply = replyFor(s.node.Join(args.ID, args.Raft, true))
 	return nil
 }
 
+// Remove removes a member from the group.
 func (s *Service) Remove(args MemberArgs, reply *Reply) error {
 	*reply = replyFor(s.node.Remove(args.ID))
 	return nil
 }
 
-// Status tells this member's view, without asking the others.
+// Status answers with this member's view, without asking the others.
 func (s *Service) Status(_ struct{}, reply *StatusReply) error {
 	reply.ID, reply.State, reply.Leader = s.node.cfg.ID, s.node.Raft.State().String(), s.node.Leader()
 	s.node.fsm.read(func(st *promise.State) {
@@ -121,14 +122,14 @@
 	Plan  []byte
 }
 
-// Plan tells the plan that this member has applied. What it tells is committed; a newer one
-// may be, too, which the asker knows by its epoch.
+// Plan answers with the plan that this member has applied. It is committed, but may not be the
+// newest: the caller can tell by the epoch.
 func (s *Service) Plan(_ struct{}, reply *PlanReply) error {
 	reply.Epoch, reply.Plan = s.node.Plan()
 	return nil
 }
 
-// Serve takes the member's callers on its client address until the listener closes.
+// Serve serves net/rpc clients on the member's client address until the returned listener is closed.
 func (n *Node) Serve() (net.Listener, error) {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName("Replica", &Service{n}); err != nil {
@@ -138,13 +139,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("field client: %w", err)
 	}
-	go func() { // not srv.Accept, which has the listener's end in the standard log
+	go func() { // not srv.Accept, which writes the close of the listener to the standard logger
 		for {
 			conn, err := ln.Accept()
 			switch {
 			case errors.Is(err, net.ErrClosed):
 				return
-			case err != nil: // out of descriptors, mostly
+			case err != nil: // most often out of file descriptors
 				n.log.Warn("accept failed", "error", err)
 				time.Sleep(10 * time.Millisecond)
 			default:
