--- a/internal/fleet/promisestore/config.go
+++ b/internal/fleet/promisestore/config.go
@@ -9,23 +9,23 @@
 	"woodrouter/shard"
 )
 
-// Config is an operators' file of promises, as deploy/promises.yaml.
+// Config is the configuration file of promises; deploy/promises.yaml is an example.
 type Config struct {
-	// Name is the agent's in claims and drain orders; "": the configuration's.
+	// Name is the agent's name in claims and drain orders; if empty, the one in its settings.
 	Name string `yaml:"name"`
-	// Member is the part this agent takes in a group; left out, it only calls the groups.
+	// Member configures this agent as a member of a group; nil: it is a client of the groups only.
 	Member *replica.Config `yaml:"member"`
-	// Calls tells whether calls are claimed and their answers kept, at two commits a call; not
-	// given: they are. Without it the groups keep orders, versions and the plan of zones alone,
-	// and an agent cut off from them serves callers on.
+	// Calls sets whether calls are claimed and their answers stored, at two commits per call; nil
+	// means true. If false, the groups store only orders, versions and the plan of zones, and an
+	// agent that can't reach them continues to serve callers.
 	Calls *bool `yaml:"calls"`
-	// Ring is the groups that share the calls; Previous is the ring it replaces, until all
-	// agents follow the new one and the longest deadline has passed.
+	// Ring is the groups among which the calls are divided. Previous is the ring that it replaces;
+	// it stays in the file until all agents follow the new ring and the longest deadline has passed.
 	Ring     shard.Ring  `yaml:"ring"`
 	Previous *shard.Ring `yaml:"previous"`
 }
 
-// LoadConfig reads and proves a file of promises. An error names the file and each field.
+// LoadConfig reads and checks a file of promises. An error names the file and every unusable field.
 func LoadConfig(path string) (Config, error) {
 	c, err := yamlfile.Load[Config](path)
 	if err != nil {
@@ -34,27 +34,28 @@
 	return c, nil
 }
 
-// StoresCalls tells whether calls are claimed and kept.
+// StoresCalls reports whether calls are claimed and their answers stored.
 func (c Config) StoresCalls() bool { return c.Calls == nil || *c.Calls }
 
-// Valid names every field that can't be used.
+// Valid returns an error that names every unusable field.
 func (c Config) Valid() error {
-	var refused []error
+	var errs []error
 	for _, err := range c.Ring.Check() {
-		refused = append(refused, fmt.Errorf("ring: %w", err))
+		errs = append(errs, fmt.Errorf("ring: %w", err))
 	}
 	if c.Previous != nil {
 		for _, err := range c.Previous.Check() {
-			refused = append(refused, fmt.Errorf("previous: %w", err))
+			errs = append(errs, fmt.Errorf("previous: %w", err))
 		}
 		if c.Previous.Version >= c.Ring.Version {
-			refused = append(refused, fmt.Errorf("field previous.version: %d is not before ring.version %d", c.Previous.Version, c.Ring.Version))
+			errs = append(errs, fmt.Errorf("field previous.version: %d is not before ring.version %d",
+				c.Previous.Version, c.Ring.Version))
 		}
 	}
 	if c.Member != nil {
 		if err := c.Member.Valid(); err != nil {
-			refused = append(refused, fmt.Errorf("member: %w", err))
+			errs = append(errs, fmt.Errorf("member: %w", err))
 		}
 	}
-	return errors.Join(refused...)
+	return errors.Join(errs...)
 }
--- a/internal/fleet/promisestore/orders.go
+++ b/internal/fleet/promisestore/orders.go
@@ -14,55 +14,54 @@
 	"woodrouter/promise"
 )
 
-// An operator's orders and the versions in force are kept by every group: they are few, and
-// whichever group an agent can still reach then knows them.
+// Every group stores all operators' orders and the versions in force. There are few of them, and any
+// group that an agent can still reach then knows them.
 
-// orderTimeout bounds an operator's order: the console's answer comes within it.
+// orderTimeout limits an operator's order, and so the wait for the console's answer.
 const orderTimeout = 2 * time.Second
 
-// drainSubject is an agent under a drain order, as package promise names it.
+// drainSubject is the name of an agent in drain orders (promise.Entry.Server).
 func drainSubject(agent string) string { return "agent/" + agent }
 
-// Drain has every group keep that this agent is drained, or is not any more. It returns once
-// each has it; an error names the group that has not, and the order may then hold in part:
-// given again it does no harm.
-func (k *Store) Drain(on bool) error {
+// Drain stores in every group that this agent is drained, or no longer is. It returns once each group
+// has stored it. An error names the groups that have not; others may have, and the order may be
+// repeated.
+func (s *Store) Drain(on bool) error {
 	op := promise.OpUndrain
 	if on {
 		op = promise.OpDrain
 	}
-	return k.proposeToAll(promise.Entry{Op: op, Server: drainSubject(k.name), AtUs: time.Now().UnixMicro()})
+	return s.proposeToAll(promise.Entry{Op: op, Server: drainSubject(s.name), AtUs: time.Now().UnixMicro()})
 }
 
-// Drained tells whether a group that can be reached keeps this agent drained. With no group
-// within reach it is an error: whether the agent may take calls is not known, and nothing
-// could be promised to any.
-func (k *Store) Drained() (bool, error) {
-	ctx, cancel := context.WithTimeout(k.ctx, orderTimeout)
+// Drained reports whether any group that can be reached has this agent drained. If none can be reached
+// it returns an error: the agent can't know whether it may take calls, and could promise none an answer.
+func (s *Store) Drained() (bool, error) {
+	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
 	var errs []error
-	views := k.Overview(ctx)
-	for id, v := range views {
-		if v.Err != nil {
-			errs = append(errs, fmt.Errorf("group %s: %w", id, v.Err))
-		} else if slices.Contains(v.Drained, drainSubject(k.name)) {
+	groups := s.Overview(ctx)
+	for id, status := range groups {
+		if status.Err != nil {
+			errs = append(errs, fmt.Errorf("group %s: %w", id, status.Err))
+		} else if slices.Contains(status.Drained, drainSubject(s.name)) {
 			return true, nil
 		}
 	}
-	if len(errs) > 0 && len(errs) == len(views) {
+	if len(errs) > 0 && len(errs) == len(groups) {
 		return false, errors.Join(errs...)
 	}
 	return false, nil
 }
 
-// proposeToAll proposes an entry to every group, together.
-func (k *Store) proposeToAll(e promise.Entry) error {
-	ctx, cancel := context.WithTimeout(k.ctx, orderTimeout)
+// proposeToAll proposes an entry to all groups at the same time, and waits for them.
+func (s *Store) proposeToAll(e promise.Entry) error {
+	ctx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 	defer cancel()
-	groups := k.rings.Load().groups
+	groups := s.rings.Load().groups
 	errs := make(chan error, len(groups))
 	for id, g := range groups {
-		k.background.Go(func() {
+		s.background.Go(func() {
 			_, err := g.ProposeWithRetry(ctx, e)
 			if err != nil {
 				err = fmt.Errorf("group %s: %w", id, err)
@@ -77,62 +76,64 @@
 	return errors.Join(all...)
 }
 
-// RecordVersion has every group keep the digest of a file that took effect, and warns where the
-// groups held another: agents at work by different files is what an operator wants to know
-// during a roll-out. Nobody waits for it.
-func (k *Store) RecordVersion(kind, path string) {
+// RecordVersion stores in every group the digest of a file that took effect, and logs a warning if a
+// group had another digest: operators need to know of agents that run with different files during a
+// roll-out. It works in the background.
+func (s *Store) RecordVersion(kind, path string) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		k.log.Warn("version not kept", "kind", kind, "error", err)
+		s.log.Warn("version not stored", "kind", kind, "error", err)
 		return
 	}
-	k.RecordDigest(kind, text)
+	s.RecordDigest(kind, text)
 }
 
-// RecordDigest is Version of a text at hand.
-func (k *Store) RecordDigest(kind string, text []byte) {
+// RecordDigest is RecordVersion for a text in memory.
+func (s *Store) RecordDigest(kind string, text []byte) {
 	sum := sha256.Sum256(text)
 	version := hex.EncodeToString(sum[:8])
-	if !k.startProposal(func() {
-		ctx, cancel := context.WithTimeout(k.ctx, endTimeout)
+	if !s.startProposal(func() {
+		ctx, cancel := context.WithTimeout(s.ctx, endTimeout)
 		defer cancel()
-		for id, g := range k.rings.Load().groups {
-			if s, err := g.LeaderStatus(ctx); err == nil && s.Versions[kind] != "" && s.Versions[kind] != version {
-				k.log.Warn("version differs from what the group held", "kind", kind, "group", id, "held", s.Versions[kind], "now", version)
+		for id, g := range s.rings.Load().groups {
+			status, err := g.LeaderStatus(ctx)
+			if err == nil && status.Versions[kind] != "" && status.Versions[kind] != version {
+				s.log.Warn("version differs from what the group held", "kind", kind, "group", id,
+					"held", status.Versions[kind], "now", version)
 			}
 		}
-		if err := k.proposeToAll(promise.Entry{Op: promise.OpVersion, Kind: kind, Version: version}); err != nil {
-			k.log.Warn("version not kept", "kind", kind, "error", err)
+		if err := s.proposeToAll(promise.Entry{Op: promise.OpVersion, Kind: kind, Version: version}); err != nil {
+			s.log.Warn("version not stored", "kind", kind, "error", err)
 		}
 	}) {
-		k.log.Warn("version not kept", "kind", kind, "error", "too many proposals under way")
+		s.log.Warn("version not stored", "kind", kind, "error", "too many proposals under way")
 	}
 }
 
-// GroupStatus is what a group's leader tells of it, or why none does.
+// GroupStatus is the status that a group's leader reports, or the error if none answered.
 type GroupStatus struct {
 	replica.StatusReply
 	Err error
 }
 
-// Overview asks every group's leader, together.
-func (k *Store) Overview(ctx context.Context) map[string]GroupStatus {
-	groups := k.rings.Load().groups
+// Overview asks the leaders of all groups at the same time, and returns their answers by group.
+func (s *Store) Overview(ctx context.Context) map[string]GroupStatus {
+	groups := s.rings.Load().groups
 	type answer struct {
-		id string
-		v  GroupStatus
+		id     string
+		status GroupStatus
 	}
 	answers := make(chan answer, len(groups))
 	for id, g := range groups {
 		go func() {
-			s, err := g.LeaderStatus(ctx)
-			answers <- answer{id, GroupStatus{s, err}}
+			status, err := g.LeaderStatus(ctx)
+			answers <- answer{id, GroupStatus{status, err}}
 		}()
 	}
 	out := map[string]GroupStatus{}
 	for range groups {
 		a := <-answers
-		out[a.id] = a.v
+		out[a.id] = a.status
 	}
 	return out
 }
