--- a/internal/fleet/control/client.go
+++ b/internal/fleet/control/client.go
@@ -9,16 +9,17 @@
 	"woodrouter/rollout"
 )
 
-// Client reaches the control machines at their client addresses, following the leader.
+// Client calls the control machines at their client addresses and follows the leader.
 type Client struct{ *quorum.Client }
 
-// NewClient knows the machines by id and client address.
+// NewClient returns a client of the given machines, a map from id to client address.
 func NewClient(machines map[string]string) *Client { return &Client{quorum.NewClient(machines)} }
 
-// Put has a change taken, and returns the number it has. An error wraps rollout.ErrConflict
-// (somebody else changed the document), rollout.ErrEntry (it can't be taken), quorum.ErrNoQuorum
-// (it was not taken) or quorum.ErrUnknown: a machine may have taken it without answering. Such
-// a put is not made again here, as a second one would be told of a conflict with the first.
+// Put changes a document and returns the number of the new revision. An error wraps
+// rollout.ErrConflict (somebody else changed the document), rollout.ErrEntry (the change is invalid),
+// quorum.ErrNoQuorum (it was not accepted) or quorum.ErrUnknownOutcome (a machine may have accepted it
+// without answering). Put does not retry after an unknown outcome: a second attempt would fail with
+// a conflict if the first was committed.
 func (c *Client) Put(ctx context.Context, e rollout.Entry) (uint64, error) {
 	var r PutReply
 	err := c.AskLeader(ctx, func(id string) (quorum.Answer, error) {
@@ -41,7 +42,7 @@
 	return r.Revision, err
 }
 
-// ChangeMember has the leader take a machine out of the group or (args.Raft) into it.
+// ChangeMember makes the leader add a machine to the group or, if args.Raft is empty, remove it.
 func (c *Client) ChangeMember(ctx context.Context, args MemberArgs) error {
 	return c.AskLeader(ctx, func(id string) (a quorum.Answer, err error) {
 		err = c.Call(ctx, id, "Rollout.Member", args, &a)
@@ -49,16 +50,16 @@
 	}, nil)
 }
 
-// refusalError is a machine's refusal in its own words, which begin with those of err.
+// refusalError is a refusal with the text that the machine sent, which begins with that of err.
 type refusalError struct {
-	err  error
+	err  error // for errors.Is
 	text string
 }
 
 func (r refusalError) Error() string { return r.text }
 func (r refusalError) Unwrap() error { return r.err }
 
-// Overview is what one machine knows of a document, or ("") of all.
+// Overview returns what one machine knows of a document, or of all documents if name is empty.
 func (c *Client) Overview(ctx context.Context, id, name string) (r OverviewReply, err error) {
 	err = c.Call(ctx, id, "Rollout.Overview", OverviewArgs{name}, &r)
 	return r, err
--- a/internal/fleet/control/config.go
+++ b/internal/fleet/control/config.go
@@ -1,8 +1,8 @@
-// Package control is a control machine's part in the distribution of configuration: a member
-// of the group whose log holds the documents (package rollout, on package quorum), which
-// answers agents' watches from what it has applied, hears what they say of themselves, and has
-// operators' orders. Only the leader decides stages. An agent needs no machine to serve its
-// callers; docs/rollout.md weighs the ways.
+// Package control implements the control machines, which distribute configuration. They are the
+// members of a group whose log holds the documents (package rollout, on package quorum). Each
+// answers agents' watches from the state it has applied, collects agents' reports, and serves an
+// operators' console. Only the leader decides the stages of a rollout. Agents serve their callers
+// without any control machine as well; docs/rollout.md compares the alternatives.
 package control
 
 import (
@@ -18,31 +18,31 @@
 	"woodrouter/rollout"
 )
 
-// Config is a control machine's file, as deploy/control.yaml.
+// Config is a control machine's configuration file; deploy/control.yaml is an example.
 type Config struct {
 	quorum.Config `yaml:",inline"`
 	Rollout       RolloutConfig `yaml:"rollout"`
 }
 
-// RolloutConfig is the section that makes a member's file a control machine's. What it leaves
-// out is as rollout.Defaults.
+// RolloutConfig is the section that only control machines' files have. Times are Go durations; empty
+// fields have the values of rollout.Defaults.
 type RolloutConfig struct {
-	Console string            `yaml:"console,omitempty"` // host:port of the operators; "": no console
+	Console string            `yaml:"console,omitempty"` // host:port of the operators' console; "": no console
 	Peers   map[string]string `yaml:"peers"`             // the client addresses of all control machines, by id
 
-	PerService int     `yaml:"per_service,omitempty"` // agents of each service at a first stage
-	Dwell      string  `yaml:"dwell,omitempty"`       // how long a first stage lasts at least
-	Patience   string  `yaml:"patience,omitempty"`    // how long it waits for its agents' words
-	Fresh      string  `yaml:"fresh,omitempty"`       // an agent not heard for this long is out of reach
-	Worse      float64 `yaml:"worse,omitempty"`       // how much larger the share of failed calls may be
-	LeastCalls uint64  `yaml:"least_calls,omitempty"` // calls below which no share is compared
+	PerService int     `yaml:"per_service,omitempty"` // agents of each service in the first stage
+	Dwell      string  `yaml:"dwell,omitempty"`       // the minimum length of the first stage
+	Patience   string  `yaml:"patience,omitempty"`    // how long the first stage waits for reports
+	Fresh      string  `yaml:"fresh,omitempty"`       // an agent silent for this long is out of reach
+	Worse      float64 `yaml:"worse,omitempty"`       // by how much the share of failed calls may rise
+	LeastCalls uint64  `yaml:"least_calls,omitempty"` // fewer calls than this are not compared
 }
 
-// LoadConfig reads and proves a control machine's file. An error names the file and the field.
+// LoadConfig reads and checks a control machine's file. An error names the file and the field.
 func LoadConfig(path string) (Config, error) { return yamlfile.Load[Config](path) }
 
-// IsConfigFile tells whether a file has a section of rollout: whether it is a control machine's. A file
-// that can't be read is not; whoever loads it finds out why.
+// IsConfigFile reports whether a file is a control machine's, that is, has a rollout section. It returns
+// false for a file that can't be read; loading the file gives the reason.
 func IsConfigFile(path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) > yamlfile.MaxSize {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// Valid names the fields that can't be used.
+// Valid returns an error that names the first unusable field.
 func (c Config) Valid() error {
 	if err := c.Config.Valid(); err != nil {
 		return err
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// settings are the steward's.
+// settings returns the settings of the stage controller.
 func (r RolloutConfig) settings() (rollout.Settings, error) {
 	s := rollout.Defaults
 	for _, f := range []struct {
--- a/internal/fleet/control/conn.go
+++ b/internal/fleet/control/conn.go
@@ -17,27 +17,27 @@
 	"woodrouter/internal/gobframe"
 )
 
-// Bounds of what callers may take. A watch is a request that waits, so that a connection's
-// bounds hold for watchers as for junk.
+// Limits on what clients may use. A watch is an ordinary request that is answered late, so the limits
+// of a connection hold for watchers as they do for clients that send garbage.
 const (
-	maxMessageBytes    = 512 << 10 // bytes of one gob message: a document with room, or a report's refusals
-	maxTypeDefinitions = 64        // definitions of types on a connection; a caller of one service has about 15
-	maxPendingRequests = 8         // unanswered requests on a connection; more wait unread
-	maxConnections     = 4200      // connections, two of each of 1,460 agents and room; further ones are ended
-	requestTimeout     = 5 * time.Second
-	answerTimeout      = 5 * time.Second  // to take an answer
-	idleTimeout        = 30 * time.Second // between requests
+	maxMessageBytes    = 512 << 10        // of one gob message; fits the largest document or report
+	maxTypeDefinitions = 64               // gob type definitions per connection; one service needs about 15
+	maxPendingRequests = 8                // unanswered requests per connection; further ones are not read yet
+	maxConnections     = 4200             // two for each of 1,460 agents, and a reserve; further ones are closed
+	requestTimeout     = 5 * time.Second  // from a request's first byte to its last
+	answerTimeout      = 5 * time.Second  // for the client to read an answer
+	idleTimeout        = 30 * time.Second // between two requests
 )
 
-// errBadRequest is a request that no caller of this service would send.
+// errBadRequest is for requests that no client of this service would send.
 var errBadRequest = errors.New("control: no request")
 
-// server takes callers' connections.
+// server accepts and serves the connections of net/rpc clients.
 type server struct {
 	rpc        *rpc.Server
 	ln         net.Listener
 	log        *slog.Logger
-	background sync.WaitGroup
+	background sync.WaitGroup // the accept loop and the connections
 
 	mu          sync.Mutex
 	conns       map[net.Conn]bool
@@ -45,11 +45,10 @@
 	lastWarning time.Time
 }
 
-// closeGrace is how long answers to waiting callers may still take as the machine ends.
+// closeGrace is how long answers to waiting clients may still take when the machine stops.
 const closeGrace = 200 * time.Millisecond
 
-// Serve takes callers on the machine's client address, and operators at its console, until
-// Close.
+// Serve serves clients on the machine's client address, and operators at its console, until Close.
 func (n *Node) Serve() (err error) {
 	if n.closeConsole, err = n.openConsole(); err != nil {
 		return err
@@ -73,7 +72,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // out of descriptors, mostly
+		case err != nil: // most often out of file descriptors
 			s.log.Warn("accept failed", "error", err)
 			time.Sleep(10 * time.Millisecond)
 		case !s.addConn(conn):
@@ -82,6 +81,7 @@
 	}
 }
 
+// addConn starts serving a connection. It returns false if the server is closed or has too many.
 func (s *server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,8 @@
 	return true
 }
 
-// warnLimited logs once a second at most: whoever floods us is not to fill the log. The lock is held.
+// warnLimited logs at most one warning a second, so that a flood of bad connections does not fill the
+// log. The caller holds the lock.
 func (s *server) warnLimited(msg string, err error, args ...any) {
 	if time.Since(s.lastWarning) < time.Second {
 		return
@@ -114,21 +115,22 @@
 	s.log.Warn(msg, args...)
 }
 
-// close ends all connections, after a grace in which the waiting hear that the machine stops.
+// close closes all connections, after a grace period in which waiting clients are answered that the
+// machine stops.
 func (s *server) close() {
 	s.ln.Close()
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	cut := time.AfterFunc(closeGrace, s.closeConns)
+	timer := time.AfterFunc(closeGrace, s.closeConns)
 	now := time.Now()
 	s.mu.Lock()
 	for conn := range s.conns {
-		conn.SetReadDeadline(now) // nothing more is read; what waits is answered
+		conn.SetReadDeadline(now) // no further requests are read; those pending are answered
 	}
 	s.mu.Unlock()
 	s.background.Wait()
-	cut.Stop()
+	timer.Stop()
 }
 
 func (s *server) closeConns() {
@@ -139,7 +141,8 @@
 	}
 }
 
-// codec is one connection, in net/rpc's gob form, within the bounds above.
+// codec is an rpc.ServerCodec for one connection. It reads and writes net/rpc's gob encoding within the
+// limits above.
 type codec struct {
 	conn            net.Conn
 	server          *server
@@ -147,13 +150,13 @@
 	dec             *gob.Decoder
 	out             *bufio.Writer
 	enc             *gob.Encoder
-	slots           chan struct{} // a place for each unanswered request
+	slots           chan struct{} // limits the unanswered requests
 	readEnded       chan struct{} // closed when nothing more can be read
 	endOnce         sync.Once
-	hadRequest      bool          // a whole request has come
-	sender          summarySender // whose summaries of load come here
-	reportedBehind  atomic.Bool   // it was told in short that this machine knows less than it does
-	reportedLagging atomic.Bool   // the last watch answered here heard that this machine lags
+	hadRequest      bool          // the last request was read whole
+	sender          summarySender // the agent whose load summaries come on this connection
+	reportedBehind  atomic.Bool   // a watch was answered early, as the watcher knew more than this machine
+	reportedLagging atomic.Bool   // the last answer to a watch said that this machine lags
 }
 
 func newCodec(conn net.Conn, s *server) *codec {
@@ -164,7 +167,7 @@
 }
 
 func (c *codec) ReadRequestHeader(r *rpc.Request) error {
-	c.slots <- struct{}{} // WriteResponse gives it back
+	c.slots <- struct{}{} // released by WriteResponse
 	err := c.awaitRequest()
 	if err == nil {
 		err = c.decode(r)
@@ -175,12 +178,12 @@
 	return err
 }
 
-// awaitRequest waits for a request's first byte; the rest is to come within requestTime.
+// awaitRequest waits for a request's first byte; the rest must come within requestTimeout.
 func (c *codec) awaitRequest() error {
 	if c.in.err != nil {
 		return c.in.err
 	}
-	idle := requestTimeout // whoever never asks is not to keep a place
+	idle := requestTimeout // a client that has sent no request yet gets less time
 	if c.hadRequest {
 		idle = idleTimeout
 	}
@@ -193,7 +196,7 @@
 	return c.setReadTimeout(requestTimeout)
 }
 
-// setReadTimeout sets the time to read, unless the machine stops: that has set it to none.
+// setReadTimeout sets the read deadline, except when the machine stops: close has set it to the past.
 func (c *codec) setReadTimeout(d time.Duration) error {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -206,40 +209,41 @@
 func (c *codec) ReadRequestBody(body any) error {
 	if w, ok := body.(*WatchCall); ok {
 		w.from = c
-		// gob makes a map that is nil as large as the message says it is; one that is there
-		// only takes what has come.
+		// gob allocates a nil map at the size that the message claims; an existing map only grows with
+		// the entries that arrive.
 		w.Have, w.Report.Seen, w.Report.InForce = map[string]uint64{}, map[string]uint64{}, map[string]uint64{}
 		body = &w.WatchArgs
 	}
 	err := c.decode(body)
-	if tell, ok := body.(*stewards.TellArgs); ok && err == nil {
-		err = c.bindSender(tell)
+	if args, ok := body.(*stewards.TellArgs); ok && err == nil {
+		err = c.bindSender(args)
 	}
 	c.hadRequest = err == nil
 	if err != nil && c.in.err == nil {
-		c.in.err = fmt.Errorf("%w: %w", errBadRequest, err) // answered, and nothing after it is read
+		c.in.err = fmt.Errorf("%w: %w", errBadRequest, err) // net/rpc answers it; nothing more is read
 	}
 	return err
 }
 
-// decode reads one value. A fault that junk finds in the decoder is an error of that junk.
+// decode reads one value. If malformed input makes the decoder panic, that is an error of this input.
 func (c *codec) decode(v any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%w: %v", errBadRequest, r)
-			c.in.err = err // in the middle of a message: nothing after it can be read
+			c.in.err = err // the decoder stopped inside a message, so nothing after it can be read
 		}
 	}()
 	return c.dec.Decode(v)
 }
 
-// endReading is told once that nothing more can be read, and why.
+// endReading marks that nothing more can be read, and logs the reason if it is a fault. Only the first
+// call has an effect.
 func (c *codec) endReading(err error) {
 	c.endOnce.Do(func() {
 		close(c.readEnded)
 		var timeout net.Error
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) {
-			return // the caller is gone, was idle, or the machine stops
+			return // the client left or was idle, or the machine stops
 		}
 		c.server.mu.Lock()
 		defer c.server.mu.Unlock()
@@ -258,7 +262,7 @@
 		err = c.out.Flush()
 	}
 	if err != nil {
-		c.conn.Close() // the caller can't tell answers apart any more
+		c.conn.Close() // after half an answer the client can't decode the next
 	}
 	return err
 }
@@ -268,12 +272,12 @@
 	return c.conn.Close()
 }
 
-// messageReader reads gob messages, each within the bounds: gob itself takes messages of up to 1 GiB,
-// and definitions of types without end.
+// messageReader reads gob messages within the limits above: gob itself accepts messages of up to 1 GiB
+// and any number of type definitions.
 type messageReader struct {
 	gobframe.Reader
-	typeDefinitions int   // definitions so far
-	err             error // ends it
+	typeDefinitions int   // read so far
+	err             error // the first error, after which nothing is read
 }
 
 func newMessageReader(r *bufio.Reader) *messageReader {
@@ -287,8 +291,8 @@
 	return f
 }
 
-// checkHead looks at a message's head: its length, and whether it is a definition of a type (whose
-// id is negative, which gob writes as an odd number).
+// checkHead peeks at a message's head and returns the length of the whole message. It counts type
+// definitions, which are the messages with a negative type id; gob writes those as odd numbers.
 func (f *messageReader) checkHead() (int, error) {
 	size, width, err := f.peekNumber(0)
 	if err != nil {
@@ -312,7 +316,7 @@
 	return width + int(size), nil
 }
 
-// peekNumber peeks at an unsigned number of gob's at an offset, and tells its width.
+// peekNumber peeks at a gob unsigned integer at an offset and returns its value and its width in bytes.
 func (f *messageReader) peekNumber(at int) (n uint64, width int, err error) {
 	n, width, err = gobframe.PeekUint(f.Source, at)
 	if errors.Is(err, gobframe.ErrInvalidUint) {
--- a/internal/fleet/control/node.go
+++ b/internal/fleet/control/node.go
@@ -26,28 +26,29 @@
 		sync.Mutex
 		*rollout.ReportTable
 	}
-	watchers     atomic.Int64
+	watchers     atomic.Int64 // watches being served
 	stewards     *stewards.Stewards
-	lookSlots    chan struct{}   // a place for each look at the state for a watcher
-	ctx          context.Context // done when the machine ends
+	lookSlots    chan struct{}   // limits the watches that read the state at the same time
+	ctx          context.Context // done when the machine stops
 	cancel       context.CancelFunc
-	background   sync.WaitGroup
+	background   sync.WaitGroup // the goroutines to wait for at the stop
 	server       *server
-	closeConsole func() // ends the operators' console
+	closeConsole func()
 }
 
-// stateMachine is the documents as quorum.Machine, and the one place where watchers are woken.
+// stateMachine makes rollout.State a quorum.StateMachine, and wakes the watchers when it changes.
 type stateMachine struct {
 	mu        sync.RWMutex
 	state     *rollout.State
-	lagging   bool
-	changed   chan struct{} // closed, and replaced, when the state or lagging has changed
-	stageWork chan struct{} // holds a word for the steward when a revision may be open
+	lagging   bool          // this machine may not know all that is committed
+	changed   chan struct{} // closed, and replaced, when state or lagging changes
+	stageWork chan struct{} // wakes controlStages when a revision may be open
 	log       *slog.Logger
 }
 
 func newStateMachine(log *slog.Logger) *stateMachine {
-	return &stateMachine{state: rollout.New(), lagging: true, changed: make(chan struct{}), stageWork: make(chan struct{}, 1), log: log}
+	return &stateMachine{state: rollout.New(), lagging: true, changed: make(chan struct{}),
+		stageWork: make(chan struct{}, 1), log: log}
 }
 
 func (m *stateMachine) Apply(index uint64, data []byte) (any, error) {
@@ -60,7 +61,7 @@
 	return r, err
 }
 
-// wakeWatchers ends the wait of all watchers there are, and of the steward. The lock is held.
+// wakeWatchers wakes all waiting watches, and controlStages. The caller holds the lock.
 func (m *stateMachine) wakeWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
@@ -95,8 +96,8 @@
 	f(m.state)
 }
 
-// setLagging says whether this machine may know less than is committed; waiting watchers hear of a
-// change at once.
+// setLagging sets whether this machine may not know all that is committed, and reports whether that is
+// a change. Waiting watches are answered at once if it is.
 func (m *stateMachine) setLagging(on bool) (changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,7 +109,7 @@
 	return true
 }
 
-// Open starts a machine from its file's settings; Serve takes callers.
+// Open starts a control machine. It serves clients once Serve is called.
 func Open(cfg Config, log *slog.Logger) (*Node, error) {
 	settings, err := cfg.Rollout.settings()
 	if err != nil {
@@ -133,8 +134,8 @@
 	return n, nil
 }
 
-// Close ends the machine's part in the group without leaving it: its callers are answered or
-// cut first, and go to another machine.
+// Close stops the machine, which stays in the group's configuration. Its clients are answered or
+// disconnected first, and go to another machine.
 func (n *Node) Close() error {
 	n.cancel()
 	if n.server != nil {
@@ -149,19 +150,20 @@
 }
 
 const (
-	// lagAfter is how long a machine may be without word of a leader before it says so. A
-	// leader that can't reach a quorum steps down by itself, within its lease.
+	// lagAfter is how long a machine may be without contact to a leader before it counts as lagging.
+	// A leader that can't reach a quorum steps down by itself, within its lease.
 	lagAfter         = 1500 * time.Millisecond
 	lagCheckInterval = 50 * time.Millisecond
 )
 
-// outOfContact tells whether this machine has had no word of a leader for lagAfter, or since the start.
+// outOfContact reports whether this machine has had no contact to a leader for lagAfter, or none since
+// the start.
 func (n *Node) outOfContact() bool {
 	return n.Raft.State() != raft.Leader && time.Since(n.Raft.LastContact()) > lagAfter
 }
 
-// monitorLag keeps whether this machine may know less than is committed: it is deaf; or it has
-// heard a leader again, but what that has committed is not applied here yet.
+// monitorLag keeps stateMachine.lagging up to date. A machine lags while it is out of contact, and after
+// that until it has applied what the leader has committed.
 func (n *Node) monitorLag() {
 	tick := time.NewTicker(lagCheckInterval)
 	defer tick.Stop()
@@ -177,13 +179,15 @@
 		case n.outOfContact():
 			lagging = true
 		case lagging:
-			// A log that is being brought up has its commit index rise from batch to batch.
+			// While the log catches up, the commit index rises with every batch: equality with the applied
+			// index counts only once the commit index has stopped rising.
 			lagging = commit == 0 || commit != before || n.Raft.AppliedIndex() < commit
 		}
 		before = commit
 		if n.fsm.setLagging(lagging) {
 			if lagging {
-				n.log.Warn("no word of a leader: what is told may be old", "heard", n.Raft.LastContact(), "applied", n.Raft.AppliedIndex())
+				n.log.Warn("no contact to a leader: answers may be outdated", "heard", n.Raft.LastContact(),
+					"applied", n.Raft.AppliedIndex())
 			} else {
 				n.log.Info("up to date", "leader", n.Leader(), "applied", n.Raft.AppliedIndex())
 			}
@@ -191,52 +195,55 @@
 	}
 }
 
-// stageInterval is how often the leader looks at the stages of revisions that are open.
+// stageInterval is how often the leader checks the stages of open revisions.
 const stageInterval = 100 * time.Millisecond
 
-// controlStages has the leader decide the stages of open revisions and propose what it decides. What
-// two leaders propose late changes nothing: the entries name the revision and its stage.
+// controlStages has the leader decide the stages of open revisions and propose its decisions. A late
+// proposal of a former leader changes nothing, as the entries name the revision and its stage.
 func (n *Node) controlStages() {
-	leads := n.Raft.LeaderCh()
-	steward, sure := rollout.NewStageController(n.settings), false                        // sure: of what was committed before this lead
-	n.fsm.read(func(s *rollout.State) { steward.Decide(s, nil, time.Now().UnixMicro()) }) // its time begins: who was not heard may yet be
+	leadership := n.Raft.LeaderCh()
+	controller := rollout.NewStageController(n.settings)
+	caughtUp := false // this leader has applied everything committed before its term
+	// The first Decide starts the controller's clock: agents that have not reported yet get their time.
+	n.fsm.read(func(s *rollout.State) { controller.Decide(s, nil, time.Now().UnixMicro()) })
 	timer := time.NewTimer(stageInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-leads:
+		case <-leadership:
 		case <-n.fsm.stageWork:
 		case <-timer.C:
 		}
 		if !n.Leading() {
-			sure = false
+			caughtUp = false
 			continue
 		}
-		if !sure {
-			sure = n.Barrier().Outcome == quorum.Committed
+		if !caughtUp {
+			caughtUp = n.Barrier().Outcome == quorum.Committed
 		}
-		if !sure || n.decideStages(steward) {
+		if !caughtUp || n.decideStages(controller) {
 			timer.Reset(stageInterval)
 		}
 	}
 }
 
-// decideStages proposes what the steward decides now, and tells whether a revision is still open.
-func (n *Node) decideStages(steward *rollout.StageController) (open bool) {
+// decideStages proposes the controller's decisions, and reports whether a revision is still open.
+func (n *Node) decideStages(controller *rollout.StageController) (open bool) {
 	n.fsm.read(func(s *rollout.State) { open = len(s.Open()) > 0 })
 	var reports []rollout.Report
 	if open {
 		reports = n.reports()
 	}
 	var entries []rollout.Entry
-	n.fsm.read(func(s *rollout.State) { entries = steward.Decide(s, reports, time.Now().UnixMicro()) })
+	n.fsm.read(func(s *rollout.State) { entries = controller.Decide(s, reports, time.Now().UnixMicro()) })
 	for _, e := range entries {
 		r, a, err := n.Propose(rollout.Encode(e))
 		switch {
 		case a.Outcome != quorum.Committed:
-			n.log.Warn("stage not decided yet", "op", e.Op, "revision", e.Revision, "outcome", a.Outcome, "error", a.Error)
+			n.log.Warn("stage not decided yet", "op", e.Op, "revision", e.Revision, "outcome", a.Outcome,
+				"error", a.Error)
 			return true
 		case err == nil && r.(rollout.Result).Changed:
 			n.log.Info("stage decided", "op", e.Op, "revision", e.Revision, "first", len(e.First), "why", e.Why)
@@ -245,16 +252,17 @@
 	return open
 }
 
-// reportRetention is how long an agent that is gone is still told of as out of reach.
+// reportRetention is how long an agent that no longer reports is still listed as out of reach.
 const reportRetention = time.Hour
 
+// reports returns the latest report of each agent.
 func (n *Node) reports() []rollout.Report {
 	n.reportTable.Lock()
 	defer n.reportTable.Unlock()
 	return n.reportTable.Reports()
 }
 
-// recordReport takes an agent's word of itself.
+// recordReport stores an agent's report.
 func (n *Node) recordReport(r rollout.Report) {
 	n.reportTable.Lock()
 	defer n.reportTable.Unlock()
--- a/internal/fleet/control/orders.go
+++ b/internal/fleet/control/orders.go
@@ -17,19 +17,19 @@
 	"woodrouter/rollout"
 )
 
-// Operators' orders at a control machine's console. Any machine takes them: what is asked is
-// answered from what it knows, what is changed goes to the leader.
+// Any control machine's console takes all orders. Queries are answered from this machine's state;
+// changes are passed on to the leader.
 
-// orderTimeout bounds an order that changes something.
+// orderTimeout limits an order that changes something.
 const orderTimeout = 4 * time.Second
 
-// openConsole serves operators, where the file names an address.
+// openConsole serves the operators' console if the configuration has an address for it. close stops it.
 func (n *Node) openConsole() (close func(), err error) {
-	at := n.cfg.Rollout.Console
-	if at == "" {
+	address := n.cfg.Rollout.Console
+	if address == "" {
 		return func() {}, nil
 	}
-	ln, err := net.Listen("tcp", at)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("field rollout.console: %w", err)
 	}
@@ -39,6 +39,7 @@
 	return func() { ln.Close(); c.Close() }, nil
 }
 
+// consoleOrders returns the console's orders by their first words.
 func (n *Node) consoleOrders() map[string]console.Order {
 	change := func(words []string, e rollout.Entry) string {
 		base := words[len(words)-2]
@@ -53,9 +54,11 @@
 		return n.putChange(e)
 	}
 	return map[string]console.Order{
-		"CONFIG":      {Usage: "CONFIG", Do: func([]string, []byte) string { return n.describeAll() }},
-		"CONFIG LOOK": {Usage: "CONFIG LOOK NAME", Least: 1, Most: 1, Do: func(w []string, _ []byte) string { return n.describeDocument(w[0]) }},
-		"CONFIG PUT": {Usage: "CONFIG PUT NAME BASE AUTHOR, the text, a line EOT; BASE 0: a new document", Least: 3, Most: 3, Body: true,
+		"CONFIG": {Usage: "CONFIG", Do: func([]string, []byte) string { return n.describeAll() }},
+		"CONFIG LOOK": {Usage: "CONFIG LOOK NAME", Least: 1, Most: 1,
+			Do: func(w []string, _ []byte) string { return n.describeDocument(w[0]) }},
+		"CONFIG PUT": {Usage: "CONFIG PUT NAME BASE AUTHOR, the text, a line EOT; BASE 0: a new document",
+			Least: 3, Most: 3, Body: true,
 			Do: func(w []string, text []byte) string { return change(w, rollout.Entry{Text: text}) }},
 		"CONFIG REMOVE": {Usage: "CONFIG REMOVE NAME BASE AUTHOR", Least: 3, Most: 3,
 			Do: func(w []string, _ []byte) string { return change(w, rollout.Entry{Remove: true}) }},
@@ -82,7 +85,8 @@
 	}
 }
 
-// changeMember has the leader change the group: given again it does no harm.
+// changeMember makes the leader change the group's members, and returns the console's answer. The order
+// may be repeated.
 func (n *Node) changeMember(args MemberArgs) string {
 	client := NewClient(n.cfg.Rollout.Peers)
 	defer client.Close()
@@ -96,8 +100,8 @@
 
 func failure(err error) string { return console.Failure + " " + err.Error() }
 
-// putChange has the leader take a change. Where no leader is known it waits for one; a change
-// that may stand is not made again.
+// putChange passes a change on to the leader and returns the console's answer. It retries while no
+// leader is known, but not a change that may have been committed.
 func (n *Node) putChange(e rollout.Entry) string {
 	client := NewClient(n.cfg.Rollout.Peers)
 	defer client.Close()
@@ -122,7 +126,8 @@
 	}
 }
 
-// describeAll words all documents, and the services whose load this machine is steward of, a line each.
+// describeAll returns the answer to CONFIG: a line for each document, and one for each service whose load
+// this machine is steward of.
 func (n *Node) describeAll() string {
 	o, err := n.overview("")
 	if err != nil {
@@ -136,14 +141,17 @@
 	return b.String() + n.stewards.Status() + console.End
 }
 
+// writeHead writes the first lines of an answer: the machine's state, and the group's members.
 func (n *Node) writeHead(b *strings.Builder, o OverviewReply) {
-	fmt.Fprintf(b, "%s machine %s (%s, leader %s) at %d", console.Success, o.Machine, strings.ToLower(o.State), cmp.Or(o.Leader, "not known"), o.Applied)
+	fmt.Fprintf(b, "%s machine %s (%s, leader %s) at %d", console.Success, o.Machine, strings.ToLower(o.State),
+		cmp.Or(o.Leader, "not known"), o.Applied)
 	if o.Lagging {
 		fmt.Fprint(b, ", LAGGING: what follows may be old")
 	}
 	fmt.Fprintf(b, "\nmachines: %s\n", strings.Join(o.Members, ", "))
 }
 
+// describeRevision returns the state of a document's latest revision in a line.
 func describeRevision(v NameView) string {
 	text := fmt.Sprintf("revision %d, stage %s", v.Latest.Revision, v.Latest.Stage)
 	if v.Latest.Removed {
@@ -160,10 +168,11 @@
 	return text
 }
 
-// maxListedAgents bounds the agents that an answer names in one list.
+// maxListedAgents limits the agents that an answer names in one list.
 const maxListedAgents = 50
 
-// describeDocument words one document: where it is in force, its history, its text.
+// describeDocument returns the answer to CONFIG LOOK: where a document is in force, its history and its
+// text.
 func (n *Node) describeDocument(name string) string {
 	o, err := n.overview(name)
 	switch {
@@ -175,7 +184,8 @@
 	var b strings.Builder
 	n.writeHead(&b, o)
 	v := o.Names[0]
-	fmt.Fprintf(&b, "%v %s, by %s at %s\n", v.Latest.Name, describeRevision(v), v.Latest.Author, formatTime(v.Latest.AtUs))
+	fmt.Fprintf(&b, "%v %s, by %s at %s\n", v.Latest.Name, describeRevision(v), v.Latest.Author,
+		formatTime(v.Latest.AtUs))
 	for _, zone := range slices.Sorted(maps.Keys(v.Coverage.Zones)) {
 		z := v.Coverage.Zones[zone]
 		fmt.Fprintf(&b, "zone %s: in force %d of %d\n", cmp.Or(zone, "(none)"), z.InForce, z.Agents)
@@ -190,7 +200,8 @@
 	writeAgents(&b, "behind", v.Coverage.Behind)
 	writeAgents(&b, "out of reach", v.Coverage.OutOfReach)
 	for _, r := range v.History {
-		fmt.Fprintf(&b, "revision %d: %s, base %d, by %s at %s, %d bytes", r.Revision, r.Stage, r.Base, r.Author, formatTime(r.AtUs), len(r.Text))
+		fmt.Fprintf(&b, "revision %d: %s, base %d, by %s at %s, %d bytes", r.Revision, r.Stage, r.Base, r.Author,
+			formatTime(r.AtUs), len(r.Text))
 		if r.Removed {
 			fmt.Fprint(&b, ", removed")
 		}
@@ -210,6 +221,7 @@
 	return b.String() + console.End
 }
 
+// writeAgents writes a list of agents in a line, or nothing if there are none.
 func writeAgents(b *strings.Builder, what string, agents []string) {
 	if len(agents) == 0 {
 		return
@@ -223,5 +235,5 @@
 
 func formatTime(us int64) string { return time.UnixMicro(us).UTC().Format("2006-01-02T15:04:05.000Z") }
 
-// oneLine keeps an agent's words from looking like lines of the answer.
+// oneLine replaces line breaks, so that an agent's text can't pass for lines of the answer.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/fleet/control/peers.go
+++ b/internal/fleet/control/peers.go
@@ -9,26 +9,26 @@
 	"woodrouter/rollout"
 )
 
-// Machines tell each other what the agents at each of them say, so that whichever leads, and
-// whichever an operator asks, knows of all. Each tells what it has heard itself.
+// The machines send each other the reports of their agents, so that the leader, and any machine whose
+// console is asked, knows all agents. Each machine sends only the reports that it received from agents.
 const (
 	sendInterval      = 250 * time.Millisecond
-	keepAliveInterval = 5 * time.Second // with nothing to tell: the connection is not to be idle
+	keepAliveInterval = 5 * time.Second // an empty message after this time keeps the connection from idling out
 	sendTimeout       = time.Second
-	maxBatchBytes     = 256 << 10 // of reports in one message, beside the first
+	maxBatchBytes     = 256 << 10 // of the reports in one message; a single larger report is sent alone
 )
 
-// ReportsArgs are reports that a machine has heard from agents. They go as JSON: gob makes a
-// map as large as a message says it is.
+// ReportsArgs are the reports that a machine received from agents. They are sent as JSON, because gob
+// would allocate the reports' maps at the size that the message claims.
 type ReportsArgs struct {
-	From    string
+	From    string // the sending machine's id
 	Reports []byte // JSON of []rollout.Report
 }
 
-// ReportsReply says that they were taken.
+// ReportsReply has the number of reports stored.
 type ReportsReply struct{ Taken int }
 
-// Reports takes another machine's reports.
+// Reports stores the reports that another machine sends.
 func (s *Service) Reports(args ReportsArgs, reply *ReportsReply) (err error) {
 	defer s.node.recoverPanic(&err)
 	if s.node.cfg.Rollout.Peers[args.From] == "" || args.From == s.node.cfg.ID {
@@ -49,16 +49,16 @@
 	return nil
 }
 
-// sendReports keeps one other machine told: what is new since it last took something, or, after any
-// fault of the way to it, all.
+// sendReports sends one other machine the reports that are new since the last successful message, or all
+// of them after an error.
 func (n *Node) sendReports(id string) {
 	client := quorum.NewClient(map[string]string{id: n.cfg.Rollout.Peers[id]})
 	client.CallTimeout = sendTimeout
 	defer client.Close()
 	tick := time.NewTicker(sendInterval)
 	defer tick.Stop()
-	var mark uint64
-	var last time.Time
+	var mark uint64        // the reports up to this mark have been sent
+	var lastSent time.Time // when the last message was sent
 	for {
 		select {
 		case <-n.ctx.Done():
@@ -66,13 +66,13 @@
 		case <-tick.C:
 		}
 		reports, next := n.newReports(mark)
-		if len(reports) == 0 && time.Since(last) < keepAliveInterval {
+		if len(reports) == 0 && time.Since(lastSent) < keepAliveInterval {
 			mark = next
 			continue
 		}
-		mark, last = next, time.Now()
-		for _, part := range encodeBatches(reports) {
-			err := client.Call(n.ctx, id, "Rollout.Reports", ReportsArgs{From: n.cfg.ID, Reports: part}, &ReportsReply{})
+		mark, lastSent = next, time.Now()
+		for _, batch := range encodeBatches(reports) {
+			err := client.Call(n.ctx, id, "Rollout.Reports", ReportsArgs{From: n.cfg.ID, Reports: batch}, &ReportsReply{})
 			if err != nil {
 				mark = 0
 				break
@@ -81,8 +81,8 @@
 	}
 }
 
-// newReports are the reports that this machine has heard itself since a mark, and are fresh: an old
-// one told again would make an agent that is gone seem heard.
+// newReports returns the fresh reports that this machine received from agents since a mark, and the next
+// mark. Old ones are left out: sent again, they would make an agent that is gone look alive.
 func (n *Node) newReports(mark uint64) (out []rollout.Report, next uint64) {
 	n.reportTable.Lock()
 	defer n.reportTable.Unlock()
@@ -98,18 +98,19 @@
 	return out, next
 }
 
-// encodeBatches words reports as messages within the bound; no reports are one empty message.
+// encodeBatches encodes reports as JSON arrays of at most maxBatchBytes. Without reports it returns one
+// empty array.
 func encodeBatches(reports []rollout.Report) (out [][]byte) {
-	part := []byte{'['}
+	batch := []byte{'['}
 	for _, r := range reports {
 		b, _ := json.Marshal(r) // a struct of strings and numbers always marshals
-		if len(part) > 1 && len(part)+len(b) > maxBatchBytes {
-			out, part = append(out, append(part, ']')), []byte{'['}
+		if len(batch) > 1 && len(batch)+len(b) > maxBatchBytes {
+			out, batch = append(out, append(batch, ']')), []byte{'['}
 		}
-		if len(part) > 1 {
-			part = append(part, ',')
+		if len(batch) > 1 {
+			batch = append(batch, ',')
 		}
-		part = append(part, b...)
+		batch = append(batch, b...)
 	}
-	return append(out, append(part, ']'))
+	return append(out, append(batch, ']'))
 }
--- a/internal/fleet/control/service.go
+++ b/internal/fleet/control/service.go
@@ -13,22 +13,23 @@
 	"woodrouter/rollout"
 )
 
-// Bounds of what agents may ask.
+// Limits on agents' requests.
 const (
-	maxWatchers        = 2000
-	maxConcurrentLooks = 16               // looks at the state for watchers at once
-	maxPatience        = 10 * time.Second // below idleTime
-	maxNameBytes       = 512              // bytes of a name in a report; rollout's are shorter
-	maxKinds           = 64
-	maxRefused         = 128
+	maxWatchers        = 2000             // watches being served at the same time
+	maxConcurrentLooks = 16               // watches that may read the state at the same time
+	maxPatience        = 10 * time.Second // must be less than idleTimeout
+	maxNameBytes       = 512              // of a name in a report; the names that rollout accepts are shorter
+	maxKinds           = 64               // kinds of documents in force at an agent
+	maxRefused         = 128              // refused revisions in a report
 )
 
-// firstAgain is the patience that agents of a first stage are asked to come back with, so that
-// the steward hears how they fare; behindFor is how long a machine waits to catch up with what
-// a watcher knows before it says that it is behind.
 const (
+	// firstStagePatience is the time within which agents in a first stage are asked to repeat their watch,
+	// so that the stage controller soon gets their reports.
 	firstStagePatience = 250 * time.Millisecond
-	catchUpWait        = 250 * time.Millisecond
+	// catchUpWait is how long a machine that knows less than a watcher tries to catch up before it answers
+	// that it is behind.
+	catchUpWait = 250 * time.Millisecond
 )
 
 var (
@@ -40,23 +41,24 @@
 // Service is a control machine's net/rpc service, named "Rollout".
 type Service struct{ node *Node }
 
-// recoverPanic makes a fault of one answer an error of that answer: net/rpc would end the process.
+// recoverPanic turns a panic during a request into an error of that request; net/rpc would let it end
+// the process.
 func (n *Node) recoverPanic(err *error) {
 	if r := recover(); r != nil {
-		n.log.Error("panic in an answer", "reason", r, "stack", string(debug.Stack()))
+		n.log.Error("panic while handling a request", "reason", r, "stack", string(debug.Stack()))
 		*err = errors.New("control: a fault of this machine")
 	}
 }
 
-// WatchCall is a rollout.WatchArgs with the connection it came on.
+// WatchCall is a rollout.WatchArgs with the connection on which it came.
 type WatchCall struct {
 	rollout.WatchArgs
 	from *codec
 }
 
-// Watch takes an agent's report, and answers when there is something new for it, when this
-// machine begins or ceases to lag, or when its patience ends. Nothing is kept for a watcher:
-// what it gets is what it lacks when it is answered.
+// Watch stores an agent's report, and answers when there are documents that the agent lacks, when this
+// machine starts or stops lagging, or when the agent's patience ends. The machine stores no state for a
+// watcher: the answer holds what the agent lacks at that time.
 func (s *Service) Watch(call *WatchCall, reply *rollout.WatchReply) (err error) {
 	defer s.node.recoverPanic(&err)
 	n := s.node
@@ -73,14 +75,14 @@
 	patience := time.NewTimer(min(time.Duration(max(call.PatienceMs, 0))*time.Millisecond, maxPatience))
 	defer patience.Stop()
 	for first := true; ; first = false {
-		l := n.watchStateFor(call, first)
-		if first && l.behind && !call.from.reportedBehind.Swap(true) {
+		state := n.watchStateFor(call, first)
+		if first && state.behind && !call.from.reportedBehind.Swap(true) {
 			patience.Reset(min(time.Duration(max(call.PatienceMs, 0))*time.Millisecond, catchUpWait))
 		}
 		over := false
-		if !l.answerNow {
+		if !state.answerNow {
 			select {
-			case <-l.changed:
+			case <-state.changed:
 				continue
 			case <-n.ctx.Done():
 				return errStopping
@@ -90,59 +92,60 @@
 				over = true
 			}
 		}
-		if over { // what came in the same moment is not to wait for the next watch
-			l = n.watchStateFor(call, false)
+		if over { // include a change that came at the same moment
+			state = n.watchStateFor(call, false)
 		}
-		call.from.reportedLagging.Store(l.reply.Lagging)
-		*reply = l.reply
+		call.from.reportedLagging.Store(state.reply.Lagging)
+		*reply = state.reply
 		return nil
 	}
 }
 
-// watchState is what the state has for a watcher now.
+// watchState is what the current state holds for a watcher.
 type watchState struct {
 	reply     rollout.WatchReply
-	answerNow bool // it is to be told at once
-	behind    bool // the watcher knows more than this machine
-	changed   <-chan struct{}
+	answerNow bool            // the reply has news, and must be sent at once
+	behind    bool            // the watcher knows a later version than this machine
+	changed   <-chan struct{} // closed when the state changes
 }
 
-func (n *Node) watchStateFor(call *WatchCall, first bool) (l watchState) {
+// watchStateFor returns what the state holds for a watcher; first is true when its watch has just come.
+func (n *Node) watchStateFor(call *WatchCall, first bool) (state watchState) {
 	n.lookSlots <- struct{}{}
 	defer func() { <-n.lookSlots }()
 	m := n.fsm
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	agent := call.Report.Agent
-	l.changed = m.changed
-	// A process that was stopped may answer before watchLag has looked.
+	state.changed = m.changed
+	// A process that was suspended may get here before monitorLag notices the lag.
 	lagging := m.lagging || n.outOfContact()
-	l.reply = rollout.WatchReply{Machine: n.cfg.ID, Version: m.state.Applied(), Lagging: lagging}
+	state.reply = rollout.WatchReply{Machine: n.cfg.ID, Version: m.state.Applied(), Lagging: lagging}
 	for _, d := range m.state.DocumentsFor(agent) {
 		if d.Revision > call.Have[d.Name.String()] {
-			l.reply.Docs = append(l.reply.Docs, d)
+			state.reply.Docs = append(state.reply.Docs, d)
 		}
 	}
 	if m.state.InFirstStage(agent) {
-		l.reply.AgainMs = firstStagePatience.Milliseconds()
+		state.reply.AgainMs = firstStagePatience.Milliseconds()
 	}
-	// An agent without anything hears all there is, if it be nothing, as soon as there is a log.
-	l.reply.Whole = len(call.Have) == 0
-	fresh := first && l.reply.Whole && call.Version == 0 && l.reply.Version > 0
-	l.behind = call.Version > l.reply.Version
-	l.answerNow = len(l.reply.Docs) > 0 || fresh || lagging != call.from.reportedLagging.Load()
-	return l
+	// An agent that has nothing is answered as soon as there is a log, even if there is no document.
+	state.reply.Whole = len(call.Have) == 0
+	fresh := first && state.reply.Whole && call.Version == 0 && state.reply.Version > 0
+	state.behind = call.Version > state.reply.Version
+	state.answerNow = len(state.reply.Docs) > 0 || fresh || lagging != call.from.reportedLagging.Load()
+	return state
 }
 
-// checkWatch refuses what no agent says, so that it is kept by nobody; a refusal's words are
-// cut to their bound.
+// checkWatch refuses a watch that no agent would send, so that its contents are not stored. It truncates
+// the reasons of refusals to rollout.MaxWhyBytes.
 func checkWatch(w *rollout.WatchArgs) error {
 	r := &w.Report
-	word := func(s string) bool { return len(s) <= maxNameBytes }
+	fits := func(name string) bool { return len(name) <= maxNameBytes }
 	switch {
 	case r.Agent.Name == "":
 		return fmt.Errorf("%w: field report.agent.name: empty", errBadWatch)
-	case !word(r.Agent.Name) || !word(r.Agent.Service) || !word(r.Agent.Zone) || !word(r.Agent.Region):
+	case !fits(r.Agent.Name) || !fits(r.Agent.Service) || !fits(r.Agent.Zone) || !fits(r.Agent.Region):
 		return fmt.Errorf("%w: field report.agent: a name over %d bytes", errBadWatch, maxNameBytes)
 	case len(w.Have) > rollout.MaxDocuments || len(r.Seen) > rollout.MaxDocuments:
 		return fmt.Errorf("%w: over %d documents", errBadWatch, rollout.MaxDocuments)
@@ -153,13 +156,13 @@
 	}
 	for _, names := range []map[string]uint64{w.Have, r.Seen, r.InForce} {
 		for name := range names {
-			if !word(name) {
+			if !fits(name) {
 				return fmt.Errorf("%w: a name over %d bytes", errBadWatch, maxNameBytes)
 			}
 		}
 	}
 	for i, f := range r.Refused {
-		if !word(f.Name.Kind) || !word(string(f.Name.Scope.Level)) || !word(f.Name.Scope.Of) {
+		if !fits(f.Name.Kind) || !fits(string(f.Name.Scope.Level)) || !fits(f.Name.Scope.Of) {
 			return fmt.Errorf("%w: field report.refused[%d].name: over %d bytes", errBadWatch, i, maxNameBytes)
 		}
 		r.Refused[i].Why = f.Why[:min(len(f.Why), rollout.MaxWhyBytes)]
@@ -167,24 +170,24 @@
 	return nil
 }
 
-// Conflict is the outcome of a put against another than the latest revision.
+// Conflict is the outcome of a put that is not based on the latest revision.
 const Conflict = "conflict"
 
-// PutArgs is a change; its entry's Op is OpPut.
+// PutArgs is a change of a document; its entry's Op is OpPut.
 type PutArgs struct{ Entry rollout.Entry }
 
-// PutReply is what a machine answers a put with.
+// PutReply is a machine's answer to a put.
 type PutReply struct {
-	Outcome    string // quorum's, or Conflict
-	Leader     string // the leader's id where known
+	Outcome    string // one of quorum's, or Conflict
+	Leader     string // the leader's id, if known
 	Error      string
-	ComeBackMs int64
-	Revision   uint64 // the number the change has
+	ComeBackMs int64  // with NoQuorum and Unknown: ms after which a retry may succeed
+	Revision   uint64 // the number of the new revision
 }
 
-// Put has a change taken once a quorum holds it. Only the leader takes it. Whether the agents
-// can use the text is for their loaders to say, at the first stage: a control machine knows
-// neither their settings nor their files, and looks only whether it is YAML and not too large.
+// Put changes a document, and answers once a quorum holds the change. Only the leader can. It checks only
+// that the text is YAML and not too large: whether agents can use it is decided by their loaders in the
+// first stage, as a control machine knows neither their settings nor their files.
 func (s *Service) Put(args PutArgs, reply *PutReply) (err error) {
 	defer s.node.recoverPanic(&err)
 	n, e := s.node, args.Entry
@@ -202,11 +205,13 @@
 		reply.Outcome, reply.Error = quorum.Refused, err.Error()
 	case a.Outcome == quorum.Committed:
 		reply.Revision = r.(rollout.Result).Revision
-		n.log.Info("change taken", "document", e.Name.String(), "revision", reply.Revision, "base", e.Base, "author", e.Author)
+		n.log.Info("change committed", "document", e.Name.String(), "revision", reply.Revision, "base", e.Base,
+			"author", e.Author)
 	}
 	return nil
 }
 
+// checkPut refuses a change that can't be a valid one.
 func checkPut(e rollout.Entry) error {
 	if e.Op != rollout.OpPut {
 		return fmt.Errorf("%w: field op: %.40q is not for callers", rollout.ErrEntry, e.Op)
@@ -224,13 +229,13 @@
 	return nil
 }
 
-// MemberArgs has a machine leave the group, or, where Raft is its address, come into it.
+// MemberArgs names a machine to add to the group or, if Raft is empty, to remove.
 type MemberArgs struct {
-	ID, Raft string
+	ID, Raft string // its id and raft address
 	Voter    bool
 }
 
-// Member changes the group. Only the leader does.
+// Member adds or removes a member of the group. Only the leader can.
 func (s *Service) Member(args MemberArgs, reply *quorum.Answer) error {
 	if args.Raft == "" {
 		*reply = s.node.Remove(args.ID)
@@ -240,33 +245,34 @@
 	return nil
 }
 
-// OverviewArgs asks for one document's view, with its text and history, or ("") all heads.
+// OverviewArgs asks for one document with its text and history or, if Name is empty, for the latest
+// revisions of all documents without their texts.
 type OverviewArgs struct{ Name string }
 
-// OverviewReply is what a machine knows, without asking the others.
+// OverviewReply is what one machine knows, without asking the others.
 type OverviewReply struct {
 	Machine, State, Leader string
 	Applied                uint64
 	Lagging                bool
-	Members                []string // id=log address, with " (no vote)" for one without
+	Members                []string // id=raft address, with " (no vote)" after non-voters
 	Names                  []NameView
 }
 
-// NameView is a document: its head, where it is in force, and, if asked for by name, the
-// revisions that are kept, the newest first. Without a name texts are left out.
+// NameView is the state of a document.
 type NameView struct {
-	Latest   rollout.Revision
-	Coverage rollout.Coverage
-	History  []rollout.Revision
+	Latest   rollout.Revision   // its text is empty unless the document was asked for by name
+	Coverage rollout.Coverage   // where it is in force
+	History  []rollout.Revision // if it was asked for by name: the stored revisions, newest first
 }
 
-// Overview tells what this machine knows.
+// Overview answers with what this machine knows.
 func (s *Service) Overview(args OverviewArgs, reply *OverviewReply) (err error) {
 	defer s.node.recoverPanic(&err)
 	*reply, err = s.node.overview(args.Name)
 	return err
 }
 
+// overview returns what this machine knows of a document, or of all if name is empty.
 func (n *Node) overview(name string) (r OverviewReply, err error) {
 	var names []rollout.Name
 	if name != "" {
@@ -292,16 +298,17 @@
 	if names == nil {
 		names = st.Names()
 	}
-	for _, at := range names {
-		head, ok := st.Latest(at)
+	for _, document := range names {
+		latest, ok := st.Latest(document)
 		if !ok {
 			continue
 		}
-		v := NameView{Latest: head, Coverage: rollout.ComputeCoverage(st, at, reports, now, n.settings.Fresh.Microseconds())}
+		v := NameView{Latest: latest,
+			Coverage: rollout.ComputeCoverage(st, document, reports, now, n.settings.Fresh.Microseconds())}
 		if name == "" {
 			v.Latest.Text = nil
 		} else {
-			v.History = st.History(at)
+			v.History = st.History(document)
 		}
 		r.Names = append(r.Names, v)
 	}
--- a/internal/fleet/control/spread.go
+++ b/internal/fleet/control/spread.go
@@ -7,38 +7,40 @@
 	"woodrouter/internal/fleet/stewards"
 )
 
-// Spread is a control machine's net/rpc service of that name: the stewards of spreading load, by
-// service. It is served on the connections, and within the bounds, of Service. It asks nothing of
-// the group: a machine that hears no leader serves it all the same.
+// Spread is a control machine's net/rpc service of that name: the stewards that coordinate how load is
+// spread, one for each service. It shares the connections of Service and their limits. It does not use the
+// replicated log, so a machine without a leader serves it as well.
 type Spread struct{ node *Node }
 
-// Tell has the steward of a service hear an agent's summary, and answers with its view.
+// Tell passes an agent's summary to the steward of its service, and answers with the steward's view.
 func (s *Spread) Tell(args *stewards.TellArgs, reply *stewards.TellReply) (err error) {
 	defer s.node.recoverPanic(&err)
 	*reply, err = s.node.stewards.HandleSummary(*args)
 	return err
 }
 
-// summarySender is whom a connection speaks for: one agent of one service, as its first summary names
-// them, so that no connection takes more than one agent's place.
+// summarySender is the agent and the service for which a connection sends summaries.
 type summarySender struct{ service, name string }
 
-// bindSender holds a connection to whom its first summary named. It is called by the connection's reader.
+// bindSender binds a connection to the agent and service of its first summary, and refuses summaries of
+// others: no connection may use up more than one agent's place at the stewards. Only the connection's
+// reader calls it.
 func (c *codec) bindSender(args *stewards.TellArgs) error {
-	who := summarySender{args.Service, args.Summary.From.Name}
+	sender := summarySender{args.Service, args.Summary.From.Name}
 	if c.sender == (summarySender{}) {
-		c.sender = who
+		c.sender = sender
 	}
-	if c.sender != who {
-		return fmt.Errorf("%w: a summary of %.40q in %.40q on the connection of %.40q in %.40q", errBadRequest, who.name, who.service, c.sender.name, c.sender.service)
+	if c.sender != sender {
+		return fmt.Errorf("%w: a summary of %.40q in %.40q on the connection of %.40q in %.40q", errBadRequest,
+			sender.name, sender.service, c.sender.name, c.sender.service)
 	}
 	return nil
 }
 
-// sweepInterval is how often stewards that nobody tells any more are looked for.
+// sweepInterval is how often stewards that no agent reports to any more are removed.
 const sweepInterval = 2 * time.Second
 
-// sweepStewards has idle stewards forgotten until the machine ends.
+// sweepStewards removes idle stewards until the machine stops.
 func (n *Node) sweepStewards() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
