--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -23,10 +23,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// waitLimit bounds what a test waits for.
+// waitLimit limits each wait of a test.
 const waitLimit = 20 * time.Second
 
-// testGroup are a group of control machines on loopback, three of them voters, c4 none.
+// testGroup is a group of control machines on loopback: the voters c1, c2 and c3, and c4 without a vote.
 type testGroup struct {
 	t       *testing.T
 	configs map[string]Config
@@ -34,19 +34,21 @@
 	client  *Client
 }
 
-// host is a loopback address of this process alone: a port of it that was free stays so, also while
-// a machine is closed; on 127.0.0.1 the other end of any connection may have taken it meanwhile.
+// host is a loopback address that only this process uses, so that a free port stays free, also while a
+// machine is closed. On 127.0.0.1 the other end of any connection could take the port in the meantime.
 var (
 	host = sync.OnceValues(faultnet.NewHost)
 	port atomic.Int64
 )
 
+// freeAddress returns an unused address of host.
 func freeAddress(t *testing.T) string {
-	at, err := host()
+	ip, err := host()
 	require.NoError(t, err)
-	return fmt.Sprintf("%s:%d", at, 7000+port.Add(1))
+	return fmt.Sprintf("%s:%d", ip, 7000+port.Add(1))
 }
 
+// startGroup starts the four machines; they are closed when the test ends.
 func startGroup(t *testing.T) *testGroup {
 	g := &testGroup{t: t, configs: map[string]Config{}, nodes: map[string]*Node{}}
 	no, ids := false, []string{"c1", "c2", "c3", "c4"}
@@ -57,8 +59,10 @@
 	}
 	boot[3].Voter = &no
 	for i, id := range ids {
-		cfg := Config{Config: quorum.Config{ID: id, Raft: boot[i].Raft, Client: peers[id], Data: filepath.Join(t.TempDir(), id),
-			Bootstrap: boot, Snapshot: quorum.SnapshotConfig{Entries: 2}, Timing: quorum.TimingConfig{Heartbeat: "150ms", Election: "150ms", Commit: "10ms", Lease: "100ms"}},
+		cfg := Config{
+			Config: quorum.Config{ID: id, Raft: boot[i].Raft, Client: peers[id], Data: filepath.Join(t.TempDir(), id),
+				Bootstrap: boot, Snapshot: quorum.SnapshotConfig{Entries: 2},
+				Timing: quorum.TimingConfig{Heartbeat: "150ms", Election: "150ms", Commit: "10ms", Lease: "100ms"}},
 			Rollout: RolloutConfig{Console: freeAddress(t), Peers: peers, Dwell: "50ms", Patience: "1s"}}
 		require.NoError(t, cfg.Valid())
 		g.configs[id] = cfg
@@ -86,7 +90,7 @@
 	delete(g.nodes, id)
 }
 
-// leader is the machine that leads, once there is one.
+// leader waits until a machine leads, and returns its id.
 func (g *testGroup) leader() (id string) {
 	require.Eventually(g.t, func() bool {
 		for id = range g.nodes {
@@ -105,7 +109,7 @@
 	return n
 }
 
-// put has a change taken, however long an election takes.
+// put changes a document, and retries during elections.
 func (g *testGroup) put(e rollout.Entry) (uint64, error) {
 	e.Op, e.Author = rollout.OpPut, "ann"
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -133,11 +137,12 @@
 	conn, err := rpc.Dial("tcp", g.configs[id].Client)
 	require.NoError(g.t, err)
 	g.t.Cleanup(func() { conn.Close() })
-	return &testAgent{t: g.t, conn: conn, texts: map[string]string{}, args: rollout.WatchArgs{Have: map[string]uint64{}, PatienceMs: 500,
-		Report: rollout.Report{Agent: rollout.Agent{Name: name, Service: "lessons", Zone: "z1", Region: "r1"}, Life: 1}}}
+	return &testAgent{t: g.t, conn: conn, texts: map[string]string{},
+		args: rollout.WatchArgs{Have: map[string]uint64{}, PatienceMs: 500, Report: rollout.Report{
+			Agent: rollout.Agent{Name: name, Service: "lessons", Zone: "z1", Region: "r1"}, Life: 1}}}
 }
 
-// watch asks once, and takes the answer.
+// watch sends one watch and applies the answer. It fails the test if a document's revision does not rise.
 func (a *testAgent) watch() (rollout.WatchReply, error) {
 	a.args.Report.Seq++
 	args := a.args
@@ -164,7 +169,7 @@
 	return r, nil
 }
 
-// run watches until the connection ends.
+// run watches in the background until the connection ends.
 func (a *testAgent) run() *testAgent {
 	go func() {
 		for {
@@ -176,7 +181,7 @@
 	return a
 }
 
-// until waits for an agent's state to be as wished.
+// until waits until the agent's state satisfies ok.
 func (a *testAgent) until(what string, ok func() bool) {
 	require.Eventually(a.t, func() bool {
 		a.mu.Lock()
@@ -185,13 +190,14 @@
 	}, waitLimit, 10*time.Millisecond, "%s: %s", a.args.Report.Agent.Name, what)
 }
 
+// has waits until the agent has this text of a document.
 func (a *testAgent) has(name, text string) {
 	a.until(text, func() bool { return a.texts[name] == text })
 }
 
-// TestPutAndWatch: a change taken at the leader comes to watchers of every machine, the one
-// without a vote among them; a second put against the same revision is refused, and whoever
-// comes late gets the whole set.
+// TestPutAndWatch checks that a change reaches the watchers of every machine, including the non-voter's,
+// that a second put based on the same revision is refused, as are invalid ones, and that an agent that
+// comes later gets all documents.
 func TestPutAndWatch(t *testing.T) {
 	g := startGroup(t)
 	agents := []*testAgent{}
@@ -210,7 +216,8 @@
 	_, err = g.put(rollout.Entry{Name: routes, Base: first - 1, Text: []byte("routes: 2")})
 	require.ErrorIs(t, err, rollout.ErrConflict)
 	require.ErrorContains(t, err, "ann")
-	for _, e := range []rollout.Entry{{Name: routes, Base: first, Text: []byte("routes: [")}, {Name: routes, Base: first, Text: make([]byte, rollout.MaxTextBytes+1)},
+	for _, e := range []rollout.Entry{{Name: routes, Base: first, Text: []byte("routes: [")},
+		{Name: routes, Base: first, Text: make([]byte, rollout.MaxTextBytes+1)},
 		{Name: rollout.Name{Kind: "a@b"}, Text: []byte("a: 1")}} {
 		_, err = g.put(e)
 		require.ErrorIs(t, err, rollout.ErrEntry)
--- a/internal/fleet/control/fault_test.go
+++ b/internal/fleet/control/fault_test.go
@@ -24,9 +24,10 @@
 	"woodrouter/rollout"
 )
 
-// TestQuorumLost: a machine that has no leader says that it lags, to those who wait at once and to
-// those who come, and still has what it had; nothing is taken without a quorum. One that comes
-// back with an old disk lags until it is brought up, and its agents never go back.
+// TestQuorumLost checks that a machine without a leader reports that it lags, at once to waiting watchers
+// and also to new ones, that it still serves the documents it has, and that no change is accepted without
+// a quorum. A machine that restarts with an old disk lags until it has caught up; its agents never get an
+// older revision than they have.
 func TestQuorumLost(t *testing.T) {
 	g := startGroup(t)
 	at4, at3 := g.agent("c4", "a4").run(), g.agent("c3", "a3").run()
@@ -49,7 +50,7 @@
 	back.run().has("routes@all", "routes: 2")
 	back.until("up to date", func() bool { return !back.last.Lagging })
 
-	patient := g.agent("c4", "patient") // hears before its patience ends
+	patient := g.agent("c4", "patient") // must be answered before its patience ends
 	patient.args.PatienceMs = 9000
 	_, err = patient.watch()
 	require.NoError(t, err)
@@ -80,7 +81,7 @@
 	back.has("routes@all", "routes: 3")
 }
 
-// TestStopAnswersWatchers: a machine that stops answers who waits at it, at once.
+// TestStopAnswersWatchers checks that a machine that stops answers its waiting watchers at once.
 func TestStopAnswersWatchers(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c4", "a4")
@@ -96,14 +97,15 @@
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
-// hugeMap is a request whose map claims 1<<28 entries (gob would take 10 GB for it) and has one.
+// hugeMap returns a request whose map claims 1<<28 entries, for which gob would allocate 10 GB, and has
+// one.
 func hugeMap(t *testing.T) []byte {
 	var b bytes.Buffer
 	enc := gob.NewEncoder(&b)
 	require.NoError(t, enc.Encode(rpc.Request{ServiceMethod: "Rollout.Watch", Seq: 1}))
 	require.NoError(t, enc.Encode(rollout.WatchArgs{Have: map[string]uint64{"k": 1}}))
 	all, from := b.Bytes(), 0
-	for at := 0; at < len(all); { // the last message is the arguments
+	for at := 0; at < len(all); { // find the last message, which holds the arguments
 		size, width := int(all[at]), 1
 		if all[at] > 0x7f {
 			size, width = int(binary.BigEndian.Uint16(append([]byte{0}, all[at+1])[:2])), 2
@@ -116,39 +118,41 @@
 	return append(all[:from:from], value...)
 }
 
-// TestMalformedRequests: what no caller would send ends its own connection and nothing else.
+// TestMalformedRequests checks that input which no client would send closes its own connection and has no
+// other effect: maps and messages that claim huge sizes, endless type definitions, and random bytes.
 func TestMalformedRequests(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c4", "a4").run()
 	a.until("up to date", func() bool { return a.last.Machine != "" && !a.last.Lagging })
-	types := &bytes.Buffer{} // definitions of types without end
+	types := &bytes.Buffer{} // more type definitions than a connection may send
 	for range maxTypeDefinitions {
 		var b bytes.Buffer
 		gob.NewEncoder(&b).Encode(rpc.Request{ServiceMethod: "x", Seq: 1})
 		types.Write(b.Bytes()[:1+b.Bytes()[0]]) // the definition alone
 	}
-	sent := [][]byte{hugeMap(t), types.Bytes(), {0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}, {0xfc, 0x20, 0, 0, 0, 1}, {0}, {0x80}}
+	sent := [][]byte{hugeMap(t), types.Bytes(), {0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
+		{0xfc, 0x20, 0, 0, 0, 1}, {0}, {0x80}}
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range 60 {
-		junk := make([]byte, 1+rng.IntN(400))
-		for j := range junk {
-			junk[j] = byte(rng.Uint32())
+		input := make([]byte, 1+rng.IntN(400))
+		for j := range input {
+			input[j] = byte(rng.Uint32())
 		}
-		sent = append(sent, junk)
+		sent = append(sent, input)
 	}
-	for i, junk := range sent {
+	for i, input := range sent {
 		conn, err := net.Dial("tcp", g.configs["c4"].Client)
 		require.NoError(t, err)
-		conn.Write(junk)
+		conn.Write(input)
 		if i < 5 {
 			conn.SetReadDeadline(time.Now().Add(waitLimit))
 			_, err = io.Copy(io.Discard, conn)
-			var late net.Error
-			require.False(t, errors.As(err, &late) && late.Timeout(), "junk %d: the connection stands", i)
+			var timeout net.Error
+			require.False(t, errors.As(err, &timeout) && timeout.Timeout(), "input %d: the connection was not closed", i)
 		}
 		conn.Close()
 	}
-	// Over the bound of a message, by a client that is one otherwise.
+	// A well-formed message that is too large.
 	big := g.agent("c4", "big")
 	big.args.Report.Refused = []rollout.Refusal{{Why: strings.Repeat("x", maxMessageBytes)}}
 	_, err := big.watch()
@@ -157,15 +161,15 @@
 	require.NoError(t, err)
 	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
 	require.NoError(t, err)
-	a.until("served on", func() bool { return a.args.Have["routes@all"] == number })
+	a.until("still served", func() bool { return a.args.Have["routes@all"] == number })
 }
 
-// TestLateStageEntries: what a former leader proposes late changes nothing, and nobody but a leader
-// proposes stages.
+// TestLateStageEntries checks that stage entries which a former leader proposes late change nothing, and
+// that clients can't propose stage entries.
 func TestLateStageEntries(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c4", "a4").run()
-	a.until("heard", func() bool { return a.last.Machine != "" })
+	a.until("first answer", func() bool { return a.last.Machine != "" })
 	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 1")
@@ -175,7 +179,8 @@
 		return len(o.Names) == 1 && o.Names[0].Latest.Stage == rollout.StageEverywhere && o.Names[0].Coverage.InForce <= 1
 	}, waitLimit, 10*time.Millisecond)
 	for _, op := range []rollout.Op{rollout.OpStart, rollout.OpAdvance, rollout.OpHalt} {
-		r, answer, err := leader.Propose(rollout.Encode(rollout.Entry{Op: op, Revision: number, First: []string{"a4"}, Why: "late"}))
+		late := rollout.Entry{Op: op, Revision: number, First: []string{"a4"}, Why: "late"}
+		r, answer, err := leader.Propose(rollout.Encode(late))
 		require.NoError(t, err)
 		require.Equal(t, quorum.Committed, answer.Outcome)
 		require.False(t, r.(rollout.Result).Changed)
@@ -188,11 +193,11 @@
 	require.Equal(t, rollout.StageEverywhere, o.Names[0].Latest.Stage)
 }
 
-// scriptedMachine is a machine whose answers a test gives.
+// scriptedMachine is a machine that gives every put the same answer.
 type scriptedMachine struct {
 	reply PutReply
-	hold  chan struct{} // not nil: it answers when this is closed
-	puts  atomic.Int64
+	hold  chan struct{} // if not nil, it answers once this is closed
+	puts  atomic.Int64  // puts received
 }
 
 func (s *scriptedMachine) Put(_ PutArgs, r *PutReply) error {
@@ -204,8 +209,8 @@
 	return nil
 }
 
-// TestClientPut: a put that a machine may have taken is not made again, whether the leader says
-// so or nothing; other refusals are told apart.
+// TestClientPut checks that the client does not retry a put that a machine may have accepted, whether the
+// leader reports an unknown outcome or does not answer, and that other refusals give their own errors.
 func TestClientPut(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -245,7 +250,7 @@
 	}
 }
 
-// askConsole puts one order to a machine's console.
+// askConsole sends one order to a machine's console and returns the answer.
 func (g *testGroup) askConsole(id, order string) string {
 	conn, err := net.Dial("tcp", g.configs[id].Rollout.Console)
 	require.NoError(g.t, err)
@@ -256,11 +261,12 @@
 	return string(answer)
 }
 
-// TestConsoleOrders: operators look and change at any machine; the non-voter passes changes on.
+// TestConsoleOrders checks that operators can query and change documents at any machine's console,
+// including the non-voter's, which passes changes on, and that members can be removed and added.
 func TestConsoleOrders(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c1", "a1").run()
-	a.until("heard", func() bool { return a.last.Machine != "" })
+	a.until("first answer", func() bool { return a.last.Machine != "" })
 	g.leader()
 	var first, second uint64
 	_, err := fmt.Sscanf(g.askConsole("c4", "config put routes@all 0 ann\nroutes: 1\nEOT"), "SUCCESS routes@all is at %d", &first)
@@ -270,11 +276,13 @@
 	require.Contains(t, g.askConsole("c4", "CONFIG PUT routes@all x bob\nEOT"), "FAILURE BASE")
 	require.Contains(t, g.askConsole("c4", "CONFIG PUT routes 0 bob\nEOT"), "KIND@SCOPE")
 	require.Contains(t, g.askConsole("c4", "CONFIG LOOK spread@all"), "FAILURE no document")
-	_, err = fmt.Sscanf(g.askConsole("c4", fmt.Sprintf("CONFIG PUT routes@all %d bob\nroutes: 2\nEOT", first)), "SUCCESS routes@all is at %d", &second)
+	answer := g.askConsole("c4", fmt.Sprintf("CONFIG PUT routes@all %d bob\nroutes: 2\nEOT", first))
+	_, err = fmt.Sscanf(answer, "SUCCESS routes@all is at %d", &second)
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 2\n")
-	require.Eventually(t, func() bool { // c4 hears of the agent at c1 from c1
-		return strings.Contains(g.askConsole("c4", "CONFIG"), fmt.Sprintf("routes@all revision %d, stage everywhere", second)) &&
+	everywhere := fmt.Sprintf("routes@all revision %d, stage everywhere", second)
+	require.Eventually(t, func() bool { // c4 gets the report of the agent at c1 from c1
+		return strings.Contains(g.askConsole("c4", "CONFIG"), everywhere) &&
 			strings.Contains(g.askConsole("c4", "CONFIG LOOK routes@all"), "zone z1: in force ")
 	}, waitLimit, 50*time.Millisecond)
 	look := g.askConsole("c4", "CONFIG LOOK routes@all")
@@ -282,13 +290,14 @@
 	require.Contains(t, look, fmt.Sprintf("revision %d: superseded, base 0, by ann", first))
 	require.True(t, strings.HasSuffix(look, "EOT\n"))
 	var third uint64
-	_, err = fmt.Sscanf(g.askConsole("c4", fmt.Sprintf("CONFIG BACK routes@all %d %d ann", first, second)), "SUCCESS routes@all is at %d", &third)
+	answer = g.askConsole("c4", fmt.Sprintf("CONFIG BACK routes@all %d %d ann", first, second))
+	_, err = fmt.Sscanf(answer, "SUCCESS routes@all is at %d", &third)
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 1\n")
 	require.Contains(t, g.askConsole("c4", fmt.Sprintf("CONFIG REMOVE routes@all %d ann", third)), "SUCCESS")
 	a.has("routes@all", "")
 	require.Contains(t, g.askConsole("c1", "CONFIG LEAVE c4"), "SUCCESS")
-	lists := func(member string, want bool) func() bool { // c1 tells what it knows itself, and need not lead
+	lists := func(member string, want bool) func() bool { // c1 shows what it knows, and may not be the leader
 		return func() bool {
 			_, members, ok := strings.Cut(g.askConsole("c1", "CONFIG"), "machines: ")
 			return ok && strings.Contains(members, member) == want
@@ -299,7 +308,8 @@
 	require.Eventually(t, lists("c4="+g.configs["c4"].Raft+" (no vote)", true), waitLimit, 10*time.Millisecond)
 }
 
-// TestLoadConfig: a control machine's file is known by its section, and refused by field.
+// TestLoadConfig checks that a control machine's file is recognized by its rollout section, that the error
+// for an unusable file names the file and field, and that the deploy folder's file is accepted.
 func TestLoadConfig(t *testing.T) {
 	const head = "id: c1\nraft: 127.0.0.1:0\nclient: 127.0.0.1:0\ndata: d\n"
 	for text, want := range map[string]string{
@@ -330,8 +340,8 @@
 	require.False(t, cfg.Bootstrap[3].Votes())
 }
 
-// TestManyAgentsReturn: a zone's agents that come back at once all get the whole set from one machine; one
-// watcher too many is told to go elsewhere.
+// TestManyAgentsReturn checks that the agents of a zone that reconnect at once all get the whole set of
+// documents from one machine, and that a watcher beyond maxWatchers gets errTooManyWatchers.
 func TestManyAgentsReturn(t *testing.T) {
 	g := startGroup(t)
 	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
@@ -350,16 +360,17 @@
 	g.nodes["c4"].watchers.Add(-maxWatchers)
 }
 
-// TestNonVoterLosesDisk: the machine without a vote may lose its disk and come back under its id; it is
-// brought up by a snapshot, and its agents get no older text meanwhile.
+// TestNonVoterLosesDisk checks that the non-voter may lose its disk and restart under the same id: it
+// catches up by a snapshot, and its agents get no older text in the meantime.
 func TestNonVoterLosesDisk(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c1", "a1").run()
-	a.until("heard", func() bool { return a.last.Machine != "" })
+	a.until("first answer", func() bool { return a.last.Machine != "" })
 	var number uint64
 	for i := range 4 {
 		var err error
-		number, err = g.put(rollout.Entry{Name: parseName(t, "routes@all"), Base: number, Text: fmt.Appendf(nil, "routes: %d", i)})
+		number, err = g.put(rollout.Entry{Name: parseName(t, "routes@all"), Base: number,
+			Text: fmt.Appendf(nil, "routes: %d", i)})
 		require.NoError(t, err)
 		a.has("routes@all", fmt.Sprintf("routes: %d", i))
 	}
--- a/internal/fleet/control/spread_test.go
+++ b/internal/fleet/control/spread_test.go
@@ -18,7 +18,7 @@
 	"woodrouter/spread"
 )
 
-// startWithoutQuorum is a control machine that never has a quorum: its peers do not exist.
+// startWithoutQuorum starts a group and closes its voters, so that c4 is left without a quorum.
 func startWithoutQuorum(t *testing.T) *testGroup {
 	g := startGroup(t)
 	for _, id := range []string{"c1", "c2", "c3"} {
@@ -27,6 +27,7 @@
 	return g
 }
 
+// dial connects to a machine; the connection is closed when the test ends.
 func (g *testGroup) dial(id string) *rpc.Client {
 	conn, err := rpc.Dial("tcp", g.configs[id].Client)
 	require.NoError(g.t, err)
@@ -34,7 +35,8 @@
 	return conn
 }
 
-// summary is one of an agent that knows so many servers, with figures as wide as they come.
+// summary returns the summary of an agent that knows this many servers, with values that take the most
+// bytes when encoded.
 func summary(name string, seq uint64, servers int) stewards.TellArgs {
 	s := spread.Summary{From: spread.Stamp{Name: name, Life: 1 << 60, Seq: seq}, Demand: 1.0 / 3, Period: time.Second, Senders: 2}
 	for i := range servers {
@@ -45,8 +47,8 @@
 	return stewards.TellArgs{Service: "lessons", Summary: s}
 }
 
-// TestSpread: a machine without a quorum hears summaries and answers with views, of 730 servers too,
-// each service by its own steward, and its console tells of them.
+// TestSpread checks that a machine without a quorum answers summaries with views, also of 730 servers,
+// with a steward of its own for each service, and that its console lists the stewards.
 func TestSpread(t *testing.T) {
 	g := startWithoutQuorum(t)
 	conn := g.dial("c4")
@@ -60,7 +62,7 @@
 		require.Len(t, r.View.Dues, 730)
 	}
 	var r stewards.TellReply
-	require.ErrorContains(t, conn.Call(stewards.Method, summary("a1", 3, 1), &r), stewards.ErrStale.Error(), "told again")
+	require.ErrorContains(t, conn.Call(stewards.Method, summary("a1", 3, 1), &r), stewards.ErrStale.Error(), "the same summary again")
 	var size bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&size).Encode(summary("a1", 4, stewards.MaxServers)))
 	require.Less(t, size.Len(), maxMessageBytes, "the largest summary that is taken fits a message")
@@ -74,8 +76,9 @@
 	require.Contains(t, said, "steward of lessons: 1 of ")
 }
 
-// TestMalformedSummaries: what no agent would send ends its connection, or gets an error; a connection
-// takes one agent's place and no more; others are served on.
+// TestMalformedSummaries checks that a summary which no agent would send gets an error or closes its
+// connection, that a connection can't send for more than one agent and service, that a panic in an answer
+// only affects that answer, and that other connections are still served after each of these.
 func TestMalformedSummaries(t *testing.T) {
 	g := startWithoutQuorum(t)
 	good := g.dial("c4")
@@ -97,28 +100,29 @@
 	long := summary("x", 1, 1)
 	long.Summary.Period = time.Minute
 	require.ErrorContains(t, g.dial("c4").Call(stewards.Method, long, &r), "field p")
-	// Too large: the connection ends.
+	// A message that is too large closes the connection.
 	huge := summary("x", 1, 1)
 	huge.Summary.Counts[0].Server = strings.Repeat("x", maxMessageBytes)
 	require.Error(t, g.dial("c4").Call(stewards.Method, huge, &r))
-	// One that claims 1<<28 servers and has one.
+	// A summary that claims 1<<28 servers and has one.
 	raw, err := net.Dial("tcp", g.configs["c4"].Client)
 	require.NoError(t, err)
 	defer raw.Close()
 	raw.Write(hugeSlice(t))
 	raw.SetReadDeadline(time.Now().Add(waitLimit))
 	_, err = io.Copy(io.Discard, raw)
-	var late net.Error
-	require.False(t, errors.As(err, &late) && late.Timeout(), "the connection stands")
+	var timeout net.Error
+	require.False(t, errors.As(err, &timeout) && timeout.Timeout(), "the connection was not closed")
 	// Another agent, or another service, on one connection.
 	for _, args := range []stewards.TellArgs{summary("y", 1, 1), {Service: "exams", Summary: summary("x", 2, 1).Summary}} {
 		conn := g.dial("c4")
 		require.NoError(t, conn.Call(stewards.Method, summary("x", uint64(time.Now().UnixNano()), 1), &r))
 		require.ErrorContains(t, conn.Call(stewards.Method, args, &r), "on the connection of")
-		require.Error(t, conn.Call(stewards.Method, summary("x", uint64(time.Now().UnixNano()), 1), &r), "the connection stands")
+		require.Error(t, conn.Call(stewards.Method, summary("x", uint64(time.Now().UnixNano()), 1), &r),
+			"the connection was not closed")
 	}
 	require.NoError(t, good.Call(stewards.Method, summary("good", 2, 3), &r))
-	// A fault in an answer is that answer's.
+	// A panic in an answer only affects that answer.
 	kept := g.nodes["c4"].stewards
 	g.nodes["c4"].stewards = nil
 	require.ErrorContains(t, good.Call(stewards.Method, summary("good", 3, 3), &r), "a fault of this machine")
@@ -126,16 +130,17 @@
 	require.NoError(t, good.Call(stewards.Method, summary("good", 4, 3), &r))
 }
 
-// hugeSlice is a request whose list of servers claims 1<<28 of them and has one.
+// hugeSlice returns a request whose list of servers claims 1<<28 entries and has one.
 func hugeSlice(t *testing.T) []byte {
 	var b bytes.Buffer
 	enc := gob.NewEncoder(&b)
 	require.NoError(t, enc.Encode(rpc.Request{ServiceMethod: stewards.Method, Seq: 1}))
-	args := stewards.TellArgs{Service: "s", Summary: spread.Summary{From: spread.Stamp{Name: "x", Life: 1, Seq: 1}, Counts: []spread.Count{{Server: "k"}}}}
+	args := stewards.TellArgs{Service: "s", Summary: spread.Summary{From: spread.Stamp{Name: "x", Life: 1, Seq: 1},
+		Counts: []spread.Count{{Server: "k"}}}}
 	before := b.Len()
 	require.NoError(t, enc.Encode(args))
 	all := b.Bytes()
-	at := bytes.LastIndex(all, []byte{1, 1, 1, 'k'}) // one element, its first field, of one byte
+	at := bytes.LastIndex(all, []byte{1, 1, 1, 'k'}) // one element, first field, one byte
 	require.Greater(t, at, before)
 	head := lastMessage(all)
 	require.Less(t, int(all[head]), 0x70)
@@ -144,7 +149,7 @@
 	return out
 }
 
-// lastMessage is where the last of gob's messages begins.
+// lastMessage returns the offset at which the last gob message begins.
 func lastMessage(all []byte) (from int) {
 	for at := 0; at < len(all); {
 		size, width := int(all[at]), 1
