--- a/internal/fleet/promisestore/orders.go
+++ b/internal/fleet/promisestore/orders.go
@@ -96,10 +96,9 @@
 		ctx, cancel := context.WithTimeout(s.ctx, endTimeout)
 		defer cancel()
 		for id, g := range s.rings.Load().groups {
-			status, err := g.LeaderStatus(ctx)
-			if err == nil && status.Versions[kind] != "" && status.Versions[kind] != version {
+			if st, err := g.LeaderStatus(ctx); err == nil && st.Versions[kind] != "" && st.Versions[kind] != version {
 				s.log.Warn("version differs from what the group held", "kind", kind, "group", id,
-					"held", status.Versions[kind], "now", version)
+					"held", st.Versions[kind], "now", version)
 			}
 		}
 		if err := s.proposeToAll(promise.Entry{Op: promise.OpVersion, Kind: kind, Version: version}); err != nil {
