--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -51,17 +51,18 @@
 // startGroup starts the four machines; they are closed when the test ends.
 func startGroup(t *testing.T) *testGroup {
 	g := &testGroup{t: t, configs: map[string]Config{}, nodes: map[string]*Node{}}
-	no, ids := false, []string{"c1", "c2", "c3", "c4"}
-	peers, boot := map[string]string{}, []quorum.Peer{}
+	noVote, ids := false, []string{"c1", "c2", "c3", "c4"}
+	peers, bootstrap := map[string]string{}, []quorum.Peer{}
 	for _, id := range ids {
 		peers[id] = freeAddress(t)
-		boot = append(boot, quorum.Peer{ID: id, Raft: freeAddress(t)})
+		bootstrap = append(bootstrap, quorum.Peer{ID: id, Raft: freeAddress(t)})
 	}
-	boot[3].Voter = &no
+	bootstrap[3].Voter = &noVote
 	for i, id := range ids {
 		cfg := Config{
-			Config: quorum.Config{ID: id, Raft: boot[i].Raft, Client: peers[id], Data: filepath.Join(t.TempDir(), id),
-				Bootstrap: boot, Snapshot: quorum.SnapshotConfig{Entries: 2},
+			Config: quorum.Config{ID: id, Raft: bootstrap[i].Raft, Client: peers[id],
+				Data: filepath.Join(t.TempDir(), id),
+				Bootstrap: bootstrap, Snapshot: quorum.SnapshotConfig{Entries: 2},
 				Timing: quorum.TimingConfig{Heartbeat: "150ms", Election: "150ms", Commit: "10ms", Lease: "100ms"}},
 			Rollout: RolloutConfig{Console: freeAddress(t), Peers: peers, Dwell: "50ms", Patience: "1s"}}
 		require.NoError(t, cfg.Valid())
@@ -128,9 +129,9 @@
 	conn *rpc.Client
 	args rollout.WatchArgs
 
-	mu    sync.Mutex
-	last  rollout.WatchReply
-	texts map[string]string // by name
+	mu        sync.Mutex
+	lastReply rollout.WatchReply
+	texts     map[string]string // by name
 }
 
 func (g *testGroup) agent(id, name string) *testAgent {
@@ -148,8 +149,8 @@
 	args := a.args
 	args.Have = maps.Clone(a.args.Have)
 	args.Report.Seen = args.Have
-	if a.last.AgainMs > 0 {
-		args.PatienceMs = a.last.AgainMs
+	if a.lastReply.AgainMs > 0 {
+		args.PatienceMs = a.lastReply.AgainMs
 	}
 	var r rollout.WatchReply
 	if err := a.conn.Call("Rollout.Watch", args, &r); err != nil {
@@ -157,7 +158,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.last = r
+	a.lastReply = r
 	a.args.Version = max(a.args.Version, r.Version)
 	for _, d := range r.Docs {
 		key := d.Name.String()
@@ -203,7 +204,7 @@
 	agents := []*testAgent{}
 	for i, id := range []string{"c1", "c2", "c3", "c4"} {
 		a := g.agent(id, fmt.Sprintf("a%d", i+1)).run()
-		a.until("up to date", func() bool { return a.last.Machine != "" && !a.last.Lagging })
+		a.until("up to date", func() bool { return a.lastReply.Machine != "" && !a.lastReply.Lagging })
 		agents = append(agents, a)
 	}
 	routes := parseName(t, "routes@all")
@@ -231,6 +232,6 @@
 	require.Greater(t, second, first)
 	for _, a := range agents {
 		a.has("routes@all", "routes: 2")
-		a.until("not whole", func() bool { return !a.last.Whole })
+		a.until("not whole", func() bool { return !a.lastReply.Whole })
 	}
 }
--- a/internal/fleet/control/fault_test.go
+++ b/internal/fleet/control/fault_test.go
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	require.True(t, r.Lagging || len(r.Docs) == 1, "%+v", r)
 	back.run().has("routes@all", "routes: 2")
-	back.until("up to date", func() bool { return !back.last.Lagging })
+	back.until("up to date", func() bool { return !back.lastReply.Lagging })
 
 	patient := g.agent("c4", "patient") // must be answered before its patience ends
 	patient.args.PatienceMs = 9000
@@ -58,10 +58,10 @@
 	began := time.Now()
 	g.close("c1")
 	g.close("c2")
-	patient.until("lagging", func() bool { return patient.last.Lagging })
+	patient.until("lagging", func() bool { return patient.lastReply.Lagging })
 	require.Less(t, time.Since(began), 8*time.Second)
-	at4.until("lagging", func() bool { return at4.last.Lagging })
-	back.until("lagging", func() bool { return back.last.Lagging })
+	at4.until("lagging", func() bool { return at4.lastReply.Lagging })
+	back.until("lagging", func() bool { return back.lastReply.Lagging })
 	late := g.agent("c4", "late")
 	r, err = late.watch()
 	require.NoError(t, err)
@@ -73,8 +73,8 @@
 
 	g.open("c1")
 	g.open("c2")
-	back.until("up to date", func() bool { return !back.last.Lagging })
-	at4.until("up to date", func() bool { return !at4.last.Lagging })
+	back.until("up to date", func() bool { return !back.lastReply.Lagging })
+	at4.until("up to date", func() bool { return !at4.lastReply.Lagging })
 	_, err = g.put(rollout.Entry{Name: routes, Base: second, Text: []byte("routes: 3")})
 	require.NoError(t, err)
 	at4.has("routes@all", "routes: 3")
@@ -123,7 +123,7 @@
 func TestMalformedRequests(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c4", "a4").run()
-	a.until("up to date", func() bool { return a.last.Machine != "" && !a.last.Lagging })
+	a.until("up to date", func() bool { return a.lastReply.Machine != "" && !a.lastReply.Lagging })
 	types := &bytes.Buffer{} // more type definitions than a connection may send
 	for range maxTypeDefinitions {
 		var b bytes.Buffer
@@ -169,7 +169,7 @@
 func TestLateStageEntries(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c4", "a4").run()
-	a.until("first answer", func() bool { return a.last.Machine != "" })
+	a.until("first answer", func() bool { return a.lastReply.Machine != "" })
 	number, err := g.put(rollout.Entry{Name: parseName(t, "routes@all"), Text: []byte("routes: 1")})
 	require.NoError(t, err)
 	a.has("routes@all", "routes: 1")
@@ -266,7 +266,7 @@
 func TestConsoleOrders(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c1", "a1").run()
-	a.until("first answer", func() bool { return a.last.Machine != "" })
+	a.until("first answer", func() bool { return a.lastReply.Machine != "" })
 	g.leader()
 	var first, second uint64
 	_, err := fmt.Sscanf(g.askConsole("c4", "config put routes@all 0 ann\nroutes: 1\nEOT"), "SUCCESS routes@all is at %d", &first)
@@ -365,7 +365,7 @@
 func TestNonVoterLosesDisk(t *testing.T) {
 	g := startGroup(t)
 	a := g.agent("c1", "a1").run()
-	a.until("first answer", func() bool { return a.last.Machine != "" })
+	a.until("first answer", func() bool { return a.lastReply.Machine != "" })
 	var number uint64
 	for i := range 4 {
 		var err error
@@ -383,6 +383,6 @@
 	back := g.agent("c4", "a4")
 	back.args.Have, back.args.Version = map[string]uint64{"routes@all": number - 1}, number-1
 	back.run().has("routes@all", "routes: 3")
-	back.until("up to date", func() bool { return !back.last.Lagging })
+	back.until("up to date", func() bool { return !back.lastReply.Lagging })
 	require.NotEqual(t, "0", g.nodes["c4"].Raft.Stats()["last_snapshot_index"])
 }
--- a/internal/fleet/control/orders.go
+++ b/internal/fleet/control/orders.go
@@ -109,17 +109,17 @@
 	defer cancel()
 	for {
 		number, err := client.Put(ctx, e)
-		var later *quorum.RetryAfterError
+		var retryAfter *quorum.RetryAfterError
 		switch {
 		case err == nil:
 			return fmt.Sprintf("%s %v is at %d", console.Success, e.Name, number)
 		case errors.Is(err, quorum.ErrUnknownOutcome):
 			return fmt.Sprintf("%s %v; look (CONFIG LOOK %v) before it is ordered again", console.Failure, err, e.Name)
-		case !errors.As(err, &later):
+		case !errors.As(err, &retryAfter):
 			return failure(err)
 		}
 		select {
-		case <-time.After(max(later.After/4, 20*time.Millisecond)):
+		case <-time.After(max(retryAfter.After/4, 20*time.Millisecond)):
 		case <-ctx.Done():
 			return fmt.Sprintf("%s not taken: %v", console.Failure, err)
 		}
--- a/internal/fleet/control/service.go
+++ b/internal/fleet/control/service.go
@@ -222,8 +222,8 @@
 	if len(e.Text) > rollout.MaxTextBytes {
 		return fmt.Errorf("%w: field text: %d bytes, most %d", rollout.ErrEntry, len(e.Text), rollout.MaxTextBytes)
 	}
-	var any any
-	if err := yamlfile.Decode(e.Text, &any); err != nil {
+	var document any
+	if err := yamlfile.Decode(e.Text, &document); err != nil {
 		return fmt.Errorf("%w: field text: %w", rollout.ErrEntry, err)
 	}
 	return nil
@@ -276,39 +276,39 @@
 func (n *Node) overview(name string) (r OverviewReply, err error) {
 	var names []rollout.Name
 	if name != "" {
-		one, err := rollout.ParseName(name)
+		parsed, err := rollout.ParseName(name)
 		if err != nil {
 			return r, err
 		}
-		names = []rollout.Name{one}
+		names = []rollout.Name{parsed}
 	}
 	reports, now := n.reports(), time.Now().UnixMicro()
 	r = OverviewReply{Machine: n.cfg.ID, State: n.Raft.State().String(), Leader: n.Leader()}
 	for _, m := range n.Servers() {
-		text := fmt.Sprintf("%s=%s", m.ID, m.Address)
+		member := fmt.Sprintf("%s=%s", m.ID, m.Address)
 		if m.Suffrage != raft.Voter {
-			text += " (no vote)"
+			member += " (no vote)"
 		}
-		r.Members = append(r.Members, text)
+		r.Members = append(r.Members, member)
 	}
 	n.fsm.mu.RLock()
 	defer n.fsm.mu.RUnlock()
-	st := n.fsm.state
-	r.Applied, r.Lagging = st.Applied(), n.fsm.lagging
+	state := n.fsm.state
+	r.Applied, r.Lagging = state.Applied(), n.fsm.lagging
 	if names == nil {
-		names = st.Names()
+		names = state.Names()
 	}
 	for _, document := range names {
-		latest, ok := st.Latest(document)
+		latest, ok := state.Latest(document)
 		if !ok {
 			continue
 		}
 		v := NameView{Latest: latest,
-			Coverage: rollout.ComputeCoverage(st, document, reports, now, n.settings.Fresh.Microseconds())}
+			Coverage: rollout.ComputeCoverage(state, document, reports, now, n.settings.Fresh.Microseconds())}
 		if name == "" {
 			v.Latest.Text = nil
 		} else {
-			v.History = st.History(document)
+			v.History = state.History(document)
 		}
 		r.Names = append(r.Names, v)
 	}
--- a/internal/fleet/promisestore/store.go
+++ b/internal/fleet/promisestore/store.go
@@ -299,10 +299,10 @@
 func (s *Store) notStored(what, call, group string, err error) agent.StoreResult {
 	s.Counts.NotStored.Add(1)
 	after := replica.DefaultTiming.Election * 2
-	var later *replica.RetryAfterError
+	var retryAfter *replica.RetryAfterError
 	switch {
-	case errors.As(err, &later):
-		after = later.After
+	case errors.As(err, &retryAfter):
+		after = retryAfter.After
 	case errors.Is(err, promise.ErrStale):
 		s.Counts.StaleRing.Add(1)
 	}
--- a/internal/fleet/quorum/client.go
+++ b/internal/fleet/quorum/client.go
@@ -71,22 +71,22 @@
 // again) as long as it fails with a RetryAfterError, waiting a quarter of the advised time between
 // attempts, until the context ends. If any attempt may have been committed, the final error is
 // ErrUnknownOutcome.
-func Retry(ctx context.Context, do func() error) error {
+func Retry(ctx context.Context, operation func() error) error {
 	unknown := false
 	for {
-		err := do()
-		var later *RetryAfterError
-		if !errors.As(err, &later) {
+		err := operation()
+		var retryAfter *RetryAfterError
+		if !errors.As(err, &retryAfter) {
 			return err
 		}
 		unknown = unknown || errors.Is(err, ErrUnknownOutcome)
-		wait := time.NewTimer(max(later.After/4, 20*time.Millisecond))
+		wait := time.NewTimer(max(retryAfter.After/4, 20*time.Millisecond))
 		select {
 		case <-wait.C:
 		case <-ctx.Done():
 			wait.Stop()
 			if unknown {
-				return &RetryAfterError{ErrUnknownOutcome, later.After, later.Message}
+				return &RetryAfterError{ErrUnknownOutcome, retryAfter.After, retryAfter.Message}
 			}
 			return err
 		}
@@ -111,44 +111,44 @@
 // ErrUnknownOutcome. final, if not nil, reports which other outcomes end it, and with which error.
 func (c *Client) AskLeader(ctx context.Context, ask func(id string) (Answer, error),
 	final func(Answer) (done bool, err error)) error {
-	last := &RetryAfterError{ErrNoQuorum, DefaultRetryAfter, "no member asked"}
-	sent := false // a member may have accepted the request without answering: the outcome is then unknown
+	lastErr := &RetryAfterError{ErrNoQuorum, DefaultRetryAfter, "no member asked"}
+	maybeAccepted := false // a member may have accepted the request without answering
 	for range 2 * len(c.members) {
 		if ctx.Err() != nil {
-			last.Message += ": " + ctx.Err().Error()
+			lastErr.Message += ": " + ctx.Err().Error()
 			break
 		}
 		id := c.nextMember()
-		r, err := ask(id)
+		answer, err := ask(id)
 		if err != nil {
-			sent = sent || !errors.Is(err, ErrNotSent)
-			last = &RetryAfterError{ErrNoQuorum, DefaultRetryAfter, fmt.Sprintf("member %s: %v", id, err)}
+			maybeAccepted = maybeAccepted || !errors.Is(err, ErrNotSent)
+			lastErr = &RetryAfterError{ErrNoQuorum, DefaultRetryAfter, fmt.Sprintf("member %s: %v", id, err)}
 			c.forgetLeader(id)
 			continue
 		}
-		after := time.Duration(r.ComeBackMs) * time.Millisecond
+		after := time.Duration(answer.ComeBackMs) * time.Millisecond
 		if final != nil {
-			if done, err := final(r); done {
+			if done, err := final(answer); done {
 				return err
 			}
 		}
-		switch r.Outcome {
+		switch answer.Outcome {
 		case Committed:
 			return nil
 		case NotLeader:
-			c.SetLeader(r.Leader)
+			c.SetLeader(answer.Leader)
 		case Unknown:
 			c.forgetLeader(id) // deposed or stalled: the next call asks another member first
-			return &RetryAfterError{ErrUnknownOutcome, after, r.Error}
+			return &RetryAfterError{ErrUnknownOutcome, after, answer.Error}
 		default:
 			c.SetLeader("")
-			last = &RetryAfterError{ErrNoQuorum, after, "member " + id + " knows no leader"}
+			lastErr = &RetryAfterError{ErrNoQuorum, after, "member " + id + " knows no leader"}
 		}
 	}
-	if sent {
-		last.Err = ErrUnknownOutcome
+	if maybeAccepted {
+		lastErr.Err = ErrUnknownOutcome
 	}
-	return last
+	return lastErr
 }
 
 // DefaultRetryAfter is the wait advised when no member answered: two default election timeouts, as
--- a/internal/fleet/quorum/client_test.go
+++ b/internal/fleet/quorum/client_test.go
@@ -13,16 +13,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo is an RPC service that returns its argument.
-type echo struct{}
+// echoService is an RPC service that returns its argument.
+type echoService struct{}
 
-func (echo) Say(n int, r *int) error { *r = n; return nil }
+func (echoService) Say(n int, r *int) error { *r = n; return nil }
 
 // TestReconnectAfterMemberClosed checks that a call on a connection that the member has closed in
 // the meantime is made on a new one, and is not reported as possibly committed: nothing of it was sent.
 func TestReconnectAfterMemberClosed(t *testing.T) {
 	srv := rpc.NewServer()
-	require.NoError(t, srv.RegisterName("Echo", echo{}))
+	require.NoError(t, srv.RegisterName("Echo", echoService{}))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -74,21 +74,22 @@
 // delayingCodec holds the first answer back and writes it just before the second one.
 type delayingCodec struct {
 	io.ReadWriteCloser
-	in   *gob.Decoder
-	out  *gob.Encoder
-	kept *rpc.Response
-	body any
+	decoder     *gob.Decoder
+	encoder     *gob.Encoder
+	firstHeader *rpc.Response
+	firstBody   any
 }
 
-func (c *delayingCodec) ReadRequestHeader(r *rpc.Request) error { return c.in.Decode(r) }
-func (c *delayingCodec) ReadRequestBody(body any) error         { return c.in.Decode(body) }
+func (c *delayingCodec) ReadRequestHeader(r *rpc.Request) error { return c.decoder.Decode(r) }
+func (c *delayingCodec) ReadRequestBody(body any) error         { return c.decoder.Decode(body) }
 func (c *delayingCodec) WriteResponse(r *rpc.Response, body any) error {
-	if c.kept == nil {
+	if c.firstHeader == nil {
 		first := *r
-		c.kept, c.body = &first, body
+		c.firstHeader, c.firstBody = &first, body
 		return nil
 	}
-	return errors.Join(c.out.Encode(c.kept), c.out.Encode(c.body), c.out.Encode(r), c.out.Encode(body))
+	return errors.Join(c.encoder.Encode(c.firstHeader), c.encoder.Encode(c.firstBody),
+		c.encoder.Encode(r), c.encoder.Encode(body))
 }
 
 // TestLateAnswer checks that an answer that comes after its call has timed out does not overwrite
@@ -98,10 +99,11 @@
 	require.NoError(t, err)
 	defer ln.Close()
 	srv := rpc.NewServer()
-	require.NoError(t, srv.RegisterName("Echo", echo{}))
+	require.NoError(t, srv.RegisterName("Echo", echoService{}))
 	go func() {
 		if conn, err := ln.Accept(); err == nil {
-			srv.ServeCodec(&delayingCodec{ReadWriteCloser: conn, in: gob.NewDecoder(conn), out: gob.NewEncoder(conn)})
+			srv.ServeCodec(&delayingCodec{ReadWriteCloser: conn,
+				decoder: gob.NewDecoder(conn), encoder: gob.NewEncoder(conn)})
 		}
 	}()
 	c := NewClient(map[string]string{"a": ln.Addr().String()})
--- a/internal/fleet/quorum/member.go
+++ b/internal/fleet/quorum/member.go
@@ -54,13 +54,13 @@
 	log     *slog.Logger
 }
 
-func (f fsm) Apply(l *raft.Log) any {
-	if l.Type != raft.LogCommand {
+func (f fsm) Apply(entry *raft.Log) any {
+	if entry.Type != raft.LogCommand {
 		return nil
 	}
-	res, err := f.machine.Apply(l.Index, l.Data)
+	res, err := f.machine.Apply(entry.Index, entry.Data)
 	if err != nil {
-		f.log.Warn("entry refused", "index", l.Index, "error", err)
+		f.log.Warn("entry refused", "index", entry.Index, "error", err)
 	}
 	return applyResult{res, err}
 }
--- a/internal/fleet/quorum/propose.go
+++ b/internal/fleet/quorum/propose.go
@@ -36,12 +36,12 @@
 	if a = m.CheckLeader(); a.Outcome != Committed {
 		return nil, a, nil
 	}
-	f := m.Raft.Apply(data, applyTimeout)
-	if a = m.AnswerForError(f.Error()); a.Outcome != Committed {
+	future := m.Raft.Apply(data, applyTimeout)
+	if a = m.AnswerForError(future.Error()); a.Outcome != Committed {
 		return nil, a, nil
 	}
-	r := f.Response().(applyResult)
-	return r.result, a, r.err
+	applied := future.Response().(applyResult)
+	return applied.result, a, applied.err
 }
 
 // Barrier returns Committed once all entries committed before the call are applied here, if this
@@ -112,9 +112,9 @@
 
 // Servers returns the members of the group as known to this one, or nil if that can't be read.
 func (m *Member) Servers() []raft.Server {
-	f := m.Raft.GetConfiguration()
-	if f.Error() != nil {
+	future := m.Raft.GetConfiguration()
+	if future.Error() != nil {
 		return nil
 	}
-	return f.Configuration().Servers
+	return future.Configuration().Servers
 }
--- a/internal/fleet/replica/client_test.go
+++ b/internal/fleet/replica/client_test.go
@@ -63,9 +63,9 @@
 		client.SetLeader(c.leader)
 		_, err := client.Propose(context.Background(), promise.Entry{Op: promise.OpClaim})
 		require.ErrorIs(t, err, c.want, c.name)
-		var later *RetryAfterError
-		if errors.As(err, &later) {
-			require.Positive(t, later.After, c.name)
+		var retryAfter *RetryAfterError
+		if errors.As(err, &retryAfter) {
+			require.Positive(t, retryAfter.After, c.name)
 		}
 	}
 	// Once an entry may have been committed, its outcome stays unknown, whatever later attempts say.
