--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -61,8 +61,7 @@
 	for i, id := range ids {
 		cfg := Config{
 			Config: quorum.Config{ID: id, Raft: bootstrap[i].Raft, Client: peers[id],
-				Data: filepath.Join(t.TempDir(), id),
-				Bootstrap: bootstrap, Snapshot: quorum.SnapshotConfig{Entries: 2},
+				Data: filepath.Join(t.TempDir(), id), Bootstrap: bootstrap, Snapshot: quorum.SnapshotConfig{Entries: 2},
 				Timing: quorum.TimingConfig{Heartbeat: "150ms", Election: "150ms", Commit: "10ms", Lease: "100ms"}},
 			Rollout: RolloutConfig{Console: freeAddress(t), Peers: peers, Dwell: "50ms", Patience: "1s"}}
 		require.NoError(t, cfg.Valid())
