--- a/internal/fleet/control/conn.go
+++ b/internal/fleet/control/conn.go
@@ -24,7 +24,7 @@
 	maxTypeDefinitions = 64               // gob type definitions per connection; one service needs about 15
 	maxPendingRequests = 8                // unanswered requests per connection; further ones are not read yet
 	maxConnections     = 4200             // two for each of 1,460 agents, and a reserve; further ones are closed
-	requestTimeout     = 5 * time.Second  // from a request's first byte to its last
+	requestTimeout     = 5 * time.Second  // for the rest of a request, and for the first one to begin
 	answerTimeout      = 5 * time.Second  // for the client to read an answer
 	idleTimeout        = 30 * time.Second // between two requests
 )
@@ -66,6 +66,7 @@
 	return nil
 }
 
+// accept accepts connections until the listener is closed.
 func (s *server) accept() {
 	for {
 		conn, err := s.ln.Accept()
@@ -183,7 +184,7 @@
 	if c.in.err != nil {
 		return c.in.err
 	}
-	idle := requestTimeout // a client that has sent no request yet gets less time
+	idle := requestTimeout // a client that has sent no request yet must not hold a connection for long
 	if c.hadRequest {
 		idle = idleTimeout
 	}
--- a/internal/fleet/control/service.go
+++ b/internal/fleet/control/service.go
@@ -104,9 +104,9 @@
 // watchState is what the current state holds for a watcher.
 type watchState struct {
 	reply     rollout.WatchReply
-	answerNow bool            // the reply has news, and must be sent at once
+	answerNow bool            // the reply has something new, and is sent at once
 	behind    bool            // the watcher knows a later version than this machine
-	changed   <-chan struct{} // closed when the state changes
+	changed   <-chan struct{} // closed when the state or lagging changes
 }
 
 // watchStateFor returns what the state holds for a watcher; first is true when its watch has just come.
--- a/internal/fleet/promisestore/store.go
+++ b/internal/fleet/promisestore/store.go
@@ -99,7 +99,7 @@
 		}
 	}
 	if old := s.rings.Swap(v); old != nil {
-		// Proposals in progress may still use the old clients. Their own timeouts end them before this.
+		// Proposals in progress may still use the old clients; their own timeouts end them before then.
 		time.AfterFunc(2*endTimeout, old.close)
 	}
 }
@@ -240,6 +240,8 @@
 	}
 }
 
+// resolve proposes a resolution at one group after another. What is stored at one group, which may be
+// another agent's resolution, is proposed at the next.
 func (s *Store) resolve(ctx context.Context, e promise.Entry) agent.StoreResult {
 	v, proposed := s.rings.Load(), e
 	var stored promise.Resolution
@@ -318,9 +320,9 @@
 func toPromise(r promise.Resolution) *agent.Promise {
 	p := &agent.Promise{Outcome: agent.Failed, Server: r.Server, Description: r.Description,
 		RetryAfter: time.Duration(r.ComeBackUs) * time.Microsecond, Ended: r.Over}
-	for o, word := range answerByOutcome {
-		if word == r.Answer {
-			p.Outcome = o
+	for outcome, answer := range answerByOutcome {
+		if answer == r.Answer {
+			p.Outcome = outcome
 		}
 	}
 	return p
--- a/internal/fleet/quorum/client.go
+++ b/internal/fleet/quorum/client.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// ErrNoQuorum says that no member could accept the proposal. The caller may retry.
+// ErrNoQuorum says that no member could accept the proposal. The caller may retry. Like all errors of
+// Client it is shown in console answers.
 var ErrNoQuorum = errors.New("quorum: none within reach")
 
 // ErrUnknownOutcome says that the proposal may or may not have been committed.
@@ -155,6 +156,7 @@
 // a member would advise.
 var DefaultRetryAfter = 2 * DefaultTiming.Election
 
+// nextMember returns the member to ask: the leader if it is known, or else the next in rotation.
 func (c *Client) nextMember() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,6 +231,7 @@
 	}
 }
 
+// connect returns the open connection, or dials a new one.
 func (m *memberConn) connect(ctx context.Context) (*rpc.Client, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,8 +248,8 @@
 }
 
 // recordAnswer records that a call ended. An error that is not the member's answer closes the
-// connection. unsent is true if the connection was closed before the call, and not by this client,
-// which would have broken calls that may have been sent.
+// connection. unsent is true if the member had closed the connection before the call. If this client
+// closed it, it is false, as the call may have been sent before.
 func (m *memberConn) recordAnswer(conn *rpc.Client, err error) (unsent bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/quorum/member.go
+++ b/internal/fleet/quorum/member.go
@@ -76,6 +76,7 @@
 	return f.machine.Restore(data)
 }
 
+// fsmSnapshot adapts an Image to raft.FSMSnapshot.
 type fsmSnapshot struct{ Image }
 
 func (i fsmSnapshot) Persist(sink raft.SnapshotSink) error {
@@ -224,7 +225,7 @@
 type streamLayer struct {
 	net.Listener
 	advertised net.Addr
-	links      map[string]string
+	links      map[string]string // as Config.Links
 }
 
 func (s *streamLayer) Addr() net.Addr { return s.advertised }
