--- a/internal/fleet/control/fault_test.go
+++ b/internal/fleet/control/fault_test.go
@@ -222,7 +222,7 @@
 		"leadership lost mid-commit": {PutReply{Outcome: quorum.Unknown, ComeBackMs: 40}, nil, quorum.ErrUnknownOutcome},
 		"stopped mid-commit":         {PutReply{}, hold, quorum.ErrUnknownOutcome},
 		"no leader":                  {PutReply{Outcome: quorum.NoQuorum, ComeBackMs: 40}, nil, quorum.ErrNoQuorum},
-		"changed meanwhile":          {PutReply{Outcome: Conflict, Error: "at 7 by bob"}, nil, rollout.ErrConflict},
+		"changed in the meantime":    {PutReply{Outcome: Conflict, Error: "at 7 by bob"}, nil, rollout.ErrConflict},
 		"refused":                    {PutReply{Outcome: quorum.Refused, Error: "too large"}, nil, rollout.ErrEntry},
 	} {
 		s := &scriptedMachine{reply: c.reply, hold: c.hold}
--- a/internal/fleet/control/spread_test.go
+++ b/internal/fleet/control/spread_test.go
@@ -123,10 +123,10 @@
 	}
 	require.NoError(t, good.Call(stewards.Method, summary("good", 2, 3), &r))
 	// A panic in an answer only affects that answer.
-	kept := g.nodes["c4"].stewards
+	original := g.nodes["c4"].stewards
 	g.nodes["c4"].stewards = nil
 	require.ErrorContains(t, good.Call(stewards.Method, summary("good", 3, 3), &r), "a fault of this machine")
-	g.nodes["c4"].stewards = kept
+	g.nodes["c4"].stewards = original
 	require.NoError(t, good.Call(stewards.Method, summary("good", 4, 3), &r))
 }
 
--- a/internal/fleet/promisestore/store_test.go
+++ b/internal/fleet/promisestore/store_test.go
@@ -74,10 +74,10 @@
 // stored answer get the same outcome.
 func TestRingChange(t *testing.T) {
 	old, next := ring(1, "g1", "g2"), ring(2, "g1", "g2", "g3")
-	moved := ""
-	for i := 0; moved == ""; i++ {
+	movedCall := ""
+	for i := 0; movedCall == ""; i++ {
 		if c := fmt.Sprintf("%016x", i); len(shard.ClaimSteps(next, &old, c)) == 2 {
-			moved = c
+			movedCall = c
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -105,7 +105,7 @@
 			ctx := context.Background()
 			store := views[first+rapid.IntRange(0, 1).Draw(t, "view")](fmt.Sprint("a", i))
 			token := fmt.Sprint("t", i)
-			if result := store.claim(ctx, moved, token, time.Second); result.OK {
+			if result := store.claim(ctx, movedCall, token, time.Second); result.OK {
 				sent++
 				claimTokens[store] = token
 			} else {
@@ -113,7 +113,7 @@
 			}
 			for store, token := range claimTokens {
 				if rapid.Bool().Draw(t, "resolve") {
-					recordOutcome(store.resolve(ctx, promise.Entry{Op: promise.OpResolve, Call: moved, Token: token,
+					recordOutcome(store.resolve(ctx, promise.Entry{Op: promise.OpResolve, Call: movedCall, Token: token,
 						Answer: promise.AnswerServed, Server: "s"}), agent.Served)
 					delete(claimTokens, store)
 				}
--- a/internal/fleet/quorum/client_test.go
+++ b/internal/fleet/quorum/client_test.go
@@ -108,12 +108,12 @@
 	}()
 	c := NewClient(map[string]string{"a": ln.Addr().String()})
 	defer c.Close()
-	var heard, then int
+	var reply, later int
 	c.CallTimeout = 50 * time.Millisecond
-	require.ErrorIs(t, c.Call(t.Context(), "a", "Echo.Say", 1, &heard), context.DeadlineExceeded)
-	heard = 2 // another member's answer
+	require.ErrorIs(t, c.Call(t.Context(), "a", "Echo.Say", 1, &reply), context.DeadlineExceeded)
+	reply = 2 // another member's answer
 	c.CallTimeout = 10 * time.Second
-	require.NoError(t, c.Call(t.Context(), "a", "Echo.Say", 3, &then))
-	require.Equal(t, 3, then)
-	require.Equal(t, 2, heard)
+	require.NoError(t, c.Call(t.Context(), "a", "Echo.Say", 3, &later))
+	require.Equal(t, 3, later)
+	require.Equal(t, 2, reply)
 }
--- a/internal/fleet/replica/client_test.go
+++ b/internal/fleet/replica/client_test.go
@@ -54,7 +54,7 @@
 		{"a leader under an id that is not known is found", map[string]func() Reply{"a": follower, "b": follower, "c": promised}, "a", nil},
 		{"no leader anywhere", map[string]func() Reply{"a": always(Reply{Outcome: NoQuorum, ComeBackMs: 40})}, "", ErrNoQuorum},
 		{"leadership lost on the way", map[string]func() Reply{"a": lost}, "", ErrUnknownOutcome},
-		{"no answer: it may stand", map[string]func() Reply{"a": nil}, "", ErrUnknownOutcome},
+		{"no answer: the entry may be committed", map[string]func() Reply{"a": nil}, "", ErrUnknownOutcome},
 		{"a ring older than the fence", map[string]func() Reply{"a": always(Reply{Outcome: Stale})}, "", promise.ErrStale},
 	}
 	for _, c := range cases {
--- a/internal/fleet/replica/corrupt_test.go
+++ b/internal/fleet/replica/corrupt_test.go
@@ -54,12 +54,12 @@
 		for i := range 40 {
 			conn, err := net.Dial("tcp", addr)
 			require.NoError(t, err)
-			junk := make([]byte, 1+rng.IntN(300))
-			for j := range junk {
-				junk[j] = byte(rng.Uint32())
+			input := make([]byte, 1+rng.IntN(300))
+			for j := range input {
+				input[j] = byte(rng.Uint32())
 			}
-			junk[0] = byte(i % 8) // the message types that raft's transport knows, and some that it does not
-			conn.Write(junk)
+			input[0] = byte(i % 8) // the message types that raft's transport knows, and some that it does not
+			conn.Write(input)
 			conn.Close()
 		}
 	}
@@ -80,9 +80,9 @@
 	require.NoError(t, err)
 	require.Len(t, snaps, 1)
 	for path, names := range map[string]string{snaps[0]: dir, filepath.Join(dir, "raft.db"): "raft.db"} {
-		was, err := os.ReadFile(path)
+		original, err := os.ReadFile(path)
 		require.NoError(t, err)
-		corrupt := bytes.Clone(was)
+		corrupt := bytes.Clone(original)
 		corrupt[len(corrupt)/2] ^= 0xff
 		if filepath.Base(path) == "raft.db" {
 			corrupt = []byte("not a bolt file, but long enough to be read as one's header....")
@@ -90,9 +90,9 @@
 		require.NoError(t, os.WriteFile(path, corrupt, 0o600))
 		_, err = Open(Config{ID: "n1", Raft: "127.0.0.1:0", Client: "127.0.0.1:0", Data: dir}, slog.New(slog.DiscardHandler))
 		require.ErrorContains(t, err, names)
-		kept, _ := os.ReadFile(path)
-		require.Equal(t, corrupt, kept, "%s was changed", path)
-		require.NoError(t, os.WriteFile(path, was, 0o600))
+		after, _ := os.ReadFile(path)
+		require.Equal(t, corrupt, after, "%s was changed", path)
+		require.NoError(t, os.WriteFile(path, original, 0o600))
 	}
 	n, _, end = openMember(t, dir)
 	n.fsm.read(func(s *promise.State) { _, found := s.Resolution("kept"); require.True(t, found) })
