--- a/internal/circuit/audit.go
+++ b/internal/circuit/audit.go
@@ -7,12 +7,12 @@
 	// ReleaseWait is how long a release may take before its silence is a fault: 300 ms on this
 	// platform. A circuit whose REL went out less than this long ago is never touched.
 	ReleaseWait time.Duration
-	// Stale is how long a circuit may be seized, incoming or outgoing, with no call that this
+	// StaleAfter is how long a circuit may be seized, incoming or outgoing, with no call that this
 	// end knows of, before it is taken for one a crash left behind.
-	Stale time.Duration
-	// Most is how many circuits one audit may reset: a reset is a message to the far end, and
+	StaleAfter time.Duration
+	// MaxResets is how many circuits one audit may reset: a reset is a message to the far end, and
 	// a group left busy by a crash is freed over several rounds, not in one burst.
-	Most int
+	MaxResets int
 }
 
 // Live tells whether a call is known to this end (in flight or standing).
@@ -27,20 +27,20 @@
 // ReleaseWait), nor while a reset is already out for it.
 func (g *Group) Audit(now time.Duration, r AuditRules, live Live) []uint16 {
 	var out []uint16
-	for _, c := range g.cics {
-		if r.Most > 0 && len(out) >= r.Most {
+	for _, cic := range g.cics {
+		if r.MaxResets > 0 && len(out) >= r.MaxResets {
 			break
 		}
-		k := g.circuits[c]
-		age := now - k.Since
-		switch k.State {
+		circuit := g.circuits[cic]
+		age := now - circuit.Since
+		switch circuit.State {
 		case Outgoing, Incoming, Busy:
-			if !live(k.Call) && age >= max(r.Stale, r.ReleaseWait) {
-				out = append(out, c)
+			if !live(circuit.Call) && age >= max(r.StaleAfter, r.ReleaseWait) {
+				out = append(out, cic)
 			}
 		case Releasing:
-			if age > r.ReleaseWait+r.Stale {
-				out = append(out, c)
+			if age > r.ReleaseWait+r.StaleAfter {
+				out = append(out, cic)
 			}
 		}
 	}
--- a/internal/circuit/circuit.go
+++ b/internal/circuit/circuit.go
@@ -29,10 +29,10 @@
 
 var stateNames = [...]string{"idle", "outgoing", "incoming", "busy", "releasing", "resetting", "blocked"}
 
-func (s State) String() string { return named(stateNames[:], int(s), "state") }
+func (s State) String() string { return enumName(stateNames[:], int(s), "state") }
 
-// named is a value's name from its table, or kind(n) for one outside it.
-func named(names []string, n int, kind string) string {
+// enumName is a value's name from its table, or kind(n) for one outside it.
+func enumName(names []string, n int, kind string) string {
 	if n < 0 || n >= len(names) {
 		return fmt.Sprintf("%s(%d)", kind, n)
 	}
@@ -56,7 +56,7 @@
 
 var messageNames = [...]string{"IAM", "ACM", "ANM", "REL", "RLC", "RSC", "BLO", "UBL"}
 
-func (m Message) String() string { return named(messageNames[:], int(m), "message") }
+func (m Message) String() string { return enumName(messageNames[:], int(m), "message") }
 
 // Circuit is one circuit of a group.
 type Circuit struct {
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -67,7 +67,7 @@
 
 // TestAudit: what a crash left busy is reset; a live call or a release within its wait is not.
 func TestAudit(t *testing.T) {
-	rules := AuditRules{ReleaseWait: 300 * ms, Stale: 500 * ms, Most: 8}
+	rules := AuditRules{ReleaseWait: 300 * ms, StaleAfter: 500 * ms, MaxResets: 8}
 	for _, tc := range []struct {
 		name  string
 		state State
@@ -86,8 +86,8 @@
 		{"reset out", Resetting, time.Hour, false, false},
 	} {
 		g, _ := NewGroup(20, 10, []uint16{7})
-		k := g.Circuit(7)
-		k.State, k.Since, k.Call = tc.state, 0, "c"
+		circuit := g.Circuit(7)
+		circuit.State, circuit.Since, circuit.Call = tc.state, 0, "c"
 		got := g.Audit(tc.age, rules, func(string) bool { return tc.live })
 		if (len(got) == 1) != tc.reset {
 			t.Errorf("%s: reset %v, want %v", tc.name, got, tc.reset)
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestOutOfOrder: a message the state does not allow is an error naming both, and changes nothing.
-func TestOutOfOrder(t *testing.T) {
+// TestUnexpectedMessages: a message the state does not allow is an error naming both, and changes nothing.
+func TestUnexpectedMessages(t *testing.T) {
 	g, _ := NewGroup(20, 10, []uint16{5})
 	if _, err := g.Receive(5, ANM, "", 0); err == nil || g.Circuit(5).State != Idle {
 		t.Errorf("ANM on an idle circuit: %v, %v", err, g.Circuit(5).State)
--- a/internal/circuit/group.go
+++ b/internal/circuit/group.go
@@ -20,12 +20,12 @@
 		return nil, fmt.Errorf("circuit: both ends have point code %d: glare could not be settled", own)
 	}
 	g := &Group{Own: own, Far: far, circuits: map[uint16]*Circuit{}}
-	for _, c := range cics {
-		if g.circuits[c] != nil {
-			return nil, fmt.Errorf("circuit: CIC %d twice in the group", c)
+	for _, cic := range cics {
+		if g.circuits[cic] != nil {
+			return nil, fmt.Errorf("circuit: CIC %d twice in the group", cic)
 		}
-		g.circuits[c] = &Circuit{CIC: c}
-		g.cics = append(g.cics, c)
+		g.circuits[cic] = &Circuit{CIC: cic}
+		g.cics = append(g.cics, cic)
 	}
 	// Controlled circuits first, from the bottom; the far end's from the top, so that the two
 	// ends meet on one circuit only when few are left (Q.764 2.9.1.3, the second method).
@@ -50,18 +50,18 @@
 // Seize picks an idle circuit for an outgoing call, passing over those in avoid (the ones
 // a retry after glare must not meet again), and marks it outgoing. ok is false when none is free.
 func (g *Group) Seize(call string, now time.Duration, avoid ...uint16) (cic uint16, ok bool) {
-	for _, c := range g.cics {
-		k := g.circuits[c]
-		if k.State == Idle && !k.Blocked && !slices.Contains(avoid, c) {
-			g.enter(k, Outgoing, now, call)
-			return c, true
+	for _, cic := range g.cics {
+		circuit := g.circuits[cic]
+		if circuit.State == Idle && !circuit.Blocked && !slices.Contains(avoid, cic) {
+			g.setState(circuit, Outgoing, now, call)
+			return cic, true
 		}
 	}
 	return 0, false
 }
 
-func (g *Group) enter(k *Circuit, s State, now time.Duration, call string) {
-	k.State, k.Since, k.Call = s, now, call
+func (g *Group) setState(circuit *Circuit, s State, now time.Duration, call string) {
+	circuit.State, circuit.Since, circuit.Call = s, now, call
 }
 
 // Outcome is what a message means for this end: what to send back, how a dual seizure was
@@ -77,94 +77,94 @@
 // does not allow is an error naming both; the state is then left as it was, but for REL and
 // RSC, which any state must answer (Q.764 2.10.1: an unexpected message is met with a reset).
 func (g *Group) Receive(cic uint16, m Message, call string, now time.Duration) (Outcome, error) {
-	k := g.circuits[cic]
-	if k == nil {
+	circuit := g.circuits[cic]
+	if circuit == nil {
 		return Outcome{}, fmt.Errorf("circuit: CIC %d is not in the group", cic)
 	}
 	switch m {
 	case IAM:
-		return g.seized(k, call, now)
+		return g.receiveIAM(circuit, call, now)
 	case ACM, ANM:
-		if k.State != Outgoing && k.State != Busy {
-			return Outcome{}, unexpected(k, m)
+		if circuit.State != Outgoing && circuit.State != Busy {
+			return Outcome{}, unexpected(circuit, m)
 		}
-		g.enter(k, Busy, now, k.Call)
+		g.setState(circuit, Busy, now, circuit.Call)
 		return Outcome{}, nil
 	case REL:
-		ended := k.Call
-		g.enter(k, Idle, now, "")
+		ended := circuit.Call
+		g.setState(circuit, Idle, now, "")
 		return Outcome{Send: []Message{RLC}, Ended: ended}, nil
 	case RLC:
-		if k.State != Releasing && k.State != Resetting {
-			return Outcome{}, unexpected(k, m)
+		if circuit.State != Releasing && circuit.State != Resetting {
+			return Outcome{}, unexpected(circuit, m)
 		}
-		g.enter(k, Idle, now, "")
+		g.setState(circuit, Idle, now, "")
 		return Outcome{}, nil
 	case RSC:
-		ended := k.Call
-		g.enter(k, Idle, now, "")
-		k.Blocked = false // a reset also ends blocking (Q.764 2.10.3.1)
+		ended := circuit.Call
+		g.setState(circuit, Idle, now, "")
+		circuit.Blocked = false // a reset also ends blocking (Q.764 2.10.3.1)
 		return Outcome{Send: []Message{RLC}, Ended: ended}, nil
 	case BLO:
-		k.Blocked = true
+		circuit.Blocked = true
 		return Outcome{}, nil
 	case UBL:
-		k.Blocked = false
+		circuit.Blocked = false
 		return Outcome{}, nil
 	}
 	return Outcome{}, fmt.Errorf("circuit: CIC %d: message %v is not one of this model's", cic, m)
 }
 
-// seized takes the far end's IAM: on an idle circuit it is incoming; on one this end has
+// receiveIAM takes the far end's IAM: on an idle circuit it is incoming; on one this end has
 // seized, it is a dual seizure settled by Controls.
-func (g *Group) seized(k *Circuit, call string, now time.Duration) (Outcome, error) {
+func (g *Group) receiveIAM(circuit *Circuit, call string, now time.Duration) (Outcome, error) {
 	switch {
-	case k.State == Idle && !k.Blocked:
-		g.enter(k, Incoming, now, call)
+	case circuit.State == Idle && !circuit.Blocked:
+		g.setState(circuit, Incoming, now, call)
 		return Outcome{}, nil
-	case k.State == Outgoing && Controls(k.CIC, g.Own, g.Far):
+	case circuit.State == Outgoing && Controls(circuit.CIC, g.Own, g.Far):
 		return Outcome{Glare: KeepOwn}, nil
-	case k.State == Outgoing:
-		lost := k.Call
-		g.enter(k, Incoming, now, call)
+	case circuit.State == Outgoing:
+		lost := circuit.Call
+		g.setState(circuit, Incoming, now, call)
 		return Outcome{Glare: BackOff, Retry: lost}, nil
 	}
-	return Outcome{}, unexpected(k, IAM)
+	return Outcome{}, unexpected(circuit, IAM)
 }
 
-func unexpected(k *Circuit, m Message) error {
-	return fmt.Errorf("circuit: CIC %d: %v while %v", k.CIC, m, k.State)
+func unexpected(circuit *Circuit, m Message) error {
+	return fmt.Errorf("circuit: CIC %d: %v while %v", circuit.CIC, m, circuit.State)
 }
 
 // Answer marks an incoming call answered by this end.
 func (g *Group) Answer(cic uint16, now time.Duration) error {
-	k := g.circuits[cic]
-	if k == nil || k.State != Incoming {
+	circuit := g.circuits[cic]
+	if circuit == nil || circuit.State != Incoming {
 		return fmt.Errorf("circuit: CIC %d: no incoming call to answer", cic)
 	}
-	g.enter(k, Busy, now, k.Call)
+	g.setState(circuit, Busy, now, circuit.Call)
 	return nil
 }
 
 // Release has this end end the call on a circuit: REL goes out and the circuit waits for RLC.
 func (g *Group) Release(cic uint16, now time.Duration) (Outcome, error) {
-	k := g.circuits[cic]
-	if k == nil || k.State == Idle || k.State == Releasing || k.State == Resetting {
+	circuit := g.circuits[cic]
+	if circuit == nil || circuit.State == Idle || circuit.State == Releasing || circuit.State == Resetting {
 		return Outcome{}, fmt.Errorf("circuit: CIC %d: nothing to release", cic)
 	}
-	ended := k.Call
-	g.enter(k, Releasing, now, "")
+	ended := circuit.Call
+	g.setState(circuit, Releasing, now, "")
 	return Outcome{Send: []Message{REL}, Ended: ended}, nil
 }
 
 // Reset has this end reset a circuit: RSC goes out, and the call it carried, if any, ends.
 func (g *Group) Reset(cic uint16, now time.Duration) (Outcome, error) {
-	k := g.circuits[cic]
-	if k == nil {
+	circuit := g.circuits[cic]
+	if circuit == nil {
 		return Outcome{}, fmt.Errorf("circuit: CIC %d is not in the group", cic)
 	}
-	ended := k.Call
-	g.enter(k, Resetting, now, "")
+	ended := circuit.Call
+	g.setState(circuit, Resetting, now, "")
 	return Outcome{Send: []Message{RSC}, Ended: ended}, nil
 }
 
@@ -184,7 +184,7 @@
 
 var groupNames = [...]string{"GRS", "GRA", "CGB", "CGBA", "CGU", "CGUA"}
 
-func (m GroupMessage) String() string { return named(groupNames[:], int(m), "group message") }
+func (m GroupMessage) String() string { return enumName(groupNames[:], int(m), "group message") }
 
 // GroupOutcome is what a group message means for this end: the acknowledgement to send for
 // the CICs it names, and the calls that ended.
@@ -198,31 +198,31 @@
 // nothing changes and the error names the first that is not; an acknowledgement received is
 // taken as the end of this end's own reset or blocking, and is answered by nothing.
 func (g *Group) ReceiveGroup(m GroupMessage, cics []uint16, now time.Duration) (GroupOutcome, error) {
-	for _, c := range cics {
-		if g.circuits[c] == nil {
-			return GroupOutcome{}, fmt.Errorf("circuit: %v names CIC %d, which is not in the group", m, c)
+	for _, cic := range cics {
+		if g.circuits[cic] == nil {
+			return GroupOutcome{}, fmt.Errorf("circuit: %v names CIC %d, which is not in the group", m, cic)
 		}
 	}
 	out := GroupOutcome{CICs: cics}
-	for _, c := range cics {
-		k := g.circuits[c]
+	for _, cic := range cics {
+		circuit := g.circuits[cic]
 		switch m {
 		case GRS: // as RSC on each: the calls end, blocking ends
-			if k.Call != "" {
-				out.Ended = append(out.Ended, k.Call)
+			if circuit.Call != "" {
+				out.Ended = append(out.Ended, circuit.Call)
 			}
-			g.enter(k, Idle, now, "")
-			k.Blocked = false
+			g.setState(circuit, Idle, now, "")
+			circuit.Blocked = false
 			out.Ack = GRA
 		case CGB:
-			k.Blocked = true
+			circuit.Blocked = true
 			out.Ack = CGBA
 		case CGU:
-			k.Blocked = false
+			circuit.Blocked = false
 			out.Ack = CGUA
 		case GRA:
-			if k.State == Resetting {
-				g.enter(k, Idle, now, "")
+			if circuit.State == Resetting {
+				g.setState(circuit, Idle, now, "")
 			}
 			out.Ack, out.CICs = NoAck, nil
 		case CGBA, CGUA:
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func start(t *testing.T) string {
+func startConsole(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	c := &Console{Log: slog.New(slog.DiscardHandler), Calls: map[string]func() string{
+	c := &Console{Log: slog.New(slog.DiscardHandler), Handlers: map[string]func() string{
 		"READY":  func() string { return Success + " ready" },
 		"BROKEN": func() string { panic("no more") },
-	}, Orders: map[string]Order{
-		"LOOK":     {Usage: "LOOK [NAME]", Most: 1, Do: func(w []string, _ []byte) string { return fmt.Sprint(Success, " ", w) }},
-		"LOOK PUT": {Usage: "LOOK PUT NAME", Least: 1, Most: 1, Body: true, Do: func(w []string, b []byte) string { return fmt.Sprintf("%s %v %d %.20q", Success, w, len(b), b) }},
+	}, Commands: map[string]Command{
+		"LOOK":     {Usage: "LOOK [NAME]", MaxWords: 1, Run: func(w []string, _ []byte) string { return fmt.Sprint(Success, " ", w) }},
+		"LOOK PUT": {Usage: "LOOK PUT NAME", MinWords: 1, MaxWords: 1, TakesBody: true, Run: func(w []string, b []byte) string { return fmt.Sprintf("%s %v %d %.20q", Success, w, len(b), b) }},
 	}}
 	go c.Serve(ln)
 	t.Cleanup(func() { ln.Close(); c.Close() })
@@ -46,14 +46,14 @@
 // TestLines: each line gets one answer and the end of its connection; what is no call gets
 // a failure, and a fault in a call ends its own connection alone.
 func TestLines(t *testing.T) {
-	address := start(t)
+	address := startConsole(t)
 	for _, tc := range []struct{ line, answer string }{
 		{"READY\n", "SUCCESS ready\n"},
 		{" ready \r\n", "SUCCESS ready\n"},
 		{"READY\nREADY\n", "SUCCESS ready\n"},
 		{"\n", "FAILURE no call \"\"\n"},
 		{"STOP\n", "FAILURE no call \"STOP\"\n"},
-		{strings.Repeat("x", mostLine+1), "FAILURE no call \"" + strings.Repeat("X", 40) + "\"\n"},
+		{strings.Repeat("x", maxLineBytes+1), "FAILURE no call \"" + strings.Repeat("X", 40) + "\"\n"},
 		{"BROKEN\n", ""},
 		{"READY\n", "SUCCESS ready\n"},
 	} {
@@ -61,13 +61,13 @@
 	}
 }
 
-// TestSilentOperators: connections that bring no whole line hold nobody else off, and are
+// TestIncompleteLines: connections that bring no whole line hold nobody else off, and are
 // bounded: the descriptors are the callers'.
-func TestSilentOperators(t *testing.T) {
-	address := start(t)
+func TestIncompleteLines(t *testing.T) {
+	address := startConsole(t)
 	first := dial(t, address)
 	fmt.Fprint(first, "READ")
-	for range mostOpen {
+	for range maxWaiting {
 		dial(t, address)
 	}
 	assert.Equal(t, "SUCCESS ready\n", ask(t, address, "READY\n"))
@@ -75,20 +75,20 @@
 	assert.ErrorIs(t, err, io.EOF, "the oldest has made room")
 }
 
-// TestOrders: an order takes words and, where it says so, a text; both are bounded, and a text
+// TestCommandsWithText: an order takes words and, where it says so, a text; both are bounded, and a text
 // that does not come whole changes nothing.
-func TestOrders(t *testing.T) {
-	address := start(t)
-	long := strings.Repeat("x", MostBody-1) + "\n"
+func TestCommandsWithText(t *testing.T) {
+	address := startConsole(t)
+	long := strings.Repeat("x", MaxBodyBytes-1) + "\n"
 	for _, tc := range []struct{ line, answer string }{
 		{"LOOK\n", "SUCCESS []\n"},
 		{"look a@Zone/B\n", "SUCCESS [a@Zone/B]\n"},
-		{"LOOK a" + strings.Repeat("b", mostLine), "FAILURE no call \"LOOK A" + strings.Repeat("B", 34) + "\"\n"},
+		{"LOOK a" + strings.Repeat("b", maxLineBytes), "FAILURE no call \"LOOK A" + strings.Repeat("B", 34) + "\"\n"},
 		{"LOOK a b\n", "FAILURE usage: LOOK [NAME]\n"},
 		{"look put n\na: 1\r\n EOT\nEOT\n", "SUCCESS [n] 11 \"a: 1\\r\\n EOT\\n\"\n"},
 		{"LOOK PUT n\nEOT\n", "SUCCESS [n] 0 \"\"\n"},
-		{"LOOK PUT n\n" + long + "EOT\n", fmt.Sprintf("SUCCESS [n] %d \"xxxxxxxxxxxxxxxxxxxx\"\n", MostBody)},
-		{"LOOK PUT n\nx" + long + "EOT\n", fmt.Sprintf("FAILURE text over %d bytes; nothing changed\n", MostBody)},
+		{"LOOK PUT n\n" + long + "EOT\n", fmt.Sprintf("SUCCESS [n] %d \"xxxxxxxxxxxxxxxxxxxx\"\n", MaxBodyBytes)},
+		{"LOOK PUT n\nx" + long + "EOT\n", fmt.Sprintf("FAILURE text over %d bytes; nothing changed\n", MaxBodyBytes)},
 		{"LOOK PUT\n", "FAILURE usage: LOOK PUT NAME\n"},
 	} {
 		assert.Equal(t, tc.answer, ask(t, address, tc.line), "%.40q", tc.line)
--- a/internal/daemon/cli.go
+++ b/internal/daemon/cli.go
@@ -24,8 +24,8 @@
 
 	Promises promisesCommand `cmd:"" help:"Groups of agents that keep one another's promises."`
 
-	env       func(string) string
-	out, errs io.Writer
+	env            func(string) string
+	stdout, stderr io.Writer
 }
 
 type runCommand struct {
@@ -63,25 +63,25 @@
 		if err != nil {
 			return exitError, err
 		}
-		return exitOK, serve(c.env, c.errs, level, c.Run.LogFormat == "json")
+		return exitOK, serve(c.env, c.stderr, level, c.Run.LogFormat == "json")
 	case "plan":
-		return makePlan(c.Plan.State, c.Plan.Out, c.Plan.File, c.out)
+		return makePlan(c.Plan.State, c.Plan.Out, c.Plan.File, c.stdout)
 	case "apply":
-		return exitOK, applyPlan(c.Apply.Plan, c.out)
+		return exitOK, applyPlan(c.Apply.Plan, c.stdout)
 	case "check":
-		return checkRoutes(c.Check.File, c.Check.Config, c.out)
+		return checkRoutes(c.Check.File, c.Check.Config, c.stdout)
 	case "routes":
-		return lookUpRoute(c.Routes, c.out)
+		return lookUpRoute(c.Routes, c.stdout)
 	case "promises":
-		return exitOK, c.Promises.run(strings.Fields(command)[1], c.out)
+		return exitOK, c.Promises.run(strings.Fields(command)[1], c.stdout)
 	case "replica":
-		return exitOK, runReplica(c.Replica, c.errs)
+		return exitOK, runReplica(c.Replica, c.stderr)
 	}
 	return exitError, fmt.Errorf("no command %q", command)
 }
 
 func (r runCommand) level(fromEnv string) (slog.Level, error) {
-	var l slog.Level
+	var level slog.Level
 	name := r.LogLevel
 	if name == "" {
 		name = map[string]string{"debug": "debug"}[fromEnv]
@@ -89,7 +89,7 @@
 	if name == "" {
 		return slog.LevelInfo, nil
 	}
-	return l, l.UnmarshalText([]byte(name))
+	return level, level.UnmarshalText([]byte(name))
 }
 
 // loadRoutes reads a file of per-route limits and the rules of a configuration's settings and
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,15 +22,15 @@
 	"woodrouter/isup"
 )
 
-// config words a configuration with two classes and times that suit a test.
-func config(t testing.TB, b *standin.Bulletin) Config {
+// testConfig words a configuration with two classes and times that suit a test.
+func testConfig(t testing.TB, b *standin.Bulletin) Config {
 	t.Helper()
-	cfg, err := ParseConfig(configText(t, b))
+	cfg, err := ParseConfig(testConfigText(t, b))
 	require.NoError(t, err)
 	return cfg
 }
 
-func configText(t testing.TB, b *standin.Bulletin) []byte {
+func testConfigText(t testing.TB, b *standin.Bulletin) []byte {
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bulletin": b.Addr, "known": b.Known(0),
 		"settings": json.RawMessage(`{"nInstances":1,"rank":0,"resolution":1000,
@@ -43,89 +43,89 @@
 	return text
 }
 
-// site is a daemon between both kinds of callers and two setup servers.
-type site struct {
+// testSite is a daemon between both kinds of callers and two setup servers.
+type testSite struct {
 	t        *testing.T
 	servers  [2]*standin.Server
 	bulletin *standin.Bulletin
-	d        *Daemon
+	daemon   *Daemon
 	addr     string
 	stop     func()
-	out      ledger
+	attempts attemptChecker
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, out: ledger{at: map[isup.CallID]int{}, freed: map[isup.CallID]time.Time{}}}
+func newTestSite(t *testing.T) *testSite {
+	s := &testSite{t: t, attempts: attemptChecker{outstanding: map[isup.CallID]int{}, brokenAt: map[isup.CallID]time.Time{}}}
 	var entries []map[string]any
 	for i := range s.servers {
 		s.servers[i] = standin.NewServer(t, "")
 		entries = append(entries, standin.Endpoint(fmt.Sprint("s", i), s.servers[i].Addr, i, "up"))
 	}
 	s.bulletin = standin.NewBulletin(t, entries...)
-	cfg := config(t, s.bulletin)
+	cfg := testConfig(t, s.bulletin)
 	cfg.State = filepath.Join(t.TempDir(), "state.json")
 	desired := plan.Front{Enabled: true, Listen: "127.0.0.1:0", Path: "/calls", MaxConnections: 8,
 		MaxMessage: 1 << 16, IdleS: 30}
 	p, err := plan.Make(cfg.State, desired)
 	require.NoError(t, err)
 	require.NoError(t, p.Apply())
-	s.d, err = New(cfg, slog.New(slog.DiscardHandler))
+	s.daemon, err = New(cfg, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { s.d.Serve(ctx, ln); close(done) }()
+	go func() { s.daemon.Serve(ctx, ln); close(done) }()
 	s.stop = func() { cancel(); <-done }
 	t.Cleanup(s.stop)
-	require.Eventually(t, func() bool { return s.d.second.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.api.address() != nil }, standin.Patience, time.Millisecond)
 	return s
 }
 
-// ledger watches over all servers that a call never has two attempts out, and that one
+// attemptChecker watches over all servers that a call never has two attempts out, and that one
 // that broke off goes out again no sooner than 300 ms later.
-type ledger struct {
-	mu    sync.Mutex
-	at    map[isup.CallID]int
-	freed map[isup.CallID]time.Time
-	bad   []string
+type attemptChecker struct {
+	mu          sync.Mutex
+	outstanding map[isup.CallID]int
+	brokenAt    map[isup.CallID]time.Time
+	violations  []string
 }
 
-func (l *ledger) sent(g standin.Got) {
+func (l *attemptChecker) recordSetUp(g standin.Got) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.at[g.Call]++; l.at[g.Call] > 1 {
-		l.bad = append(l.bad, fmt.Sprintf("%v has a second copy out", g.Call))
+	if l.outstanding[g.Call]++; l.outstanding[g.Call] > 1 {
+		l.violations = append(l.violations, fmt.Sprintf("%v has a second copy out", g.Call))
 	}
-	if at, ok := l.freed[g.Call]; ok && g.At.Sub(at) < 300*time.Millisecond {
-		l.bad = append(l.bad, fmt.Sprintf("%v came again after %v", g.Call, g.At.Sub(at)))
+	if at, ok := l.brokenAt[g.Call]; ok && g.At.Sub(at) < 300*time.Millisecond {
+		l.violations = append(l.violations, fmt.Sprintf("%v came again after %v", g.Call, g.At.Sub(at)))
 	}
 }
 
-func (l *ledger) over(id isup.CallID, broke bool) {
+func (l *attemptChecker) recordEnd(id isup.CallID, broke bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.at[id] = 0
+	l.outstanding[id] = 0
 	if broke {
-		l.freed[id] = time.Now()
+		l.brokenAt[id] = time.Now()
 	}
 }
 
 // serve has a server act on each set-up by the last digit of its call.
-func (s *site) serve(server *standin.Server) {
+func (s *testSite) serve(server *standin.Server) {
 	for g := range server.Got {
 		if g.Type == isup.Release {
-			s.out.over(g.Call, true)
+			s.attempts.recordEnd(g.Call, true)
 		}
 		if g.Type != isup.SetUp {
 			continue
 		}
-		s.out.sent(g)
+		s.attempts.recordSetUp(g)
 		kind := g.Call % 8
 		again := s.servers[0].Seen(isup.SetUp, g.Call)+s.servers[1].Seen(isup.SetUp, g.Call) > 1
 		if kind != 5 {
-			s.out.over(g.Call, kind == 3)
+			s.attempts.recordEnd(g.Call, kind == 3)
 		}
 		switch {
 		case kind == 1:
@@ -144,28 +144,28 @@
 	}
 }
 
-// caller is one front's way to set a call up; it words the outcome without the wire.
-type caller func(id isup.CallID, left time.Duration) string
+// setUpFunc is one front's way to set a call up; it words the outcome without the wire.
+type setUpFunc func(id isup.CallID, left time.Duration) string
 
-func (s *site) binary(t *testing.T) caller {
+func (s *testSite) binaryCaller(t *testing.T) setUpFunc {
 	return func(id isup.CallID, left time.Duration) string {
 		c := standin.NewCaller(t, s.addr)
 		defer c.Close()
 		c.SetUp(id, "voice", left, int(id%2))
-		said := ""
+		outcome := ""
 		for {
 			m, err := c.Next()
 			if err != nil {
-				return said + " lost"
+				return outcome + " lost"
 			}
 			cause, _ := m.Cause()
 			switch {
 			case m.Type == isup.Answer:
-				said = "stands in " + m.Text(isup.Description)
-			case said != "" && cause == isup.Normal:
-				return said + ", completed"
-			case said != "":
-				return said + ", cut"
+				outcome = "stands in " + m.Text(isup.Description)
+			case outcome != "" && cause == isup.Normal:
+				return outcome + ", completed"
+			case outcome != "":
+				return outcome + ", cut"
 			case cause == isup.Congestion && m.Text(isup.RetryAfter) != "":
 				return "refused with a time"
 			default:
@@ -175,10 +175,10 @@
 	}
 }
 
-func (s *site) websocket(t *testing.T) (caller, *callrpc.Client) {
+func (s *testSite) webSocketCaller(t *testing.T) (setUpFunc, *callrpc.Client) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*standin.Patience)
 	t.Cleanup(cancel)
-	client, err := callrpc.Dial(ctx, "ws://"+s.d.second.address().String()+"/calls", callrpc.Options{})
+	client, err := callrpc.Dial(ctx, "ws://"+s.daemon.api.address().String()+"/calls", callrpc.Options{})
 	require.NoError(t, err)
 	t.Cleanup(func() { client.Close() })
 	return func(id isup.CallID, left time.Duration) string {
@@ -205,12 +205,12 @@
 // TestBothFronts mixes both fronts on one core against the same servers: the outcomes are
 // the same, each call has one, and none has two copies out at any time.
 func TestBothFronts(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	for _, server := range s.servers {
 		go s.serve(server)
 		t.Cleanup(func() { close(server.Got) })
 	}
-	api, _ := s.websocket(t)
+	api, _ := s.webSocketCaller(t)
 	for _, round := range []struct {
 		kind, calls isup.CallID // so many by each front
 		left        time.Duration
@@ -224,7 +224,7 @@
 	} {
 		var group sync.WaitGroup
 		for i := range round.calls {
-			for front, call := range []caller{s.binary(t), api} {
+			for front, call := range []setUpFunc{s.binaryCaller(t), api} {
 				id := 0x1000*(isup.CallID(front)+1) + 0x10*i + round.kind
 				group.Go(func() {
 					assert.Equal(t, round.want(id), call(id, round.left), "front %d, call %v", front, id)
@@ -233,7 +233,7 @@
 		}
 		group.Wait()
 	}
-	assert.Empty(t, s.out.bad)
+	assert.Empty(t, s.attempts.violations)
 	require.Eventually(t, func() bool { // what was silent was given up, whichever front it came by
 		return s.servers[0].Seen(isup.Release, 0x1005)+s.servers[1].Seen(isup.Release, 0x1005) > 0 &&
 			s.servers[0].Seen(isup.Release, 0x2005)+s.servers[1].Seen(isup.Release, 0x2005) > 0
@@ -243,8 +243,8 @@
 // TestClientGoneMidSetUp: a WebSocket client that leaves has its set-up given up at the
 // server, and the answer that crosses the give-up is released there.
 func TestClientGoneMidSetUp(t *testing.T) {
-	s := newSite(t)
-	api, client := s.websocket(t)
+	s := newTestSite(t)
+	api, client := s.webSocketCaller(t)
 	outcome := make(chan string, 1)
 	go func() { outcome <- api(0x10, 3*time.Second) }()
 	g := s.servers[0].Await(t, isup.SetUp)
@@ -256,28 +256,28 @@
 	assert.Zero(t, s.servers[1].Seen(isup.SetUp, 0), "nobody waits for another attempt")
 }
 
-// TestDrain: a server drains while calls of both fronts wait there. They go on elsewhere,
+// TestServerDrain: a server drains while calls of both fronts wait there. They go on elsewhere,
 // 300 ms after their attempts broke, and nothing new reaches it 2 s after the news.
-func TestDrain(t *testing.T) {
-	s := newSite(t)
-	api, _ := s.websocket(t)
+func TestServerDrain(t *testing.T) {
+	s := newTestSite(t)
+	api, _ := s.webSocketCaller(t)
 	outcomes := make(chan string, 2)
 	for id := isup.CallID(0x1000); id < 0x1080; id += 0x10 { // answers in time give room for two
-		go func() { outcomes <- s.binary(t)(id, 3*time.Second) }()
+		go func() { outcomes <- s.binaryCaller(t)(id, 3*time.Second) }()
 		g := s.servers[0].Await(t, isup.SetUp)
 		g.Answer("room")
 		g.Release(isup.Normal, "")
 		require.Equal(t, "stands in room, completed", <-outcomes)
 	}
-	go func() { outcomes <- s.binary(t)(0x10, 9*time.Second) }()
+	go func() { outcomes <- s.binaryCaller(t)(0x10, 9*time.Second) }()
 	go func() { outcomes <- api(0x20, 9*time.Second) }()
 	waiting := []standin.Got{s.servers[0].Await(t, isup.SetUp), s.servers[0].Await(t, isup.SetUp)}
-	told := time.Now()
+	notified := time.Now()
 	s.bulletin.Tell(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
 	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond)
-	require.Less(t, time.Since(told), 2*time.Second)
+	require.Less(t, time.Since(notified), 2*time.Second)
 	for id := isup.CallID(0x100); id < 0x180; id += 0x20 { // first choice is the draining server
-		go s.binary(t)(id, 3*time.Second)
+		go s.binaryCaller(t)(id, 3*time.Second)
 		s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 		go api(id+0x10, 3*time.Second)
 		s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
@@ -303,10 +303,10 @@
 // TestOneIDAtBothFronts: an id that is open by one front is not taken by the other, and
 // the call that has it goes on.
 func TestOneIDAtBothFronts(t *testing.T) {
-	s := newSite(t)
-	api, _ := s.websocket(t)
+	s := newTestSite(t)
+	api, _ := s.webSocketCaller(t)
 	outcome := make(chan string, 1)
-	go func() { outcome <- s.binary(t)(0x10, 3*time.Second) }()
+	go func() { outcome <- s.binaryCaller(t)(0x10, 3*time.Second) }()
 	g := s.servers[0].Await(t, isup.SetUp)
 	assert.Equal(t, "failed", api(0x10, 3*time.Second))
 	g.Answer("room")
@@ -318,8 +318,8 @@
 // TestStop: after SIGTERM calls are still taken for a while, what is open is answered, and
 // the program ends in time.
 func TestStop(t *testing.T) {
-	s := newSite(t)
-	api, _ := s.websocket(t)
+	s := newTestSite(t)
+	api, _ := s.webSocketCaller(t)
 	outcomes := make(chan string, 2)
 	go func() { outcomes <- api(0x10, 3*time.Second) }()
 	g := s.servers[0].Await(t, isup.SetUp)
@@ -334,32 +334,32 @@
 	g.Release(isup.UserBusy, "lines_busy")
 	assert.Equal(t, "refused with a time", <-outcomes)
 	<-ended
-	assert.GreaterOrEqual(t, time.Since(began), stopServing)
-	assert.Less(t, time.Since(began), s.d.stopMost())
+	assert.GreaterOrEqual(t, time.Since(began), stopServePeriod)
+	assert.Less(t, time.Since(began), s.daemon.stopTimeout())
 }
 
 // TestReload: a SIGHUP takes the state as it is then; settings that can't be used change
 // nothing, and without a state the front is off.
 func TestReload(t *testing.T) {
-	s := newSite(t)
-	api, client := s.websocket(t)
+	s := newTestSite(t)
+	api, client := s.webSocketCaller(t)
 	outcome := make(chan string, 1)
 	go func() { outcome <- api(0x10, 3*time.Second) }()
 	g := s.servers[0].Await(t, isup.SetUp)
 	apply := func(change func(*plan.Front)) {
-		state, err := plan.ReadState(s.d.cfg.State)
+		state, err := plan.ReadState(s.daemon.cfg.State)
 		require.NoError(t, err)
 		change(state.Front)
-		p, err := plan.Make(s.d.cfg.State, *state.Front)
+		p, err := plan.Make(s.daemon.cfg.State, *state.Front)
 		require.NoError(t, err)
 		require.NoError(t, p.Apply())
-		s.d.Reload()
+		s.daemon.Reload()
 	}
-	was := s.d.second.address()
+	was := s.daemon.api.address()
 	apply(func(f *plan.Front) { f.Listen = s.addr }) // taken by the other front
-	assert.Equal(t, was, s.d.second.address())
+	assert.Equal(t, was, s.daemon.api.address())
 	apply(func(f *plan.Front) { f.Enabled = false })
-	assert.Nil(t, s.d.second.address())
+	assert.Nil(t, s.daemon.api.address())
 	_, err := net.Dial("tcp", was.String())
 	assert.Error(t, err)
 	g.Answer("room")                    // its client is still connected: a set-up is open on it
@@ -369,7 +369,7 @@
 		return err != nil && !answered
 	}, standin.Patience, time.Millisecond)
 	apply(func(f *plan.Front) { f.Enabled, f.Listen = true, "127.0.0.1:0" })
-	again, _ := s.websocket(t)
+	again, _ := s.webSocketCaller(t)
 	go again(0x20, 3*time.Second)
 	s.servers[0].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 }
@@ -377,26 +377,26 @@
 // TestReconfigure: a SIGHUP has the list followed at the bulletin that the file names by
 // then, from the event reached; a file that can't be used changes nothing.
 func TestReconfigure(t *testing.T) {
-	s := newSite(t)
-	s.d.cfg.path = filepath.Join(t.TempDir(), "config.json")
+	s := newTestSite(t)
+	s.daemon.cfg.path = filepath.Join(t.TempDir(), "config.json")
 	next := standin.NewBulletin(t)
 	for _, bad := range []string{"{", `{"listen":"127.0.0.1:0","bulletin":"nowhere"}`} {
-		require.NoError(t, os.WriteFile(s.d.cfg.path, []byte(bad), 0o600))
-		s.d.Reload()
+		require.NoError(t, os.WriteFile(s.daemon.cfg.path, []byte(bad), 0o600))
+		s.daemon.Reload()
 	}
 	s.bulletin.Tell(false)
 	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond, "the former one is followed")
-	require.NoError(t, os.WriteFile(s.d.cfg.path, configText(t, next), 0o600))
-	s.d.Reload()
+	require.NoError(t, os.WriteFile(s.daemon.cfg.path, testConfigText(t, next), 0o600))
+	s.daemon.Reload()
 	next.Tell(false)
 	next.Tell(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
 	require.Eventually(t, next.Taken, standin.Patience, time.Millisecond)
-	go s.binary(t)(0x10, 3*time.Second) // first choice is the server that drains
+	go s.binaryCaller(t)(0x10, 3*time.Second) // first choice is the server that drains
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 }
 
-// TestStopMost: the time that a stop may take follows the longest deadline, as SIGKILL does.
-func TestStopMost(t *testing.T) {
+// TestStopTimeout: the time that a stop may take follows the longest deadline, as SIGKILL does.
+func TestStopTimeout(t *testing.T) {
 	for _, tc := range []struct{ deadlines, most string }{
 		{`{"name":"a","deadline":9000000}`, "3.3s"},
 		{`{"name":"a","deadline":900000},{"name":"b","deadline":1200000}`, "1.5s"},
@@ -404,7 +404,7 @@
 	} {
 		d := Daemon{}
 		require.NoError(t, json.Unmarshal([]byte(`{"profiles":[`+tc.deadlines+`]}`), &d.cfg.info))
-		assert.Equal(t, tc.most, d.stopMost().String(), tc.deadlines)
+		assert.Equal(t, tc.most, d.stopTimeout().String(), tc.deadlines)
 	}
 }
 
@@ -443,21 +443,21 @@
 // TestRoutes: a file of per-route limits taken on SIGHUP has calls go only to its servers; a
 // refused file changes nothing and is counted; at the start it stops the program.
 func TestRoutes(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	file := filepath.Join(t.TempDir(), "routes.yaml")
 	head := "version: 1\ndefaults: {attempt_timeout: 1500ms, attempts: 2, retry_spacing: 300ms, deadline_share: 1}\n"
 	require.NoError(t, os.WriteFile(file, []byte(head+"routes:\n  - {name: second, match: {class: voice}, servers: [1]}\n"), 0o600))
-	s.d.cfg.Routes = file
-	s.d.Reload()
-	go s.binary(t)(0x10, 3*time.Second) // its first choice is pool 0
+	s.daemon.cfg.Routes = file
+	s.daemon.Reload()
+	go s.binaryCaller(t)(0x10, 3*time.Second) // its first choice is pool 0
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	require.NoError(t, os.WriteFile(file, []byte(head+"routes:\n  - {name: eager, match: {}, retry_spacing: 10ms}\n"), 0o600))
-	s.d.Reload()
-	assert.Equal(t, int64(1), s.d.reloads.refused.Load())
-	go s.binary(t)(0x20, 3*time.Second)
+	s.daemon.Reload()
+	assert.Equal(t, int64(1), s.daemon.reloads.refused.Load())
+	go s.binaryCaller(t)(0x20, 3*time.Second)
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	assert.Zero(t, s.servers[0].Seen(isup.SetUp, 0), "the former routes stay")
-	cfg := config(t, s.bulletin)
+	cfg := testConfig(t, s.bulletin)
 	cfg.Routes = file
 	_, err := New(cfg, slog.New(slog.DiscardHandler))
 	assert.ErrorContains(t, err, `route "eager": retry_spacing 10ms`)
@@ -466,13 +466,13 @@
 // TestRouteTimeout: on the wire, a route's attempt time-out is what the server is told to wait
 // and when the attempt is given up, well before the caller's deadline.
 func TestRouteTimeout(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	file := filepath.Join(t.TempDir(), "routes.yaml")
 	require.NoError(t, os.WriteFile(file, []byte("version: 1\n"+
 		"defaults: {attempt_timeout: 400ms, attempts: 1, retry_spacing: 300ms, deadline_share: 1}\nroutes: []\n"), 0o600))
-	s.d.cfg.Routes = file
-	s.d.Reload()
-	go s.binary(t)(0x10, 8*time.Second)
+	s.daemon.cfg.Routes = file
+	s.daemon.Reload()
+	go s.binaryCaller(t)(0x10, 8*time.Second)
 	g := s.servers[0].Await(t, isup.SetUp)
 	wait, err := strconv.Atoi(g.Text(isup.TimeLeft))
 	require.NoError(t, err)
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -19,16 +19,16 @@
 
 // newPlacer is the part of an agent that follows where each zone's calls go (docs/failover.md).
 // Off unless WOODROUTER_FAILOVER names its file.
-func newPlacer(cfg Config, file placer.Config, p *promises, sights *agent.Observations, log *slog.Logger) (*placer.Placer, error) {
+func newPlacer(cfg Config, file placer.Config, replicated *promises, observations *agent.Observations, log *slog.Logger) (*placer.Placer, error) {
 	var control placer.Control
-	if p != nil {
-		control = &controlGroup{p: p}
+	if replicated != nil {
+		control = &controlGroup{p: replicated}
 	}
-	pl, err := placer.New(file, cfg.Name, cmp.Or(file.Zone, cfg.info.MyZone), sights, control, log)
+	p, err := placer.New(file, cfg.Name, cmp.Or(file.Zone, cfg.info.MyZone), observations, control, log)
 	if err != nil {
 		return nil, fmt.Errorf("failover: %s: %w", cfg.Failover, err)
 	}
-	return pl, nil
+	return p, nil
 }
 
 // controlGroup is the ring's group with the least id: every agent finds the same one, and it is
@@ -72,11 +72,11 @@
 	return r.First, err
 }
 
-// route is a call's route by the routes file, narrowed to its zone's pools where zones are
+// zoneRouter is a call's route by the routes file, narrowed to its zone's pools where zones are
 // followed.
-func (d *Daemon) route(byFile agent.Router) agent.Router {
+func (d *Daemon) zoneRouter(fileRouter agent.Router) agent.Router {
 	if d.placer == nil {
-		return byFile
+		return fileRouter
 	}
 	pools := map[string][]int{}
 	for _, c := range d.cfg.info.Policy().Classes {
@@ -84,35 +84,35 @@
 	}
 	return func(c agent.Call) agent.Route {
 		var r agent.Route
-		if byFile != nil {
-			r = byFile(c)
+		if fileRouter != nil {
+			r = fileRouter(c)
 		}
 		return d.placer.RestrictToZone(r, pools[c.Class], c.Class, c.ID)
 	}
 }
 
-// wrote counts set-ups by class and zone as they are written whole; nil where zones are not
+// setUpSentHook counts set-ups by class and zone as they are written whole; nil where zones are not
 // followed.
-func (d *Daemon) wrote() func(class, zone string) {
+func (d *Daemon) setUpSentHook() func(class, zone string) {
 	if d.placer == nil {
 		return nil
 	}
 	return d.placer.CountSetUp
 }
 
-// sayZones words the plan in force, the membership, and the set-ups written by class.
-func (d *Daemon) sayZones() string {
+// zonesAnswer words the plan in force, the membership, and the set-ups written by class.
+func (d *Daemon) zonesAnswer() string {
 	if d.placer == nil {
 		return console.Failure + " zones are not followed"
 	}
-	p := d.placer.Plan()
+	plan := d.placer.Plan()
 	var b strings.Builder
-	fmt.Fprintf(&b, "epoch %d by %s\n", p.Epoch, cmp.Or(p.By, "nobody"))
-	for _, z := range slices.Sorted(maps.Keys(p.Zones)) {
-		s := p.Zones[z]
-		fmt.Fprintf(&b, "zone %s: %s shares %v caps %v lost %v\n", z, s.Mode, s.Shares, s.Caps, p.States[z].Lost)
+	fmt.Fprintf(&b, "epoch %d by %s\n", plan.Epoch, cmp.Or(plan.By, "nobody"))
+	for _, z := range slices.Sorted(maps.Keys(plan.Zones)) {
+		share := plan.Zones[z]
+		fmt.Fprintf(&b, "zone %s: %s shares %v caps %v lost %v\n", z, share.Mode, share.Shares, share.Caps, plan.States[z].Lost)
 	}
-	for _, t := range p.Trades {
+	for _, t := range plan.Trades {
 		fmt.Fprintf(&b, "traded in %s for %s %s: %g a second\n", t.Zone, t.For, t.Class, t.PerSecond)
 	}
 	alive := d.placer.AliveByZone()
@@ -126,8 +126,8 @@
 	return b.String() + console.End
 }
 
-// zoneFigures are the lines of STATS about zones.
-func (d *Daemon) zoneFigures(line func(kind string, n int64, name string)) {
+// writeZoneStats are the lines of STATS about zones.
+func (d *Daemon) writeZoneStats(line func(kind string, n int64, name string)) {
 	line("g", int64(d.placer.Plan().Epoch), "zone_epoch")
 	home, away := d.placer.SetUpCounts()
 	for _, class := range slices.Sorted(maps.Keys(d.core.Tallies())) {
@@ -138,8 +138,8 @@
 	for _, t := range d.placer.Plan().Trades {
 		traded[t.For] += t.PerSecond
 	}
-	for _, why := range slices.Sorted(maps.Keys(traded)) {
-		line("g", int64(traded[why]*1000), "zone_traded_mps."+why) // thousandths of a call a second
+	for _, reason := range slices.Sorted(maps.Keys(traded)) {
+		line("g", int64(traded[reason]*1000), "zone_traded_mps."+reason) // thousandths of a call a second
 	}
 	line("c", d.placer.KeptHome(), "zone_kept_home")
 	n := 0
--- a/internal/daemon/gone_test.go
+++ b/internal/daemon/gone_test.go
@@ -12,12 +12,12 @@
 	"woodrouter/isup"
 )
 
-// goneWithin is the rule: so long after its caller has left, no attempt of a call may begin.
-const goneWithin = 100 * time.Millisecond
+// abandonDelay is the rule: so long after its caller has left, no attempt of a call may begin.
+const abandonDelay = 100 * time.Millisecond
 
-// sentOn waits, where the caller stays, until its call has gone out so many times, however slow the
+// awaitSent waits, where the caller stays, until its call has gone out so many times, however slow the
 // machine is.
-func (s *site) sentOn(stays bool, want int, seen func(*site) int) {
+func (s *testSite) awaitSent(stays bool, want int, seen func(*testSite) int) {
 	if stays {
 		require.Eventually(s.t, func() bool { return seen(s) == want }, standin.Patience, time.Millisecond)
 	}
@@ -43,9 +43,9 @@
 			sent = 2
 		}
 		// begin sets the waiting call up and returns how its caller leaves.
-		begin := func(t *testing.T, s *site) func() {
+		begin := func(t *testing.T, s *testSite) func() {
 			if name == "closes its WebSocket" {
-				api, client := s.websocket(t)
+				api, client := s.webSocketCaller(t)
 				go api(waiting, 9*time.Second)
 				return func() { client.Close() }
 			}
@@ -57,12 +57,12 @@
 				}
 			}
 		}
-		seen := func(s *site) int {
+		seen := func(s *testSite) int {
 			return s.servers[0].Seen(isup.SetUp, waiting) + s.servers[1].Seen(isup.SetUp, waiting)
 		}
 		t.Run(name+", after a broken attempt", func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			s := newTestSite(t)
 			c := standin.NewCaller(t, s.addr)
 			for id := range isup.CallID(8) { // first attempts earn the budget of further ones
 				c.SetUp(id+1, "voice", 9*time.Second, 0)
@@ -72,28 +72,28 @@
 			leaves := begin(t, s)
 			s.servers[0].Await(t, isup.SetUp).Release(isup.TempFailure, "")
 			leaves()
-			s.sentOn(name == "stays", sent, seen)
-			time.Sleep(2*300*time.Millisecond + goneWithin) // the release wait is over
+			s.awaitSent(name == "stays", sent, seen)
+			time.Sleep(2*300*time.Millisecond + abandonDelay) // the release wait is over
 			assert.Equal(t, sent, seen(s))
 		})
 		t.Run(name+", waiting for room", func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			s := newTestSite(t)
 			c := standin.NewCaller(t, s.addr)
 			c.SetUp(1, "voice", 9*time.Second, 0)
 			first := s.servers[0].Await(t, isup.SetUp)
 			c.SetUp(2, "voice", 9*time.Second, 1)
 			second := s.servers[1].Await(t, isup.SetUp)
 			leaves := begin(t, s)
-			require.Eventually(t, func() bool { return s.d.core.InFlight() == 3 }, standin.Patience, time.Millisecond, "it has come")
-			time.Sleep(goneWithin) // and waits
+			require.Eventually(t, func() bool { return s.daemon.core.InFlight() == 3 }, standin.Patience, time.Millisecond, "it has come")
+			time.Sleep(abandonDelay) // and waits
 			assert.Zero(t, seen(s))
 			leaves()
-			time.Sleep(goneWithin)
+			time.Sleep(abandonDelay)
 			first.Answer("there")
 			second.Answer("there")
-			s.sentOn(name == "stays", sent-1, seen)
-			time.Sleep(2 * goneWithin)
+			s.awaitSent(name == "stays", sent-1, seen)
+			time.Sleep(2 * abandonDelay)
 			assert.Equal(t, sent-1, seen(s))
 		})
 	}
@@ -109,7 +109,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			s := newTestSite(t)
 			for id := range isup.CallID(20) {
 				c := standin.NewCaller(t, s.addr)
 				c.SetUp(id+1, "voice", 9*time.Second, int(id%2))
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -24,16 +24,16 @@
 	exitChanges
 )
 
-// logMost is how many lines of one kind a second may have.
-const logMost = 20
+// maxLogLinesPerSecond is how many lines of one kind a second may have.
+const maxLogLinesPerSecond = 20
 
 // Main is the program; it returns the exit code. With no command it runs the call agent, as
 // the deploy file's `exec bin/woodrouter` does.
-func Main(args []string, env func(string) string, out, errs io.Writer) (code int) {
-	cli := commandLine{env: env, out: out, errs: errs}
+func Main(args []string, env func(string) string, stdout, stderr io.Writer) (code int) {
+	cli := commandLine{env: env, stdout: stdout, stderr: stderr}
 	defer func() {
 		if r := recover(); r != nil {
-			e, ok := r.(exited)
+			e, ok := r.(exitStatus)
 			if !ok {
 				panic(r)
 			}
@@ -42,26 +42,26 @@
 	}()
 	parser, err := kong.New(&cli, kong.Name("woodrouter"),
 		kong.Description("A call agent: takes lesson calls, chooses a setup server for each, and tells the caller."),
-		kong.Writers(out, errs), kong.Exit(func(c int) { panic(exited(c)) }),
+		kong.Writers(stdout, stderr), kong.Exit(func(c int) { panic(exitStatus(c)) }),
 		kong.Vars{"state": cmp.Or(env("WOODROUTER_STATE"), "woodrouter.state.json"), "config": env("PROXY_CONFIG")})
 	if err != nil {
 		panic(err) // the grammar below is wrong: a program error
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(errs, "woodrouter:", err)
+		fmt.Fprintln(stderr, "woodrouter:", err)
 		return exitError
 	}
 	code, err = cli.dispatch(ctx.Command())
 	if err != nil {
-		fmt.Fprintln(errs, "woodrouter:", err)
+		fmt.Fprintln(stderr, "woodrouter:", err)
 		return exitError
 	}
 	return code
 }
 
-// exited carries kong's exit code (after --help) out of the parse.
-type exited int
+// exitStatus carries kong's exit code (after --help) out of the parse.
+type exitStatus int
 
 func serve(env func(string) string, logs io.Writer, level slog.Level, json bool) error {
 	// First of all: a signal that comes before the program is ready must neither kill it nor be lost.
@@ -89,7 +89,7 @@
 	if json {
 		handler = slog.NewJSONHandler(logs, options)
 	}
-	log := slog.New(loglimit.New(handler, logMost))
+	log := slog.New(loglimit.New(handler, maxLogLinesPerSecond))
 	Limit(cfg.Limits)
 	d, err := New(cfg, log)
 	if err != nil {
--- a/internal/daemon/main_test.go
+++ b/internal/daemon/main_test.go
@@ -23,12 +23,12 @@
 	config := filepath.Join(dir, "config.json")
 	require.NoError(t, os.WriteFile(config, []byte(`{"listen":"nowhere"}`), 0o600))
 	site, lawful, unlawful := filepath.Join(dir, "site.json"), filepath.Join(dir, "routes.yaml"), filepath.Join(dir, "bad.yaml")
-	require.NoError(t, os.WriteFile(site, configText(t, standin.NewBulletin(t)), 0o600))
+	require.NoError(t, os.WriteFile(site, testConfigText(t, standin.NewBulletin(t)), 0o600))
 	limits := "version: 1\ndefaults: {attempt_timeout: 1500ms, attempts: 3, retry_spacing: 300ms, deadline_share: 1}\n"
 	require.NoError(t, os.WriteFile(lawful, []byte(limits+"routes:\n  - {name: exams, match: {prefix: 7f}, attempts: 2}\n"), 0o600))
 	require.NoError(t, os.WriteFile(unlawful, []byte(limits+"routes:\n  - {name: eager, match: {}, retry_spacing: 100ms}\n"), 0o600))
 	listed, drained := filepath.Join(dir, "listed.json"), filepath.Join(dir, "drained.yaml")
-	require.NoError(t, os.WriteFile(listed, configText(t, standin.NewBulletin(t, standin.Endpoint("s0", "127.0.0.1:1", 0, "up"),
+	require.NoError(t, os.WriteFile(listed, testConfigText(t, standin.NewBulletin(t, standin.Endpoint("s0", "127.0.0.1:1", 0, "up"),
 		standin.Endpoint("s1", "127.0.0.1:2", 1, "draining"))), 0o600))
 	require.NoError(t, os.WriteFile(drained, []byte(limits+"routes:\n  - {name: second, match: {}, servers: [1]}\n"), 0o600))
 	promises, agents, spares := "../../deploy/promises.yaml", filepath.Join(dir, "agents.yaml"), filepath.Join(dir, "spares.yaml")
--- a/internal/daemon/odd_test.go
+++ b/internal/daemon/odd_test.go
@@ -14,9 +14,9 @@
 	"woodrouter/isup"
 )
 
-// TestOddSettings: settings that are odd but lawful start, and a call is served by them over
+// TestUnusualSettings: settings that are odd but lawful start, and a call is served by them over
 // loopback, one server listed.
-func TestOddSettings(t *testing.T) {
+func TestUnusualSettings(t *testing.T) {
 	type object = map[string]any
 	for name, change := range map[string]func(s object){
 		"as they are":           func(object) {},
@@ -44,7 +44,7 @@
 			server := standin.NewServer(t, "")
 			b := standin.NewBulletin(t, standin.Endpoint("s0", server.Addr, 0, "up"))
 			var all object
-			require.NoError(t, json.Unmarshal(configText(t, b), &all))
+			require.NoError(t, json.Unmarshal(testConfigText(t, b), &all))
 			change(all["settings"].(object))
 			text, err := json.Marshal(all)
 			require.NoError(t, err)
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestStayAway: what the agent tells of its own when it can't take a call is what the settings have
+// TestRetryAfter: what the agent tells of its own when it can't take a call is what the settings have
 // callers heed, and nothing where they heed none.
-func TestStayAway(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for _, tc := range []struct {
 		limits string
 		want   time.Duration
@@ -78,7 +78,7 @@
 		{`{"maxAttempts":5,"connectTimeout":500000,"retryAfter":false,"maxRetryAfter":2000000}`, 0},
 	} {
 		var all map[string]any
-		require.NoError(t, json.Unmarshal(configText(t, standin.NewBulletin(t)), &all))
+		require.NoError(t, json.Unmarshal(testConfigText(t, standin.NewBulletin(t)), &all))
 		all["settings"].(map[string]any)["limits"] = json.RawMessage(tc.limits)
 		text, err := json.Marshal(all)
 		require.NoError(t, err)
@@ -86,8 +86,8 @@
 		require.NoError(t, err)
 		d, err := New(cfg, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
-		for _, told := range []time.Duration{d.stayAway, d.front.RetryAfter, d.second.front.RetryAfter} {
-			require.Equal(t, tc.want, told)
+		for _, got := range []time.Duration{d.retryAfter, d.front.RetryAfter, d.api.front.RetryAfter} {
+			require.Equal(t, tc.want, got)
 		}
 	}
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -22,32 +22,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: field console: %w", err)
 	}
-	c := &console.Console{Log: d.log, Calls: map[string]func() string{
-		"READY": d.sayReady, "STATS": d.stats, "DRAIN": d.keepDrain(true, d.empty), "UNDRAIN": d.keepDrain(false, d.refill), "PROMISES": d.sayPromises, "ZONES": d.sayZones,
-		"SPREAD": d.saySpread, "ROLLOUT": d.sayRollout,
+	c := &console.Console{Log: d.log, Handlers: map[string]func() string{
+		"READY": d.readyAnswer, "STATS": d.statsAnswer, "DRAIN": d.recordDrain(true, d.startDrain), "UNDRAIN": d.recordDrain(false, d.endDrain), "PROMISES": d.promisesAnswer, "ZONES": d.zonesAnswer,
+		"SPREAD": d.spreadAnswer, "ROLLOUT": d.rolloutAnswer,
 	}}
 	go c.Serve(ln)
 	d.log.Info("console open", "listen", ln.Addr().String())
 	return func() { ln.Close(); c.Close() }, nil
 }
 
-func (d *Daemon) sayReady() string {
+func (d *Daemon) readyAnswer() string {
 	if d.ready() {
 		return console.Success + " takes clients"
 	}
 	return console.Failure + " takes no clients"
 }
 
-// saySpread words how the load is spread.
-func (d *Daemon) saySpread() string {
+// spreadAnswer words how the load is spread.
+func (d *Daemon) spreadAnswer() string {
 	if d.spreader == nil {
 		return console.Failure + " load is spread alone"
 	}
 	return d.spreader.Status() + console.End
 }
 
-// stats words the figures in the form of statsd: counters since the start, and gauges.
-func (d *Daemon) stats() string {
+// statsAnswer words the figures in the form of statsd: counters since the start, and gauges.
+func (d *Daemon) statsAnswer() string {
 	var b strings.Builder
 	line := func(kind string, n int64, name string) { fmt.Fprintf(&b, "svc.%s:%d|%s\n", name, n, kind) }
 	tallies := d.core.Tallies()
@@ -62,13 +62,13 @@
 	line("g", d.core.InFlight(), "inflight")
 	line("g", listed, "hosts_listed")
 	line("g", avoided, "hosts_down")
-	line("c", d.reloads.taken.Load(), "reconfig_ok")
+	line("c", d.reloads.applied.Load(), "reconfig_ok")
 	line("c", d.reloads.refused.Load(), "reconfig_failed")
 	if d.promises != nil {
-		d.promises.figures(line)
+		d.promises.writeStats(line)
 	}
 	if d.placer != nil {
-		d.zoneFigures(line)
+		d.writeZoneStats(line)
 	}
 	if d.spreader != nil {
 		t := d.spreader.Traffic()
@@ -78,77 +78,77 @@
 		line("c", t.Unanswered, "spread_unheard")
 		line("c", t.Bad, "spread_bad")
 	}
-	if d.distributed != nil {
-		d.distributed.watcher.WriteStats(line)
+	if d.distribution != nil {
+		d.distribution.watcher.WriteStats(line)
 	}
 	return b.String() + console.End
 }
 
-// emptying is the wish of an operator that callers go elsewhere.
-type emptying struct {
-	mu  sync.Mutex
-	end chan struct{} // closed when it ends; nil: there is none
+// drainOrder is the wish of an operator that callers go elsewhere.
+type drainOrder struct {
+	mu    sync.Mutex
+	ended chan struct{} // closed when it ends; nil: there is none
 }
 
-// empty has callers go elsewhere. The process keeps running, and takes them again by refill.
-func (d *Daemon) empty() string {
-	e := &d.emptying
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.end != nil {
+// startDrain has callers go elsewhere. The process keeps running, and takes them again by refill.
+func (d *Daemon) startDrain() string {
+	order := &d.drainOrder
+	order.mu.Lock()
+	defer order.mu.Unlock()
+	if order.ended != nil {
 		return console.Success + " drains already"
 	}
-	e.end = make(chan struct{})
+	order.ended = make(chan struct{})
 	d.drained.Store(true)
 	d.log.Info("draining: callers are to go elsewhere")
-	go d.keepEmpty(e.end)
+	go d.runDrain(order.ended)
 	return console.Success + " drains"
 }
 
-// refill takes callers again.
-func (d *Daemon) refill() string {
-	e := &d.emptying
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.end == nil {
+// endDrain takes callers again.
+func (d *Daemon) endDrain() string {
+	order := &d.drainOrder
+	order.mu.Lock()
+	defer order.mu.Unlock()
+	if order.ended == nil {
 		return console.Success + " does not drain"
 	}
-	close(e.end)
-	e.end = nil
+	close(order.ended)
+	order.ended = nil
 	d.drained.Store(false)
 	d.core.RefuseNew(false)
 	d.log.Info("drained no more: taking callers")
 	return console.Success + " takes clients"
 }
 
-// keepEmpty ends callers' connections once the front has heard that it is to send no new
+// runDrain ends callers' connections once the front has heard that it is to send no new
 // ones, and has what still comes after drainServe refused: two seconds later no connection
 // may be kept, but for calls older than that. Until their ends are told the callers of those
 // that stand need one.
-func (d *Daemon) keepEmpty(end <-chan struct{}) {
-	began, tick := time.Now(), time.NewTicker(emptyTick)
-	defer tick.Stop()
+func (d *Daemon) runDrain(ended <-chan struct{}) {
+	started, ticker := time.Now(), time.NewTicker(closeIdleInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-end:
+		case <-ended:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		switch age := time.Since(began); {
-		case age >= drainServe:
-			d.hold(end)
-			d.endIdle(age, connmgr.Exempt{Standing: true})
-		case age >= drainHeard:
-			d.endIdle(age, connmgr.Exempt{Standing: true, New: true})
+		switch age := time.Since(started); {
+		case age >= drainRefuseAfter:
+			d.refuseNewCalls(ended)
+			d.closeIdle(age, connmgr.Exempt{Standing: true})
+		case age >= drainCloseAfter:
+			d.closeIdle(age, connmgr.Exempt{Standing: true, New: true})
 		}
 	}
 }
 
-// hold has new calls refused, unless the drain has ended meanwhile.
-func (d *Daemon) hold(end <-chan struct{}) {
-	d.emptying.mu.Lock()
-	defer d.emptying.mu.Unlock()
-	if d.emptying.end == end {
+// refuseNewCalls has new calls refused, unless the drain has ended meanwhile.
+func (d *Daemon) refuseNewCalls(ended <-chan struct{}) {
+	d.drainOrder.mu.Lock()
+	defer d.drainOrder.mu.Unlock()
+	if d.drainOrder.ended == ended {
 		d.core.RefuseNew(true)
 	}
 }
@@ -156,24 +156,24 @@
 // A drain: the front has heard of it after drainHeard, and what comes after drainServe is
 // refused.
 const (
-	drainHeard = 300 * time.Millisecond
-	drainServe = 1900 * time.Millisecond
+	drainCloseAfter  = 300 * time.Millisecond
+	drainRefuseAfter = 1900 * time.Millisecond
 )
 
 // How connections are ended while callers are to go elsewhere: looked for each emptyTick,
 // those quiet for emptyQuiet first, as the next set-up may be on its way; one that is in use
 // all the time ends in whatever gap there is after emptyHurry.
 const (
-	emptyTick  = 20 * time.Millisecond
-	emptyQuiet = 100 * time.Millisecond
-	emptyHurry = time.Second
+	closeIdleInterval = 20 * time.Millisecond
+	closeIdleAfter    = 100 * time.Millisecond
+	closeAnyGapAfter  = time.Second
 )
 
-// endIdle ends callers' connections that are not in use, at an age of the wish to have none,
+// closeIdle ends callers' connections that are not in use, at an age of the wish to have none,
 // and tells how many are left.
-func (d *Daemon) endIdle(age time.Duration, spare connmgr.Exempt) int {
-	if age < emptyHurry {
-		spare.Used = emptyQuiet
+func (d *Daemon) closeIdle(age time.Duration, exempt connmgr.Exempt) int {
+	if age < closeAnyGapAfter {
+		exempt.Used = closeIdleAfter
 	}
-	return d.front.CloseIdle(spare) + d.second.front.CloseIdle(spare)
+	return d.front.CloseIdle(exempt) + d.api.front.CloseIdle(exempt)
 }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -30,8 +30,8 @@
 	return host + ":5070"
 }
 
-// asked puts one line to a console; "": nobody answers.
-func asked(address, line string) string {
+// askConsole puts one line to a console; "": nobody answers.
+func askConsole(address, line string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return ""
@@ -43,11 +43,13 @@
 	return string(answer)
 }
 
-func yes(address, line string) bool { return strings.HasPrefix(asked(address, line), "SUCCESS") }
+func consoleSucceeds(address, line string) bool {
+	return strings.HasPrefix(askConsole(address, line), "SUCCESS")
+}
 
-// process runs a daemon as the program does, with a console of its own, and returns once it
+// startDaemon runs a daemon as the program does, with a console of its own, and returns once it
 // is ready.
-func process(t *testing.T, cfg Config) (d *Daemon, stop context.CancelFunc, done chan error) {
+func startDaemon(t *testing.T, cfg Config) (d *Daemon, stop context.CancelFunc, done chan error) {
 	cfg.Console = freeAddress(t)
 	d, err := New(cfg, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -55,12 +57,12 @@
 	done = make(chan error, 1)
 	go func() { done <- d.Run(ctx) }()
 	t.Cleanup(stop)
-	require.Eventually(t, func() bool { return yes(cfg.Console, "READY") }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return consoleSucceeds(cfg.Console, "READY") }, standin.Patience, time.Millisecond)
 	return d, stop, done
 }
 
-// inherited returns a descriptor for each process that is to share a listening socket.
-func inherited(t *testing.T, n int) (address string, fds []string) {
+// inheritedSockets returns a descriptor for each process that is to share a listening socket.
+func inheritedSockets(t *testing.T, n int) (address string, fds []string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -76,25 +78,25 @@
 	return ln.Addr().String(), fds
 }
 
-// setting is what processes with one setup server and one socket for the callers need.
-func setting(t *testing.T, processes int) (server *standin.Server, cfg Config, address string, fds []string) {
+// oneServerConfig is what processes with one setup server and one socket for the callers need.
+func oneServerConfig(t *testing.T, processes int) (server *standin.Server, cfg Config, address string, fds []string) {
 	server = standin.NewServer(t, "")
-	address, fds = inherited(t, processes)
-	return server, config(t, standin.NewBulletin(t, standin.Endpoint("s0", server.Addr, 0, "up"))), address, fds
+	address, fds = inheritedSockets(t, processes)
+	return server, testConfig(t, standin.NewBulletin(t, standin.Endpoint("s0", server.Addr, 0, "up"))), address, fds
 }
 
 // TestHandOver: two processes serve one inherited socket. The one that stops leaves
 // newcomers to the other, answers what is open with it, and ends a connection only when
 // nothing is open there.
 func TestHandOver(t *testing.T) {
-	server, cfg, address, fds := setting(t, 2)
+	server, cfg, address, fds := oneServerConfig(t, 2)
 	cfg.Callers = fds[0]
-	first, stop, done := process(t, cfg)
+	first, stop, done := startDaemon(t, cfg)
 	served := standin.NewCaller(t, address)
 	served.SetUp(0x10, "voice", 5*time.Second, 0)
 	g := server.Await(t, isup.SetUp)
 	cfg.Callers = fds[1]
-	process(t, cfg)
+	startDaemon(t, cfg)
 	stop()
 	require.Eventually(t, func() bool { return !first.ready() }, standin.Patience, time.Millisecond)
 	for id := isup.CallID(0x20); id < 0x25; id++ {
@@ -114,27 +116,27 @@
 	last.Await(t, isup.Answer, 0x30)
 }
 
-// TestSecondHandOver: the second front's address is not handed over. A new version serves the
+// TestAPIHandOver: the second front's address is not handed over. A new version serves the
 // first front without it, and takes it once the old one stops.
-func TestSecondHandOver(t *testing.T) {
-	_, cfg, _, fds := setting(t, 2)
+func TestAPIHandOver(t *testing.T) {
+	_, cfg, _, fds := oneServerConfig(t, 2)
 	cfg.State = filepath.Join(t.TempDir(), "state.json")
 	p, err := plan.Make(cfg.State, plan.Front{Enabled: true, Listen: freeAddress(t), Path: "/calls",
 		MaxConnections: 8, MaxMessage: 1 << 16, IdleS: 30})
 	require.NoError(t, err)
 	require.NoError(t, p.Apply())
 	cfg.Callers = fds[0]
-	first, stop, _ := process(t, cfg)
-	require.Eventually(t, func() bool { return first.second.address() != nil }, standin.Patience, time.Millisecond)
+	first, stop, _ := startDaemon(t, cfg)
+	require.Eventually(t, func() bool { return first.api.address() != nil }, standin.Patience, time.Millisecond)
 	cfg.Callers = fds[1]
-	next, _, _ := process(t, cfg)
-	assert.Nil(t, next.second.address())
+	next, _, _ := startDaemon(t, cfg)
+	assert.Nil(t, next.api.address())
 	stop()
-	require.Eventually(t, func() bool { return next.second.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return next.api.address() != nil }, standin.Patience, time.Millisecond)
 }
 
-// TestInherited: what PROXY_FD names must be a listening socket.
-func TestInherited(t *testing.T) {
+// TestInheritedSocket: what PROXY_FD names must be a listening socket.
+func TestInheritedSocket(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "1", "65000"} {
 		_, err := callersListener("127.0.0.1:0", fd)
 		assert.ErrorContains(t, err, "PROXY_FD", fd)
@@ -143,9 +145,9 @@
 
 // TestStats: the figures are those of what has passed, and end with their last line.
 func TestStats(t *testing.T) {
-	server, cfg, address, fds := setting(t, 1)
+	server, cfg, address, fds := oneServerConfig(t, 1)
 	cfg.Callers = fds[0]
-	d, _, _ := process(t, cfg)
+	d, _, _ := startDaemon(t, cfg)
 	c := standin.NewCaller(t, address)
 	c.SetUp(0x10, "voice", 5*time.Second, 0)
 	server.Await(t, isup.SetUp).Answer("room")
@@ -165,16 +167,16 @@
 svc.reconfig_ok:0|c
 svc.reconfig_failed:0|c
 EOT
-`, asked(d.cfg.Console, "STATS"))
+`, askConsole(d.cfg.Console, "STATS"))
 }
 
-// TestEmptied: a drained agent says no, to the console and on the wire, ends connections that
+// TestDrainedAgent: a drained agent says no, to the console and on the wire, ends connections that
 // hold no call, and refuses what comes after a while; what is open is answered, and the end
 // of what stands is told. Then it takes callers again.
-func TestEmptied(t *testing.T) {
-	server, cfg, address, fds := setting(t, 1)
+func TestDrainedAgent(t *testing.T) {
+	server, cfg, address, fds := oneServerConfig(t, 1)
 	cfg.Callers = fds[0]
-	d, _, _ := process(t, cfg)
+	d, _, _ := startDaemon(t, cfg)
 	idle, busy := standin.NewCaller(t, address), standin.NewCaller(t, address)
 	test := func(c *standin.Caller, id isup.CallID) isup.Cause {
 		c.Send(isup.Message{Type: isup.Test, Call: id}.WithCause(isup.NotPassed))
@@ -185,9 +187,9 @@
 	assert.Equal(t, isup.Passed, test(idle, 1))
 	busy.SetUp(0x10, "voice", 5*time.Second, 0)
 	g := server.Await(t, isup.SetUp)
-	require.True(t, yes(d.cfg.Console, "DRAIN"))
-	require.True(t, yes(d.cfg.Console, "DRAIN"), "again")
-	assert.False(t, yes(d.cfg.Console, "READY"))
+	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"))
+	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"), "again")
+	assert.False(t, consoleSucceeds(d.cfg.Console, "READY"))
 	assert.Equal(t, isup.NotPassed, test(busy, 2))
 	_, err := idle.Next()
 	assert.ErrorIs(t, err, io.EOF)
@@ -195,11 +197,11 @@
 	busy.Await(t, isup.Answer, 0x10)
 	outcome := func(id isup.CallID) isup.Message { // of a set-up that the server, asked, answers
 		busy.SetUp(id, "voice", 5*time.Second, 0)
-		heard := make(chan isup.Message, 1)
-		go func() { m, _ := busy.Next(); heard <- m }()
+		received := make(chan isup.Message, 1)
+		go func() { m, _ := busy.Next(); received <- m }()
 		for {
 			select {
-			case m := <-heard:
+			case m := <-received:
 				return m
 			case g := <-server.Got:
 				if g.Type == isup.SetUp {
@@ -219,7 +221,7 @@
 	g.Conn = conns[len(conns)-1]
 	g.Release(isup.Normal, "")
 	busy.Await(t, isup.Release, 0x10)
-	require.True(t, yes(d.cfg.Console, "UNDRAIN"))
-	assert.True(t, yes(d.cfg.Console, "READY"))
+	require.True(t, consoleSucceeds(d.cfg.Console, "UNDRAIN"))
+	assert.True(t, consoleSucceeds(d.cfg.Console, "READY"))
 	assert.Equal(t, isup.Answer, outcome(0x1000).Type)
 }
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -7,34 +7,34 @@
 // on their way out add an eighth to a part of callers'. What is left beside these and a few others
 // is the setup servers', however many are listed: so callers always find theirs.
 const (
-	callerConns      = 2
-	callerConnsOfTwo = 3
-	apiConns         = 4
-	besideConns      = 4  // past so many to all servers none is opened beside another
-	otherConns       = 16 // files, listeners, the bulletin, the console, other machines
-	otherLeast       = 12
-	serverConns      = 8 // the servers' at least
+	callersDivisor        = 2
+	callersDivisorWithAPI = 3
+	apiDivisor            = 4
+	extraServersDivisor   = 4  // past so many to all servers none is opened beside another
+	reservedDivisor       = 16 // files, listeners, the bulletin, the console, other machines
+	minReserved           = 12
+	minServersDivisor     = 8 // the servers' at least
 )
 
-// parts are the most connections of each kind.
-type parts struct {
-	callers, api    int
-	servers, beside int // to all setup servers; and of these, past which none goes beside another
+// connLimits are the most connections of each kind.
+type connLimits struct {
+	callers, api          int
+	servers, extraServers int // to all setup servers; and of these, past which none goes beside another
 }
 
-// partsOf is the sum of the descriptors: what it gives out is no more than there are, but for the
+// newConnLimits is the sum of the descriptors: what it gives out is no more than there are, but for the
 // smallest machines.
-func partsOf(sockets int, api bool) parts {
-	p := parts{callers: sockets / callerConns}
+func newConnLimits(sockets int, api bool) connLimits {
+	p := connLimits{callers: sockets / callersDivisor}
 	if api {
-		p.callers, p.api = sockets/callerConnsOfTwo, sockets/apiConns
+		p.callers, p.api = sockets/callersDivisorWithAPI, sockets/apiDivisor
 	}
-	p.servers = max(sockets-p.taken()-max(sockets/otherConns, otherLeast), sockets/serverConns)
-	p.beside = min(sockets/besideConns, p.servers)
+	p.servers = max(sockets-p.callerTotal()-max(sockets/reservedDivisor, minReserved), sockets/minServersDivisor)
+	p.extraServers = min(sockets/extraServersDivisor, p.servers)
 	return p
 }
 
-// taken is what callers may hold, with those on their way out.
-func (p parts) taken() int {
+// callerTotal is what callers may hold, with those on their way out.
+func (p connLimits) callerTotal() int {
 	return p.callers + p.callers/connmgr.ClosingDivisor + p.api + p.api/connmgr.ClosingDivisor
 }
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -20,8 +20,8 @@
 	"woodrouter/isup"
 )
 
-// program is the program as built for these tests, once.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram is the program as built for these tests, once.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "woodrouter")
 	if err != nil {
 		return "", err
@@ -33,9 +33,9 @@
 // writes, so that signals come before, between and after as the test orders them.
 type agentProcess struct {
 	*faultnet.Proc
-	pipe, text string
-	address    string
-	server     *standin.Server
+	configPipe, config string
+	address            string
+	server             *standin.Server
 }
 
 func startProcess(t *testing.T, bulletin string) *agentProcess {
@@ -44,56 +44,56 @@
 	return p
 }
 
-// limits has the configuration state a machine of so many descriptors.
-func (p *agentProcess) limits(t *testing.T, sockets int) {
+// setDescriptorLimit has the configuration state a machine of so many descriptors.
+func (p *agentProcess) setDescriptorLimit(t *testing.T, sockets int) {
 	var cfg map[string]any
-	require.NoError(t, json.Unmarshal([]byte(p.text), &cfg))
+	require.NoError(t, json.Unmarshal([]byte(p.config), &cfg))
 	cfg["limits"] = Limits{Cores: 1, MemoryMB: 64, Sockets: sockets}
 	text, err := json.Marshal(cfg)
 	require.NoError(t, err)
-	p.text = string(text)
+	p.config = string(text)
 }
 
 func newProcess(t *testing.T, bulletin string) *agentProcess {
-	bin, err := program()
+	bin, err := buildProgram()
 	require.NoError(t, err)
-	p := &agentProcess{pipe: filepath.Join(t.TempDir(), "config.json"), address: freeAddress(t), server: standin.NewServer(t, "")}
-	require.NoError(t, syscall.Mkfifo(p.pipe, 0o600))
+	p := &agentProcess{configPipe: filepath.Join(t.TempDir(), "config.json"), address: freeAddress(t), server: standin.NewServer(t, "")}
+	require.NoError(t, syscall.Mkfifo(p.configPipe, 0o600))
 	b := standin.NewBulletin(t, standin.Endpoint("s0", p.server.Addr, 0, "up"))
 	if bulletin == "" {
 		bulletin = b.Addr
 	}
 	var cfg map[string]any
-	require.NoError(t, json.Unmarshal(configText(t, b), &cfg))
+	require.NoError(t, json.Unmarshal(testConfigText(t, b), &cfg))
 	cfg["listen"], cfg["bulletin"] = p.address, bulletin
 	text, err := json.Marshal(cfg)
 	require.NoError(t, err)
-	p.text = string(text)
-	p.Proc = &faultnet.Proc{Name: "n0", Bin: bin, Env: append(os.Environ(), "PROXY_CONFIG="+p.pipe)}
+	p.config = string(text)
+	p.Proc = &faultnet.Proc{Name: "n0", Bin: bin, Env: append(os.Environ(), "PROXY_CONFIG="+p.configPipe)}
 	t.Cleanup(p.Kill)
 	return p
 }
 
-// reading waits until the process reads its configuration, and gives it what write puts there.
-func (p *agentProcess) reading(t *testing.T, write func(*os.File)) {
-	f, err := os.OpenFile(p.pipe, os.O_WRONLY, 0) // waits for the reader
+// writeConfig waits until the process reads its configuration, and gives it what write puts there.
+func (p *agentProcess) writeConfig(t *testing.T, write func(*os.File)) {
+	f, err := os.OpenFile(p.configPipe, os.O_WRONLY, 0) // waits for the reader
 	require.NoError(t, err)
 	write(f)
 	require.NoError(t, f.Close())
 }
 
-func (p *agentProcess) configured(t *testing.T) {
-	p.reading(t, func(f *os.File) { f.WriteString(p.text) })
-	p.logged(t, "serving")
+func (p *agentProcess) configure(t *testing.T) {
+	p.writeConfig(t, func(f *os.File) { f.WriteString(p.config) })
+	p.awaitLog(t, "serving")
 }
 
-func (p *agentProcess) logged(t *testing.T, line string) {
+func (p *agentProcess) awaitLog(t *testing.T, line string) {
 	t.Helper()
 	require.Eventually(t, func() bool { return strings.Contains(p.Log(), line) }, standin.Patience, time.Millisecond, line)
 }
 
-// ended waits for the process to end by itself, in order.
-func (p *agentProcess) ended(t *testing.T) {
+// awaitExit waits for the process to end by itself, in order.
+func (p *agentProcess) awaitExit(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.Done():
@@ -108,24 +108,24 @@
 func TestSignalsBeforeReady(t *testing.T) {
 	t.Run("SIGHUP", func(t *testing.T) {
 		p := startProcess(t, "")
-		p.reading(t, func(f *os.File) {
+		p.writeConfig(t, func(f *os.File) {
 			p.HangUp()
-			f.WriteString(p.text)
+			f.WriteString(p.config)
 		})
-		p.logged(t, "serving")
-		p.reading(t, func(f *os.File) { f.WriteString(p.text) }) // read anew, for the signal
-		p.logged(t, "configuration taken")
+		p.awaitLog(t, "serving")
+		p.writeConfig(t, func(f *os.File) { f.WriteString(p.config) }) // read anew, for the signal
+		p.awaitLog(t, "configuration taken")
 		c := standin.NewCaller(t, p.address)
 		c.Send(isup.Message{Type: isup.Test, Call: 1}.WithCause(0))
 		c.Await(t, isup.TestResult, 1)
 	})
 	t.Run("SIGTERM", func(t *testing.T) {
 		p := startProcess(t, "")
-		p.reading(t, func(f *os.File) {
+		p.writeConfig(t, func(f *os.File) {
 			p.Term()
-			f.WriteString(p.text)
+			f.WriteString(p.config)
 		})
-		p.ended(t)
+		p.awaitExit(t)
 	})
 }
 
@@ -135,14 +135,14 @@
 	for name, bulletin := range map[string]string{"discovery up": "", "discovery down": freeAddress(t)} {
 		t.Run(name, func(t *testing.T) {
 			p := startProcess(t, bulletin)
-			p.configured(t)
+			p.configure(t)
 			c := standin.NewCaller(t, p.address)
 			c.SetUp(1, "voice", 9*time.Second, 0)
 			first := p.server.Await(t, isup.SetUp)
-			half := wording(t, 2)
+			half := setUpBytes(t, 2)
 			c.Write(half[:20])
 			p.Term()
-			p.logged(t, "stopping: serving on")
+			p.awaitLog(t, "stopping: serving on")
 			p.Term()
 			p.HangUp()
 			newcomer := standin.NewCaller(t, p.address)
@@ -155,7 +155,7 @@
 			}
 			c.Await(t, isup.Answer, 2)
 			newcomer.Await(t, isup.Answer, 3)
-			p.ended(t)
+			p.awaitExit(t)
 		})
 	}
 }
@@ -164,22 +164,22 @@
 // any more when the time of new ones is over, and gets its answer.
 func TestStopHalfRead(t *testing.T) {
 	p := startProcess(t, "")
-	p.configured(t)
+	p.configure(t)
 	c := standin.NewCaller(t, p.address)
-	setUp := wording(t, 2)
+	setUp := setUpBytes(t, 2)
 	c.Write(setUp[:20])
 	p.Term()
-	c.SetReadDeadline(time.Now().Add(stopServing + 200*time.Millisecond))
+	c.SetReadDeadline(time.Now().Add(stopServePeriod + 200*time.Millisecond))
 	_, err := c.In.Peek(1)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection stays")
 	c.Write(setUp[20:])
 	p.server.Await(t, isup.SetUp).Answer("there")
 	c.Await(t, isup.Answer, 2)
-	p.ended(t)
+	p.awaitExit(t)
 }
 
-// wording is a set-up's bytes.
-func wording(t *testing.T, id isup.CallID) []byte {
+// setUpBytes is a set-up's bytes.
+func setUpBytes(t *testing.T, id isup.CallID) []byte {
 	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.TimeLeft, 9*time.Second).
 		WithText(isup.Number, "2").WithText(isup.Figures, "dest:0;width:1;via:-1").WithText(isup.Description, "offer").Append(nil)
 	require.NoError(t, err)
@@ -193,9 +193,9 @@
 	down := freeAddress(t)
 	p := newProcess(t, down)
 	p.Args, p.Bin = []string{"-c", fmt.Sprint("ulimit -n ", descriptors, "; exec ", p.Bin)}, "/bin/sh"
-	p.limits(t, descriptors)
+	p.setDescriptorLimit(t, descriptors)
 	require.NoError(t, p.Start())
-	p.configured(t)
+	p.configure(t)
 	idle := make([]*standin.Caller, 3*descriptors)
 	for i := range idle {
 		idle[i] = standin.NewCaller(t, p.address)
--- a/internal/daemon/promisecmd.go
+++ b/internal/daemon/promisecmd.go
@@ -53,17 +53,17 @@
 	Raft  string `help:"For join: where the others reach its log (host:port)."`
 }
 
-// commandMost bounds what an operator's command waits for the groups.
-const commandMost = 30 * time.Second
+// commandTimeout bounds what an operator's command waits for the groups.
+const commandTimeout = 30 * time.Second
 
 func (c promisesCommand) run(command string, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(context.Background(), commandMost)
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	switch command {
 	case "check":
 		return checkPromises(c.Check.File, out)
 	case "status":
-		return tellPromises(ctx, c.Status.File, out)
+		return printGroupStates(ctx, c.Status.File, out)
 	case "fence":
 		return fencePromises(ctx, c.Fence.File, out)
 	case "place":
@@ -105,8 +105,8 @@
 	return out
 }
 
-// asking is a keeper that only asks: it takes no part in a group and claims nothing.
-func asking(file string) (*promisestore.Store, promisestore.Config, error) {
+// observerKeeper is a keeper that only asks: it takes no part in a group and claims nothing.
+func observerKeeper(file string) (*promisestore.Store, promisestore.Config, error) {
 	c, err := promisestore.LoadConfig(file)
 	if err != nil {
 		return nil, c, err
@@ -116,21 +116,21 @@
 	return k, c, nil
 }
 
-func tellPromises(ctx context.Context, file string, out io.Writer) error {
-	k, _, err := asking(file)
+func printGroupStates(ctx context.Context, file string, out io.Writer) error {
+	k, _, err := observerKeeper(file)
 	if err != nil {
 		return err
 	}
 	defer k.Close()
-	views, without := k.Overview(ctx), 0
+	views, leaderless := k.Overview(ctx), 0
 	for _, id := range slices.Sorted(maps.Keys(views)) {
-		fmt.Fprintln(out, sayGroup(id, views[id]))
+		fmt.Fprintln(out, groupLine(id, views[id]))
 		if views[id].Err != nil {
-			without++
+			leaderless++
 		}
 	}
-	if without > 0 {
-		return fmt.Errorf("%d of %d groups have no leader within reach", without, len(views))
+	if leaderless > 0 {
+		return fmt.Errorf("%d of %d groups have no leader within reach", leaderless, len(views))
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	ring, left, err := shard.BuildRing(agents, c.Size)
+	ring, unassigned, err := shard.BuildRing(agents, c.Size)
 	if err != nil {
 		return fmt.Errorf("--size: %w", err)
 	}
@@ -172,7 +172,7 @@
 	for _, found := range ring.CheckZones() {
 		fmt.Fprintf(out, "# warning: %v\n", found)
 	}
-	for _, m := range left {
+	for _, m := range unassigned {
 		fmt.Fprintf(out, "# left over, keeps nothing for others: %s (%s)\n", m.ID, m.Zone)
 	}
 	text, err := yaml.Marshal(map[string]shard.Ring{"ring": ring})
@@ -199,15 +199,15 @@
 	for _, id := range c.Gone {
 		gone[id] = true
 	}
-	next, steps, stuck := shard.ReplaceLost(conf.Ring, gone, spares)
-	for _, s := range steps {
-		fmt.Fprintln(out, "# "+say(s))
+	next, steps, withoutMajority := shard.ReplaceLost(conf.Ring, gone, spares)
+	for _, change := range steps {
+		fmt.Fprintln(out, "# "+describeChange(change))
 		if !c.Apply {
 			continue
 		}
-		g, _ := conf.Ring.Group(s.Group)
-		if err := carryOut(ctx, g, s); err != nil {
-			return fmt.Errorf("%s: %w", say(s), err)
+		g, _ := conf.Ring.Group(change.Group)
+		if err := applyChange(ctx, g, change); err != nil {
+			return fmt.Errorf("%s: %w", describeChange(change), err)
 		}
 	}
 	text, err := yaml.Marshal(map[string]shard.Ring{"ring": next})
@@ -217,27 +217,27 @@
 	if _, err := out.Write(text); err != nil {
 		return err
 	}
-	if len(stuck) > 0 {
-		return fmt.Errorf("groups %v have lost their majority: no membership change can mend them (docs/operators.md)", stuck)
+	if len(withoutMajority) > 0 {
+		return fmt.Errorf("groups %v have lost their majority: no membership change can mend them (docs/operators.md)", withoutMajority)
 	}
 	return nil
 }
 
-func say(s shard.MembershipChange) string {
-	if s.Remove != "" {
-		return fmt.Sprintf("group %s: remove %s", s.Group, s.Remove)
+func describeChange(c shard.MembershipChange) string {
+	if c.Remove != "" {
+		return fmt.Sprintf("group %s: remove %s", c.Group, c.Remove)
 	}
-	return fmt.Sprintf("group %s: add %s (%s, %s)", s.Group, s.Add.ID, s.Add.Zone, s.Add.Raft)
+	return fmt.Sprintf("group %s: add %s (%s, %s)", c.Group, c.Add.ID, c.Add.Zone, c.Add.Raft)
 }
 
-func carryOut(ctx context.Context, g shard.Group, s shard.MembershipChange) error {
+func applyChange(ctx context.Context, g shard.Group, c shard.MembershipChange) error {
 	client := promisestore.NewGroupClient(g)
 	defer client.Close()
 	return replica.Retry(ctx, func() error {
-		if s.Remove != "" {
-			return client.Remove(ctx, s.Remove)
+		if c.Remove != "" {
+			return client.Remove(ctx, c.Remove)
 		}
-		return client.Join(ctx, s.Add.ID, s.Add.Raft)
+		return client.Join(ctx, c.Add.ID, c.Add.Raft)
 	})
 }
 
--- a/internal/daemon/promises.go
+++ b/internal/daemon/promises.go
@@ -44,11 +44,11 @@
 		return nil, err
 	}
 	p := &promises{keeper: promisestore.New(cmp.Or(file.Name, cfg.Name), log), log: log}
-	p.take(file)
+	p.applyFile(file)
 	return p, nil
 }
 
-func (p *promises) take(file promisestore.Config) {
+func (p *promises) applyFile(file promisestore.Config) {
 	for _, found := range file.Ring.CheckZones() {
 		p.log.Warn("ring: a zone's loss would stop a group", "found", found)
 	}
@@ -64,26 +64,26 @@
 	if err != nil {
 		return err
 	}
-	now := p.cfg.Load()
-	if next.Ring.Version < now.Ring.Version {
-		return fmt.Errorf("promises: %s: field ring.version: %d is before %d, which is in force", path, next.Ring.Version, now.Ring.Version)
+	current := p.cfg.Load()
+	if next.Ring.Version < current.Ring.Version {
+		return fmt.Errorf("promises: %s: field ring.version: %d is before %d, which is in force", path, next.Ring.Version, current.Ring.Version)
 	}
-	if next.Name != now.Name || next.StoresCalls() != now.StoresCalls() || !reflect.DeepEqual(next.Member, now.Member) {
+	if next.Name != current.Name || next.StoresCalls() != current.StoresCalls() || !reflect.DeepEqual(next.Member, current.Member) {
 		p.log.Warn("promises: name, member and calls hold from the next start")
-		next.Name, next.Member, next.Calls = now.Name, now.Member, now.Calls
+		next.Name, next.Member, next.Calls = current.Name, current.Member, current.Calls
 	}
-	if !reflect.DeepEqual(next.Ring, now.Ring) || !reflect.DeepEqual(next.Previous, now.Previous) {
-		p.take(next)
+	if !reflect.DeepEqual(next.Ring, current.Ring) || !reflect.DeepEqual(next.Previous, current.Previous) {
+		p.applyFile(next)
 	}
 	return nil
 }
 
 // openPromises starts the agent's part in its group and takes up an order that was kept for it.
-func (d *Daemon) openPromises(ctx context.Context) (leave func(), err error) {
+func (d *Daemon) openPromises(ctx context.Context) (closeAll func(), err error) {
 	if d.promises == nil {
 		return func() {}, nil
 	}
-	leave = d.promises.keeper.Close
+	closeAll = d.promises.keeper.Close
 	if m := d.promises.cfg.Load().Member; m != nil {
 		n, err := replica.Open(*m, d.log.With("member", m.ID))
 		if err != nil {
@@ -96,44 +96,44 @@
 		}
 		d.log.Info("member started", "member", m.ID, "raft", m.Raft, "client", ln.Addr().String(), "data", m.Data)
 		d.promises.node.Store(n)
-		leave = func() {
+		closeAll = func() {
 			d.promises.node.Store(nil)
 			d.promises.keeper.Close()
 			ln.Close()
 			n.Close()
 		}
 	}
-	go d.recall(ctx)
-	return leave, nil
+	go d.restoreDrain(ctx)
+	return closeAll, nil
 }
 
-// recallEvery is how often an agent asks whether it is under an order while no group answers.
-const recallEvery = 500 * time.Millisecond
+// restoreDrainInterval is how often an agent asks whether it is under an order while no group answers.
+const restoreDrainInterval = 500 * time.Millisecond
 
-// recall drains this agent where a drain of it was promised before its start, and keeps the
+// restoreDrain drains this agent where a drain of it was promised before its start, and keeps the
 // versions it runs by. Until a group answers, calls are refused for want of a quorum anyway.
-func (d *Daemon) recall(ctx context.Context) {
+func (d *Daemon) restoreDrain(ctx context.Context) {
 	for {
 		drained, err := d.promises.keeper.Drained()
 		if err == nil {
 			if drained {
 				d.log.Info("drained by an order kept before this start")
-				d.empty()
+				d.startDrain()
 			}
-			d.keepVersions()
+			d.recordVersions()
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(recallEvery):
+		case <-time.After(restoreDrainInterval):
 		}
 	}
 }
 
-// keepVersions has the groups keep which settings, routes and second front's state this agent
+// recordVersions has the groups keep which settings, routes and second front's state this agent
 // runs by.
-func (d *Daemon) keepVersions() {
+func (d *Daemon) recordVersions() {
 	d.promises.keeper.RecordDigest("settings", d.cfg.Settings)
 	for kind, path := range map[string]string{"routes": d.cfg.Routes, "plan": d.cfg.State} {
 		if path != "" {
@@ -142,24 +142,24 @@
 	}
 }
 
-// keepDrain has an order kept by the groups before it takes effect here. Where not every group
+// recordDrain has an order kept by the groups before it takes effect here. Where not every group
 // is seen to have it nothing changes here: an order that is not promised would be undone by
 // the next restart. A group may have it all the same; the order given again settles that.
-func (d *Daemon) keepDrain(on bool, order func() string) func() string {
+func (d *Daemon) recordDrain(drain bool, apply func() string) func() string {
 	return func() string {
 		if d.promises == nil {
-			return order()
+			return apply()
 		}
-		if err := d.promises.keeper.Drain(on); err != nil {
-			d.log.Warn("order not kept", "drain", on, "error", err)
+		if err := d.promises.keeper.Drain(drain); err != nil {
+			d.log.Warn("order not kept", "drain", drain, "error", err)
 			return console.Failure + " not promised by every group, nothing changed here: " + strings.ReplaceAll(err.Error(), "\n", "; ")
 		}
-		return order()
+		return apply()
 	}
 }
 
-// figures are the lines of STATS about promises.
-func (p *promises) figures(line func(kind string, n int64, name string)) {
+// writeStats are the lines of STATS about promises.
+func (p *promises) writeStats(line func(kind string, n int64, name string)) {
 	c := &p.keeper.Counts
 	line("c", c.Claimed.Load(), "promises_claimed")
 	line("c", c.Stored.Load(), "promises_kept")
@@ -170,8 +170,8 @@
 	line("c", c.EndsDropped.Load(), "promises_ends_dropped")
 }
 
-// sayPromises words what each group tells through its leader.
-func (d *Daemon) sayPromises() string {
+// promisesAnswer words what each group tells through its leader.
+func (d *Daemon) promisesAnswer() string {
 	if d.promises == nil {
 		return console.Failure + " promises are kept by this process alone"
 	}
@@ -180,13 +180,13 @@
 	views := d.promises.keeper.Overview(ctx)
 	var b strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(views)) {
-		fmt.Fprintln(&b, sayGroup(id, views[id]))
+		fmt.Fprintln(&b, groupLine(id, views[id]))
 	}
 	return b.String() + console.End
 }
 
-// sayGroup words a group's state in a line.
-func sayGroup(id string, v promisestore.GroupStatus) string {
+// groupLine words a group's state in a line.
+func groupLine(id string, v promisestore.GroupStatus) string {
 	if v.Err != nil {
 		return fmt.Sprintf("group %s: no leader within reach: %v", id, v.Err)
 	}
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -20,24 +20,24 @@
 	"woodrouter/rollout"
 )
 
-// controlMachine is a scripted one: each watch waits for the test's answer.
-type controlMachine struct{ asked chan watch }
+// scriptedControl is a scripted one: each watch waits for the test's answer.
+type scriptedControl struct{ watches chan pendingWatch }
 
-type watch struct {
+type pendingWatch struct {
 	rollout.WatchArgs
-	answer chan rollout.WatchReply
+	reply chan rollout.WatchReply
 }
 
-func (m controlMachine) Watch(a rollout.WatchArgs, r *rollout.WatchReply) error {
-	w := watch{a, make(chan rollout.WatchReply, 1)}
-	m.asked <- w
-	*r = <-w.answer
+func (m scriptedControl) Watch(a rollout.WatchArgs, r *rollout.WatchReply) error {
+	w := pendingWatch{a, make(chan rollout.WatchReply, 1)}
+	m.watches <- w
+	*r = <-w.reply
 	return nil
 }
 
-// scripted serves one, and words the agent's file that names it.
-func scripted(t *testing.T) (m controlMachine, file, data string) {
-	m.asked = make(chan watch, 64)
+// newScriptedControl serves one, and words the agent's file that names it.
+func newScriptedControl(t *testing.T) (m scriptedControl, file, data string) {
+	m.watches = make(chan pendingWatch, 64)
 	server := rpc.NewServer()
 	require.NoError(t, server.RegisterName("Rollout", m))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,10 +50,10 @@
 	return m, file, data
 }
 
-func (m controlMachine) next(t *testing.T) watch {
+func (m scriptedControl) next(t *testing.T) pendingWatch {
 	t.Helper()
 	select {
-	case w := <-m.asked:
+	case w := <-m.watches:
 		return w
 	case <-time.After(standin.Patience):
 		t.Fatal("the control machine is not asked")
@@ -61,7 +61,7 @@
 	panic("unreached")
 }
 
-func revision(kind string, number uint64, text string) rollout.WatchReply {
+func documentReply(kind string, number uint64, text string) rollout.WatchReply {
 	return rollout.WatchReply{Machine: "c1", Version: number, Docs: []rollout.Document{{Name: rollout.Name{Kind: kind, Scope: rollout.Scope{Level: rollout.LevelAll}},
 		Revision: number, Text: []byte(text), Sum: rollout.Sum([]byte(text)), Removed: text == ""}}}
 }
@@ -71,18 +71,18 @@
 		"routes:\n  - {name: all, match: {class: voice}, servers: [%d]}\n", pool)
 }
 
-// TestDistributed: a revision takes effect between two calls, and the one that is open keeps its
+// TestDistributedConfig: a revision takes effect between two calls, and the one that is open keeps its
 // route and its answer. It goes before the agent's own file, which SIGHUP checks and does not take
 // meanwhile; a text that the loader refuses is told back with line and field; with control gone a
 // restart serves by what was acknowledged; once the document is removed the own file holds.
-func TestDistributed(t *testing.T) {
+func TestDistributedConfig(t *testing.T) {
 	servers := []*standin.Server{standin.NewServer(t, ""), standin.NewServer(t, "")}
-	cfg := config(t, standin.NewBulletin(t, standin.Endpoint("s0", servers[0].Addr, 0, "up"), standin.Endpoint("s1", servers[1].Addr, 1, "up")))
-	address, fds := inherited(t, 2)
-	m, file, _ := scripted(t)
+	cfg := testConfig(t, standin.NewBulletin(t, standin.Endpoint("s0", servers[0].Addr, 0, "up"), standin.Endpoint("s1", servers[1].Addr, 1, "up")))
+	address, fds := inheritedSockets(t, 2)
+	m, file, _ := newScriptedControl(t)
 	cfg.Callers, cfg.Rollout, cfg.Routes = fds[0], file, filepath.Join(t.TempDir(), "routes.yaml")
 	require.NoError(t, os.WriteFile(cfg.Routes, []byte(routesText(0)), 0o600))
-	d, stop, done := process(t, cfg)
+	d, stop, done := startDaemon(t, cfg)
 	call := isup.CallID(0x10)
 	goesTo := func(pool int, why string) {
 		t.Helper()
@@ -101,30 +101,30 @@
 	open := standin.NewCaller(t, address)
 	open.SetUp(0x10, "voice", 8*time.Second, 1)
 	g := servers[0].Await(t, isup.SetUp)
-	w.answer <- revision(kindRoutes, 3, routesText(1))
+	w.reply <- documentReply(kindRoutes, 3, routesText(1))
 	w = m.next(t)
 	assert.EqualValues(t, 3, w.Report.InForce[kindRoutes])
 	assert.EqualValues(t, 3, w.Report.Seen["routes@all"])
 	goesTo(1, "distributed")
 	g.Answer("room")
 	open.Await(t, isup.Answer, 0x10)
-	w.answer <- revision(kindRoutes, 4, routesText(0)+"  - {name: other, match: {class: voice, prefix: '1'}, attempts: many}\n")
+	w.reply <- documentReply(kindRoutes, 4, routesText(0)+"  - {name: other, match: {class: voice, prefix: '1'}, attempts: many}\n")
 	w = m.next(t)
 	require.Len(t, w.Report.Refused, 1)
 	assert.Contains(t, w.Report.Refused[0].Why, "routes:5:")
 	assert.Contains(t, w.Report.Refused[0].Why, "attempts")
-	w.answer <- revision(kindFailover, 5, "every: 1s\n")
+	w.reply <- documentReply(kindFailover, 5, "every: 1s\n")
 	w = m.next(t)
 	require.Len(t, w.Report.Refused, 2)
 	assert.Contains(t, w.Report.Refused[0].Why, "started without WOODROUTER_FAILOVER")
 	goesTo(1, "the former stays")
 	d.Reload()
 	goesTo(1, "SIGHUP")
-	assert.EqualValues(t, 1, d.reloads.taken.Load())
-	said := asked(d.cfg.Console, "ROLLOUT")
-	assert.Contains(t, said, "routes: revision 3 of routes@all in force")
-	assert.Contains(t, said, "own file of routes: "+cfg.Routes+" not in force")
-	assert.Contains(t, asked(d.cfg.Console, "STATS"), "svc.rollout_revision.routes:3|g")
+	assert.EqualValues(t, 1, d.reloads.applied.Load())
+	answer := askConsole(d.cfg.Console, "ROLLOUT")
+	assert.Contains(t, answer, "routes: revision 3 of routes@all in force")
+	assert.Contains(t, answer, "own file of routes: "+cfg.Routes+" not in force")
+	assert.Contains(t, askConsole(d.cfg.Console, "STATS"), "svc.rollout_revision.routes:3|g")
 	require.NoError(t, os.WriteFile(cfg.Routes, []byte("version: 2\n"), 0o600))
 	d.Reload()
 	assert.EqualValues(t, 1, d.reloads.refused.Load(), "checked all the same")
@@ -133,23 +133,23 @@
 	stop()
 	require.NoError(t, <-done)
 	cfg.Callers = fds[1]
-	again, _, _ := process(t, cfg)
+	again, _, _ := startDaemon(t, cfg)
 	goesTo(1, "a restart, before any machine has answered")
 	for former := w.Report.Life; w.Report.Life == former; {
 		w = m.next(t)
 	}
 	assert.EqualValues(t, 3, w.Report.Seen["routes@all"], "never below")
-	w.answer <- revision(kindRoutes, 9, "")
+	w.reply <- documentReply(kindRoutes, 9, "")
 	w = m.next(t)
 	assert.Zero(t, w.Report.InForce[kindRoutes])
 	goesTo(0, "removed: the own file")
-	calls, failed := again.distributed.Calls()
+	calls, failed := again.distribution.Calls()
 	assert.Equal(t, [2]uint64{2, 0}, [2]uint64{calls, failed})
 }
 
-// TestDistributedAtStart: a file that names no control machines as it should stops the program.
-func TestDistributedAtStart(t *testing.T) {
-	cfg := config(t, standin.NewBulletin(t))
+// TestRolloutFileRefusedAtStart: a file that names no control machines as it should stops the program.
+func TestRolloutFileRefusedAtStart(t *testing.T) {
+	cfg := testConfig(t, standin.NewBulletin(t))
 	cfg.Rollout = filepath.Join(t.TempDir(), "rollout.yaml")
 	require.NoError(t, os.WriteFile(cfg.Rollout, []byte("data: /d\nmachines: [{id: c1, client: nowhere}]\n"), 0o600))
 	_, err := New(cfg, slog.New(slog.DiscardHandler))
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -44,19 +44,19 @@
 	}, len(table.Routes), nil
 }
 
-// takeRoutes reads the routes file, if one is named, and hands it to the core, unless a
+// applyRoutesFile reads the routes file, if one is named, and hands it to the core, unless a
 // distributed revision is in force.
-func (d *Daemon) takeRoutes() error {
+func (d *Daemon) applyRoutesFile() error {
 	if d.cfg.Routes == "" {
 		return nil
 	}
-	router, n, err := readRoutes(d.cfg.Routes, d.cfg)
+	router, count, err := readRoutes(d.cfg.Routes, d.cfg)
 	if err != nil {
 		return fmt.Errorf("routes: %w", err)
 	}
-	return d.takeOwn(kindRoutes, d.cfg.Routes, func() { d.own.routes = router }, func() error {
-		d.core.SetRouter(d.route(router))
-		d.log.Info("routes taken", "file", d.cfg.Routes, "routes", n)
+	return d.applyOwnFile(kindRoutes, d.cfg.Routes, func() { d.ownConfig.routes = router }, func() error {
+		d.core.SetRouter(d.zoneRouter(router))
+		d.log.Info("routes taken", "file", d.cfg.Routes, "routes", count)
 		return nil
 	})
 }
@@ -65,9 +65,9 @@
 // servers is. nil for an empty list, so that nothing is refused for want of news. Only the
 // operators' commands prove a file against it: the list moves while a daemon runs, and a pool
 // that drains at its start is no fault of the file.
-func knownPools(k bulletin.Batch) map[int]string {
+func knownPools(known bulletin.Batch) map[int]string {
 	byName := map[string]bulletin.Endpoint{}
-	for _, item := range k.Items {
+	for _, item := range known.Items {
 		if item.Roster == nil {
 			continue
 		}
--- a/internal/daemon/second.go
+++ b/internal/daemon/second.go
@@ -20,15 +20,15 @@
 	"woodrouter/internal/plan"
 )
 
-// clearMost is how long a connection whose settings no longer hold may wait for the
+// replacedCloseTimeout is how long a connection whose settings no longer hold may wait for the
 // answers of its set-ups.
-const clearMost = 5 * time.Second
+const replacedCloseTimeout = 5 * time.Second
 
-// second is the front that an operator may set up: the call-control API. One front
+// apiServer is the front that an operator may set up: the call-control API. One front
 // outlives all its settings, so that calls that stand are heard of after a change.
-type second struct {
-	d     *Daemon
-	front *callapi.Front
+type apiServer struct {
+	daemon *Daemon
+	front  *callapi.Front
 
 	mu      sync.Mutex
 	applied *plan.Front // nil or not enabled: off
@@ -37,48 +37,48 @@
 }
 
 // configure applies settings. On an error the former ones stay in force.
-func (s *second) configure(next *plan.Front) error {
+func (s *apiServer) configure(next *plan.Front) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || reflect.DeepEqual(s.applied, next) {
 		return nil
 	}
-	on := next != nil && next.Enabled
+	enabled := next != nil && next.Enabled
 	ln := s.ln
-	moves := !on || s.ln == nil || s.applied.Listen != next.Listen
-	if moves {
+	rebind := !enabled || s.ln == nil || s.applied.Listen != next.Listen
+	if rebind {
 		ln = nil
 	}
-	if on && ln == nil {
+	if enabled && ln == nil {
 		var err error
 		if ln, err = net.Listen("tcp", next.Listen); err != nil {
 			return fmt.Errorf("field listen: %w", err)
 		}
 	}
-	if on {
+	if enabled {
 		s.front.Configure(endpoint(next), next.MaxMessage)
-		s.front.SetLimits(min(next.MaxConnections, s.d.parts.api), time.Duration(next.IdleS)*time.Second)
+		s.front.SetLimits(min(next.MaxConnections, s.daemon.connLimits.api), time.Duration(next.IdleS)*time.Second)
 	}
-	if moves && s.ln != nil {
+	if rebind && s.ln != nil {
 		s.ln.Close()
 	}
 	if s.ln != nil { // who may connect has changed: the clients connect anew
-		go s.front.CloseExisting(clearMost)
+		go s.front.CloseExisting(replacedCloseTimeout)
 	}
-	if moves && on {
+	if rebind && enabled {
 		go s.front.Serve(ln)
 	}
 	s.applied, s.ln = next, ln
-	if on {
-		s.d.log.Info("call API on", "listen", ln.Addr().String(), "path", next.Path, "clients", len(next.Clients))
+	if enabled {
+		s.daemon.log.Info("call API on", "listen", ln.Addr().String(), "path", next.Path, "clients", len(next.Clients))
 	} else {
-		s.d.log.Info("call API off")
+		s.daemon.log.Info("call API off")
 	}
 	return nil
 }
 
 // reload reads the state file again.
-func (s *second) reload(path string) error {
+func (s *apiServer) reload(path string) error {
 	state, err := plan.ReadState(path)
 	if err != nil {
 		return err
@@ -89,13 +89,13 @@
 	return nil
 }
 
-// secondRetry is how often a new version tries for the second front's address.
-const secondRetry = 50 * time.Millisecond
+// apiListenRetryInterval is how often a new version tries for the second front's address.
+const apiListenRetryInterval = 50 * time.Millisecond
 
-// openSecond applies the state at the start. A new version beside a running one finds the
+// openAPI applies the state at the start. A new version beside a running one finds the
 // second front's address taken, as that is not handed over, and has it once the other stops.
-func (d *Daemon) openSecond(ctx context.Context) error {
-	err := d.second.reload(d.cfg.State)
+func (d *Daemon) openAPI(ctx context.Context) error {
+	err := d.api.reload(d.cfg.State)
 	if d.cfg.Callers == "" || !errors.Is(err, syscall.EADDRINUSE) {
 		return err
 	}
@@ -105,9 +105,9 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(secondRetry):
+			case <-time.After(apiListenRetryInterval):
 			}
-			err = d.second.reload(d.cfg.State)
+			err = d.api.reload(d.cfg.State)
 		}
 		if err != nil {
 			d.log.Error("state not taken; the former settings stay", "error", err)
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// leave frees the address for good. The connections there are stay.
-func (s *second) leave() {
+// stopListening frees the address for good. The connections there are stay.
+func (s *apiServer) stopListening() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -127,7 +127,7 @@
 }
 
 // address is where the front listens; nil: it is off.
-func (s *second) address() net.Addr {
+func (s *apiServer) address() net.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ln == nil {
@@ -136,8 +136,8 @@
 	return s.ln.Addr()
 }
 
-func (s *second) close() {
-	s.leave()
+func (s *apiServer) close() {
+	s.stopListening()
 	s.front.Close()
 }
 
@@ -145,21 +145,21 @@
 func endpoint(f *plan.Front) ws.Endpoint {
 	e := ws.Endpoint{Path: f.Path, Origins: f.Origins}
 	if len(f.Clients) > 0 {
-		e.Allow = func(r *http.Request) int { return allow(f.Clients, r.Header.Get("Authorization")) }
+		e.Allow = func(r *http.Request) int { return authorize(f.Clients, r.Header.Get("Authorization")) }
 	}
 	return e
 }
 
-// allow looks for the client of a bearer token, in a time that tells nothing of it.
-func allow(clients []plan.Client, header string) int {
+// authorize looks for the client of a bearer token, in a time that tells nothing of it.
+func authorize(clients []plan.Client, header string) int {
 	token, ok := strings.CutPrefix(header, "Bearer ")
 	sum := sha256.Sum256([]byte(token))
-	found := 0
+	matched := 0
 	for _, c := range clients {
 		want, _ := hex.DecodeString(c.TokenSHA256) // checked when it was planned
-		found |= subtle.ConstantTimeCompare(sum[:], want)
+		matched |= subtle.ConstantTimeCompare(sum[:], want)
 	}
-	if !ok || found == 0 {
+	if !ok || matched == 0 {
 		return http.StatusUnauthorized
 	}
 	return 0
--- a/internal/fleet/control/orders.go
+++ b/internal/fleet/control/orders.go
@@ -33,13 +33,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("field rollout.console: %w", err)
 	}
-	c := &console.Console{Log: n.log, Orders: n.consoleOrders()}
+	c := &console.Console{Log: n.log, Commands: n.consoleOrders()}
 	go c.Serve(ln)
 	n.log.Info("console open", "listen", ln.Addr().String())
 	return func() { ln.Close(); c.Close() }, nil
 }
 
-func (n *Node) consoleOrders() map[string]console.Order {
+func (n *Node) consoleOrders() map[string]console.Command {
 	change := func(words []string, e rollout.Entry) string {
 		base := words[len(words)-2]
 		var err error
@@ -52,23 +52,23 @@
 		e.Op, e.Author = rollout.OpPut, words[len(words)-1]
 		return n.putChange(e)
 	}
-	return map[string]console.Order{
-		"CONFIG":      {Usage: "CONFIG", Do: func([]string, []byte) string { return n.describeAll() }},
-		"CONFIG LOOK": {Usage: "CONFIG LOOK NAME", Least: 1, Most: 1, Do: func(w []string, _ []byte) string { return n.describeDocument(w[0]) }},
-		"CONFIG PUT": {Usage: "CONFIG PUT NAME BASE AUTHOR, the text, a line EOT; BASE 0: a new document", Least: 3, Most: 3, Body: true,
-			Do: func(w []string, text []byte) string { return change(w, rollout.Entry{Text: text}) }},
-		"CONFIG REMOVE": {Usage: "CONFIG REMOVE NAME BASE AUTHOR", Least: 3, Most: 3,
-			Do: func(w []string, _ []byte) string { return change(w, rollout.Entry{Remove: true}) }},
-		"CONFIG BACK": {Usage: "CONFIG BACK NAME REVISION BASE AUTHOR", Least: 4, Most: 4,
-			Do: func(w []string, _ []byte) string {
+	return map[string]console.Command{
+		"CONFIG":      {Usage: "CONFIG", Run: func([]string, []byte) string { return n.describeAll() }},
+		"CONFIG LOOK": {Usage: "CONFIG LOOK NAME", MinWords: 1, MaxWords: 1, Run: func(w []string, _ []byte) string { return n.describeDocument(w[0]) }},
+		"CONFIG PUT": {Usage: "CONFIG PUT NAME BASE AUTHOR, the text, a line EOT; BASE 0: a new document", MinWords: 3, MaxWords: 3, TakesBody: true,
+			Run: func(w []string, text []byte) string { return change(w, rollout.Entry{Text: text}) }},
+		"CONFIG REMOVE": {Usage: "CONFIG REMOVE NAME BASE AUTHOR", MinWords: 3, MaxWords: 3,
+			Run: func(w []string, _ []byte) string { return change(w, rollout.Entry{Remove: true}) }},
+		"CONFIG BACK": {Usage: "CONFIG BACK NAME REVISION BASE AUTHOR", MinWords: 4, MaxWords: 4,
+			Run: func(w []string, _ []byte) string {
 				from, err := strconv.ParseUint(w[1], 10, 64)
 				if err != nil || from == 0 {
 					return console.Failure + fmt.Sprintf(" REVISION %.40q is no number of one", w[1])
 				}
 				return change(w, rollout.Entry{Restore: from})
 			}},
-		"CONFIG JOIN": {Usage: "CONFIG JOIN ID RAFT-ADDRESS [novote]", Least: 2, Most: 3,
-			Do: func(w []string, _ []byte) string {
+		"CONFIG JOIN": {Usage: "CONFIG JOIN ID RAFT-ADDRESS [novote]", MinWords: 2, MaxWords: 3,
+			Run: func(w []string, _ []byte) string {
 				if len(w) == 3 && w[2] != "novote" {
 					return console.Failure + fmt.Sprintf(" %.40q is not novote", w[2])
 				}
@@ -77,8 +77,8 @@
 				}
 				return n.changeMember(MemberArgs{ID: w[0], Raft: w[1], Voter: len(w) == 2})
 			}},
-		"CONFIG LEAVE": {Usage: "CONFIG LEAVE ID", Least: 1, Most: 1,
-			Do: func(w []string, _ []byte) string { return n.changeMember(MemberArgs{ID: w[0]}) }},
+		"CONFIG LEAVE": {Usage: "CONFIG LEAVE ID", MinWords: 1, MaxWords: 1,
+			Run: func(w []string, _ []byte) string { return n.changeMember(MemberArgs{ID: w[0]}) }},
 	}
 }
 
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -107,14 +107,14 @@
 	sum string // of the file's text; "" where there is none
 }
 
-const version = 1
+const formatVersion = 1
 
 // ReadState reads a state file. One that does not exist is the state before all applies:
 // the front is off.
 func ReadState(path string) (State, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return State{Version: version}, nil
+		return State{Version: formatVersion}, nil
 	}
 	if err != nil {
 		return State{}, fmt.Errorf("state: %w", err)
@@ -123,8 +123,8 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return s, fmt.Errorf("state %s: %w", path, err)
 	}
-	if s.Version != version {
-		return s, fmt.Errorf("state %s: field version: %d is not %d", path, s.Version, version)
+	if s.Version != formatVersion {
+		return s, fmt.Errorf("state %s: field version: %d is not %d", path, s.Version, formatVersion)
 	}
 	if s.Front != nil {
 		if err := s.Front.Check(); err != nil {
@@ -154,28 +154,28 @@
 	if statePath, err = filepath.Abs(statePath); err != nil {
 		return Plan{}, err
 	}
-	return Plan{version, statePath, s.sum, desired, diff(s.Front, &desired)}, nil
+	return Plan{formatVersion, statePath, s.sum, desired, diff(s.Front, &desired)}, nil
 }
 
 // diff words the fields that differ: + added, ~ changed.
 func diff(old, desired *Front) []string {
 	var changes []string
-	now := reflect.ValueOf(*desired)
-	for i := range now.NumField() {
-		name, v := now.Type().Field(i).Tag.Get("toml"), now.Field(i)
+	value := reflect.ValueOf(*desired)
+	for i := range value.NumField() {
+		name, v := value.Type().Field(i).Tag.Get("toml"), value.Field(i)
 		if old == nil {
-			changes = append(changes, fmt.Sprintf("+ %s = %s", name, show(v)))
+			changes = append(changes, fmt.Sprintf("+ %s = %s", name, displayText(v)))
 			continue
 		}
-		was := reflect.ValueOf(*old).Field(i)
-		if a, b := text(was), text(v); a != b { // in full: what is shown of a sum may be alike
-			changes = append(changes, fmt.Sprintf("~ %s = %s -> %s", name, show(was), show(v)))
+		former := reflect.ValueOf(*old).Field(i)
+		if a, b := jsonText(former), jsonText(v); a != b { // in full: what is shown of a sum may be alike
+			changes = append(changes, fmt.Sprintf("~ %s = %s -> %s", name, displayText(former), displayText(v)))
 		}
 	}
 	return changes
 }
 
-func text(v reflect.Value) string {
+func jsonText(v reflect.Value) string {
 	b, _ := json.Marshal(v.Interface())
 	if string(b) == "null" {
 		return "[]"
@@ -183,11 +183,11 @@
 	return string(b)
 }
 
-// show words a value; clients by their names and the beginnings of their sums.
-func show(v reflect.Value) string {
+// displayText words a value; clients by their names and the beginnings of their sums.
+func displayText(v reflect.Value) string {
 	clients, ok := v.Interface().([]Client)
 	if !ok {
-		return text(v)
+		return jsonText(v)
 	}
 	var words []string
 	for _, c := range clients {
@@ -210,8 +210,8 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return p, fmt.Errorf("plan %s: %w", path, err)
 	}
-	if p.Version != version || p.State == "" {
-		return p, fmt.Errorf("plan %s: field version or state: not a plan of version %d", path, version)
+	if p.Version != formatVersion || p.State == "" {
+		return p, fmt.Errorf("plan %s: field version or state: not a plan of version %d", path, formatVersion)
 	}
 	if err := p.Desired.Check(); err != nil {
 		return p, fmt.Errorf("plan %s: desired: %w", path, err)
@@ -240,7 +240,7 @@
 	if s.sum != p.BaseSum {
 		return ErrStale
 	}
-	return writeFile(p.State, State{Version: version, Serial: s.Serial + 1, Front: &p.Desired})
+	return writeFile(p.State, State{Version: formatVersion, Serial: s.Serial + 1, Front: &p.Desired})
 }
 
 // writeFile writes a file whole or not at all: a reader sees the old text or the new.
--- a/internal/routefile/routefile.go
+++ b/internal/routefile/routefile.go
@@ -84,13 +84,13 @@
 	}
 	var f file
 	if err := yamlfile.Decode(data, &f); err != nil {
-		return nil, located(name, data, err)
+		return nil, withPosition(name, data, err)
 	}
 	if f.Version != Version {
 		return nil, &Error{File: name, Line: 1, Column: 1, Msg: fmt.Sprintf("field version: %d, this program reads %d", f.Version, Version)}
 	}
 	lines := routeLines(data, len(f.Routes))
-	defaults, err := f.Defaults.table()
+	defaults, err := f.Defaults.parse()
 	if err != nil {
 		return nil, &Error{File: name, Line: lineOf(data, "defaults:"), Column: 1, Msg: "field defaults." + err.Error()}
 	}
@@ -104,7 +104,7 @@
 			return nil, &Error{File: name, Line: lines[i], Column: 1, Msg: fmt.Sprintf("field routes[%d].name: %q is the name of the route at line %d too", i, r.Name, at)}
 		}
 		seen[r.Name] = lines[i]
-		l, err := r.Limits.table()
+		l, err := r.Limits.parse()
 		if err != nil {
 			return nil, &Error{File: name, Line: lines[i], Column: 1, Msg: fmt.Sprintf("field routes[%d].%v", i, err)}
 		}
@@ -113,25 +113,25 @@
 	return t, nil
 }
 
-func (l Limits) table() (routes.Limits, error) {
+func (l Limits) parse() (routes.Limits, error) {
 	out := routes.Limits{Attempts: l.Attempts, DeadlineShare: l.DeadlineShare, Hedge: l.Hedge, RetryOnTimeout: l.RetryOnTimeout}
 	if l.Servers != nil {
 		out.Servers = append([]int{}, *l.Servers...)
 	}
 	var err error
 	for _, d := range []struct {
-		key  string
-		text string
-		to   *time.Duration
+		key    string
+		text   string
+		target *time.Duration
 	}{{"attempt_timeout", l.AttemptTimeout, &out.AttemptTimeout}, {"retry_spacing", l.RetrySpacing, &out.RetrySpacing}} {
 		if d.text == "" {
 			continue
 		}
 		if d.text == "deadline" && d.key == "attempt_timeout" {
-			*d.to = routes.UntilDeadline
+			*d.target = routes.UntilDeadline
 			continue
 		}
-		if *d.to, err = time.ParseDuration(d.text); err != nil {
+		if *d.target, err = time.ParseDuration(d.text); err != nil {
 			return out, fmt.Errorf("%s: %q is no duration (such as 1500ms or 2s)", d.key, d.text)
 		}
 	}
@@ -148,9 +148,9 @@
 	return 0
 }
 
-// keyOn is the key of the value at a column of a YAML line, as in "    attempts: three" or
+// keyAt is the key of the value at a column of a YAML line, as in "    attempts: three" or
 // "{name: a, attempts: three}", or else the line's only key; "" where there is none.
-func keyOn(data []byte, line, column int) string {
+func keyAt(data []byte, line, column int) string {
 	lines := strings.Split(string(data), "\n")
 	if line < 1 || line > len(lines) {
 		return ""
@@ -167,13 +167,13 @@
 	return key
 }
 
-// located turns the library's error into one with file, line and column.
-func located(name string, data []byte, err error) error {
+// withPosition turns the library's error into one with file, line and column.
+func withPosition(name string, data []byte, err error) error {
 	var y yaml.Error
 	if errors.As(err, &y) && y.GetToken() != nil {
 		p := y.GetToken().Position
 		msg := y.GetMessage()
-		if key := keyOn(data, p.Line, p.Column); key != "" && !strings.Contains(msg, `"`+key+`"`) {
+		if key := keyAt(data, p.Line, p.Column); key != "" && !strings.Contains(msg, `"`+key+`"`) {
 			msg = "field " + key + ": " + msg
 		}
 		return &Error{File: name, Line: p.Line, Column: p.Column, Msg: msg}
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -74,15 +74,15 @@
 	for _, class := range names(r.Classes) { // the defaults are the route of every call no route takes
 		checkLimits(t.Defaults, class, r, func(rule, f string, a ...any) { refuse(-1, rule, f, a...) })
 	}
-	parents, eff := t.resolve()
+	parents, effective := t.resolve()
 	for i := range t.Routes {
 		checkMatch(t.Routes[i].Match, r, func(rule, f string, a ...any) { refuse(i, rule, f, a...) })
-		l := eff[i]
+		l := effective[i]
 		for _, class := range classesOf(t.Routes[i].Match, r) {
 			checkLimits(l, class, r, func(rule, f string, a ...any) { refuse(i, rule, f, a...) })
 		}
 	}
-	checkPairs(t, parents, eff, func(i int, rule, f string, a ...any) { refuse(i, rule, f, a...) })
+	checkPairs(t, parents, effective, func(i int, rule, f string, a ...any) { refuse(i, rule, f, a...) })
 	slices.SortStableFunc(out, func(a, b Refusal) int {
 		return cmp.Or(a.Line-b.Line, strings.Compare(a.Rule, b.Rule), strings.Compare(a.What, b.What))
 	})
@@ -190,46 +190,46 @@
 }
 
 // checkPairs finds duplicates, overlaps with different limits, and routes wider than their parent.
-func checkPairs(t *Table, parents []int, eff []Limits, refuse func(i int, rule, format string, args ...any)) {
-	b := newBuckets(t)
-	for j, late := range t.Routes {
-		b.related(late.Match, func(i int) {
+func checkPairs(t *Table, parents []int, effective []Limits, refuse func(i int, rule, format string, args ...any)) {
+	index := newMatchIndex(t)
+	for j, route := range t.Routes {
+		index.related(route.Match, func(i int) {
 			a := t.Routes[i]
 			switch {
-			case a.Match == late.Match && i < j:
+			case a.Match == route.Match && i < j:
 				refuse(j, RuleDuplicate, "takes the same calls as route %q (line %d): %v", a.Name, a.Line, a.Match)
-			case a.Match == late.Match, a.Match.Contains(late.Match), late.Match.Contains(a.Match):
-			case len(a.Match.Prefix) == len(late.Match.Prefix) && i > j: // met from both sides
-			case a.Match.Overlaps(late.Match) && !eff[i].Equal(eff[j]):
+			case a.Match == route.Match, a.Match.Contains(route.Match), route.Match.Contains(a.Match):
+			case len(a.Match.Prefix) == len(route.Match.Prefix) && i > j: // met from both sides
+			case a.Match.Overlaps(route.Match) && !effective[i].Equal(effective[j]):
 				first, second := min(i, j), max(i, j)
 				refuse(second, RuleOverlap, "shares calls with route %q (line %d) and gives them other limits: %v and %v",
 					t.Routes[first].Name, t.Routes[first].Line, t.Routes[second].Match, t.Routes[first].Match)
 			}
 		})
 		if p := parents[j]; p >= 0 {
-			widerThan(eff[j], eff[p], t.Routes[p].Name, func(rule, f string, args ...any) {
+			checkNotWider(effective[j], effective[p], t.Routes[p].Name, func(rule, f string, args ...any) {
 				refuse(j, rule, f, args...)
 			})
 		}
 	}
 }
 
-// widerThan refuses a route that allows more than its parent: a narrower match may tighten
+// checkNotWider refuses a route that allows more than its parent: a narrower match may tighten
 // limits, never loosen them, so that a rule proved for the parent holds for all within it.
-func widerThan(l, p Limits, parent string, refuse refuser) {
-	if l.Attempts > p.Attempts {
-		refuse(RuleWiderParent, "attempts %d beyond its parent %q's %d", l.Attempts, parent, p.Attempts)
+func checkNotWider(l, parentLimits Limits, parentName string, refuse refuser) {
+	if l.Attempts > parentLimits.Attempts {
+		refuse(RuleWiderParent, "attempts %d beyond its parent %q's %d", l.Attempts, parentName, parentLimits.Attempts)
 	}
-	if l.DeadlineShare > p.DeadlineShare {
-		refuse(RuleWiderParent, "deadline_share %g beyond its parent %q's %g", l.DeadlineShare, parent, p.DeadlineShare)
+	if l.DeadlineShare > parentLimits.DeadlineShare {
+		refuse(RuleWiderParent, "deadline_share %g beyond its parent %q's %g", l.DeadlineShare, parentName, parentLimits.DeadlineShare)
 	}
-	if l.Span() > p.Span() {
-		refuse(RuleWiderParent, "span %v beyond its parent %q's %v", l.Span(), parent, p.Span())
+	if l.Span() > parentLimits.Span() {
+		refuse(RuleWiderParent, "span %v beyond its parent %q's %v", l.Span(), parentName, parentLimits.Span())
 	}
-	if p.Servers != nil {
+	if parentLimits.Servers != nil {
 		for _, s := range l.Servers {
-			if !slices.Contains(p.Servers, s) {
-				refuse(RuleWiderParent, "server pool %d is not among its parent %q's %v", s, parent, p.Servers)
+			if !slices.Contains(parentLimits.Servers, s) {
+				refuse(RuleWiderParent, "server pool %d is not among its parent %q's %v", s, parentName, parentLimits.Servers)
 			}
 		}
 	}
--- a/internal/routes/index.go
+++ b/internal/routes/index.go
@@ -5,9 +5,9 @@
 // at most four paths of 16 digits, whatever the number of routes. Build it from a table that
 // Check found lawful: overlapping routes then give equal limits, and the first in the file wins.
 type Index struct {
-	tries map[[2]string]*node
-	table *Table
-	lims  []Limits
+	tries  map[[2]string]*node
+	table  *Table
+	limits []Limits
 }
 
 type node struct {
@@ -19,8 +19,8 @@
 
 // NewIndex builds the index of a table.
 func NewIndex(t *Table) *Index {
-	_, eff := t.resolve()
-	x := &Index{tries: map[[2]string]*node{}, table: t, lims: eff}
+	_, effective := t.resolve()
+	x := &Index{tries: map[[2]string]*node{}, table: t, limits: effective}
 	for i, r := range t.Routes {
 		key := [2]string{r.Match.Tenant, r.Match.Class}
 		n := x.tries[key]
@@ -81,14 +81,14 @@
 	if best < 0 {
 		return nil, x.table.Defaults, false
 	}
-	return &x.table.Routes[best], x.lims[best], true
+	return &x.table.Routes[best], x.limits[best], true
 }
 
-// Scan is the plain look-up that Index is measured against: every route, in order.
-func Scan(t *Table, tenant, class, number string) (int, bool) {
+// ScanLookup is the plain look-up that Index is measured against: every route, in order.
+func ScanLookup(t *Table, tenant, class, number string) (int, bool) {
 	best, score := -1, -1
 	for i, r := range t.Routes {
-		if s := r.Match.specificity(); r.Match.Takes(tenant, class, number) && s > score {
+		if s := r.Match.specificity(); r.Match.Matches(tenant, class, number) && s > score {
 			best, score = i, s
 		}
 	}
--- a/internal/routes/pairs.go
+++ b/internal/routes/pairs.go
@@ -1,20 +1,20 @@
 package routes
 
-// buckets finds routes by their exact match, so that the routes that contain a given one, or
+// matchIndex finds routes by their exact match, so that the routes that contain a given one, or
 // share calls with it, are found by walking its prefix (at most 17 lengths) in a few buckets
 // of tenant and class instead of comparing every route with every other.
-type buckets struct {
-	at      map[Match][]int
+type matchIndex struct {
+	byMatch map[Match][]int
 	tenants []string // every tenant some route names, and ""
 	classes []string
 }
 
-func newBuckets(t *Table) *buckets {
-	b := &buckets{at: map[Match][]int{}}
+func newMatchIndex(t *Table) *matchIndex {
+	b := &matchIndex{byMatch: map[Match][]int{}}
 	seenT, seenC := map[string]bool{"": true}, map[string]bool{"": true}
 	b.tenants, b.classes = []string{""}, []string{""}
 	for i, r := range t.Routes {
-		b.at[r.Match] = append(b.at[r.Match], i)
+		b.byMatch[r.Match] = append(b.byMatch[r.Match], i)
 		if !seenT[r.Match.Tenant] {
 			seenT[r.Match.Tenant] = true
 			b.tenants = append(b.tenants, r.Match.Tenant)
@@ -28,11 +28,11 @@
 }
 
 // containing calls f for every route whose match contains m, m's own bucket included.
-func (b *buckets) containing(m Match, f func(int)) {
-	for _, tenant := range either(m.Tenant) {
-		for _, class := range either(m.Class) {
+func (b *matchIndex) containing(m Match, f func(int)) {
+	for _, tenant := range exactOrAny(m.Tenant) {
+		for _, class := range exactOrAny(m.Class) {
 			for n := 0; n <= len(m.Prefix); n++ {
-				for _, i := range b.at[Match{tenant, class, m.Prefix[:n]}] {
+				for _, i := range b.byMatch[Match{tenant, class, m.Prefix[:n]}] {
 					f(i)
 				}
 			}
@@ -43,11 +43,11 @@
 // related calls f for every route whose prefix is m's or a prefix of it, and whose tenant and
 // class can be those of one of m's calls: each pair of routes that share calls is met once
 // from the side with the longer prefix (from both where the prefixes are equal).
-func (b *buckets) related(m Match, f func(int)) {
+func (b *matchIndex) related(m Match, f func(int)) {
 	for _, tenant := range b.compatible(m.Tenant, b.tenants) {
 		for _, class := range b.compatible(m.Class, b.classes) {
 			for n := 0; n <= len(m.Prefix); n++ {
-				for _, i := range b.at[Match{tenant, class, m.Prefix[:n]}] {
+				for _, i := range b.byMatch[Match{tenant, class, m.Prefix[:n]}] {
 					f(i)
 				}
 			}
@@ -55,7 +55,7 @@
 	}
 }
 
-func either(name string) []string {
+func exactOrAny(name string) []string {
 	if name == "" {
 		return []string{""}
 	}
@@ -63,9 +63,9 @@
 }
 
 // compatible is the names a field can meet: any, where it takes any.
-func (b *buckets) compatible(name string, all []string) []string {
+func (b *matchIndex) compatible(name string, all []string) []string {
 	if name == "" {
 		return all
 	}
-	return either(name)
+	return exactOrAny(name)
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -80,8 +80,8 @@
 		(strings.HasPrefix(m.Prefix, o.Prefix) || strings.HasPrefix(o.Prefix, m.Prefix))
 }
 
-// Takes tells whether a call of this tenant and class to this number is taken.
-func (m Match) Takes(tenant, class, number string) bool {
+// Matches tells whether a call of this tenant and class to this number is taken.
+func (m Match) Matches(tenant, class, number string) bool {
 	return (m.Tenant == "" || m.Tenant == tenant) && (m.Class == "" || m.Class == class) &&
 		strings.HasPrefix(number, m.Prefix)
 }
@@ -91,8 +91,8 @@
 	return fmt.Sprintf("tenant=%s class=%s prefix=%s", part(m.Tenant), part(m.Class), part(m.Prefix))
 }
 
-// over fills the zero fields of l from its parent p.
-func (l Limits) over(p Limits) Limits {
+// inheritFrom fills the zero fields of l from its parent p.
+func (l Limits) inheritFrom(p Limits) Limits {
 	if l.AttemptTimeout == 0 {
 		l.AttemptTimeout = p.AttemptTimeout
 	}
@@ -132,10 +132,10 @@
 	return time.Duration(l.Attempts)*l.AttemptTimeout + time.Duration(l.Attempts-1)*l.RetrySpacing
 }
 
-// parentIn returns the index of the most specific route that contains route i, or -1.
-func (t *Table) parentIn(b *buckets, i int) int {
+// parentOf returns the index of the most specific route that contains route i, or -1.
+func (t *Table) parentOf(index *matchIndex, i int) int {
 	best, m := -1, t.Routes[i].Match
-	b.containing(m, func(j int) {
+	index.containing(m, func(j int) {
 		if r := t.Routes[j]; j != i && r.Match != m &&
 			(best < 0 || r.Match.specificity() > t.Routes[best].Match.specificity()) {
 			best = j
@@ -147,12 +147,12 @@
 // resolve finds every route's parent once, and its effective limits from the most general
 // down: a route's parent is always less specific, so an order by specificity has each
 // parent before its children.
-func (t *Table) resolve() (parents []int, eff []Limits) {
-	n, b := len(t.Routes), newBuckets(t)
-	parents, eff = make([]int, n), make([]Limits, n)
+func (t *Table) resolve() (parents []int, effective []Limits) {
+	n, index := len(t.Routes), newMatchIndex(t)
+	parents, effective = make([]int, n), make([]Limits, n)
 	order := make([]int, n)
 	for i := range n {
-		parents[i], order[i] = t.parentIn(b, i), i
+		parents[i], order[i] = t.parentOf(index, i), i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
 		return t.Routes[a].Match.specificity() - t.Routes[b].Match.specificity()
@@ -160,16 +160,16 @@
 	for _, i := range order {
 		p := t.Defaults
 		if parents[i] >= 0 {
-			p = eff[parents[i]]
+			p = effective[parents[i]]
 		}
-		eff[i] = t.Routes[i].Limits.over(p)
+		effective[i] = t.Routes[i].Limits.inheritFrom(p)
 	}
-	return parents, eff
+	return parents, effective
 }
 
 // Effective returns every route's limits with everything it inherits filled in, in the
 // order of the routes.
 func (t *Table) Effective() []Limits {
-	_, eff := t.resolve()
-	return eff
+	_, effective := t.resolve()
+	return effective
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -64,7 +64,7 @@
 	x := NewIndex(table)
 	for i := range 2000 {
 		tenant, class, number := fmt.Sprint("t", i%7), []string{"", "c"}[i%2], fmt.Sprintf("%016x", i*7919)
-		want, wantOK := Scan(table, tenant, class, number)
+		want, wantOK := ScanLookup(table, tenant, class, number)
 		r, _, ok := x.Lookup(tenant, class, number)
 		if ok != wantOK || ok && r != &table.Routes[want] {
 			t.Fatalf("%s %s %s: index %v, scan %d %v", tenant, class, number, r, want, wantOK)
@@ -98,7 +98,7 @@
 	})
 	b.Run("scan", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			Scan(table, "t3", "c", fmt.Sprintf("%016x", i))
+			ScanLookup(table, "t3", "c", fmt.Sprintf("%016x", i))
 		}
 	})
 }
@@ -115,20 +115,20 @@
 	}
 }
 
-// TestPairsAsBrute: the bucketed search refuses exactly the pairs that comparing every route
+// TestPairsMatchBruteForce: the bucketed search refuses exactly the pairs that comparing every route
 // with every other finds, on tables where many routes share calls.
-func TestPairsAsBrute(t *testing.T) {
+func TestPairsMatchBruteForce(t *testing.T) {
 	for seed := range 20 {
 		table := bigTable(40 + seed)
 		for i := range table.Routes {
 			table.Routes[i].Limits.Attempts = 1 + (i*seed)%3
 		}
-		_, eff := table.resolve()
+		_, effective := table.resolve()
 		want := 0
 		for i, a := range table.Routes {
 			for j := i + 1; j < len(table.Routes); j++ {
 				b := table.Routes[j].Match
-				if a.Match == b || !a.Match.Contains(b) && !b.Contains(a.Match) && a.Match.Overlaps(b) && !eff[i].Equal(eff[j]) {
+				if a.Match == b || !a.Match.Contains(b) && !b.Contains(a.Match) && a.Match.Overlaps(b) && !effective[i].Equal(effective[j]) {
 					want++
 				}
 			}
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -25,7 +25,7 @@
 	if len(text) > MaxSize {
 		return fmt.Errorf("%d bytes, more than %d", len(text), MaxSize)
 	}
-	if err := shallow(text); err != nil {
+	if err := checkNesting(text); err != nil {
 		return err
 	}
 	return yaml.UnmarshalWithOptions(text, v, yaml.Strict(), yaml.DisallowUnknownField())
@@ -33,12 +33,12 @@
 
 // Bounds of nesting: the library takes memory with its square (250 KB of "[" take over 6 GB).
 const (
-	mostDeep  = 100  // flow sequences and mappings in one another
-	mostRight = 1000 // the column of a block sequence's entry, as in "- - - a"
+	maxFlowDepth   = 100  // flow sequences and mappings in one another
+	maxEntryColumn = 1000 // the column of a block sequence's entry, as in "- - - a"
 )
 
-// shallow refuses a text that is nested deeper than any operators' file.
-func shallow(text []byte) error {
+// checkNesting refuses a text that is nested deeper than any operators' file.
+func checkNesting(text []byte) error {
 	depth := 0
 	for _, t := range lexer.Tokenize(string(text)) {
 		switch t.Type {
@@ -47,7 +47,7 @@
 		case token.SequenceEndType, token.MappingEndType:
 			depth = max(depth-1, 0)
 		}
-		if depth > mostDeep || t.Type == token.SequenceEntryType && t.Position.Column > mostRight {
+		if depth > maxFlowDepth || t.Type == token.SequenceEntryType && t.Position.Column > maxEntryColumn {
 			return fmt.Errorf("[%d:%d] nested too deep", t.Position.Line, t.Position.Column)
 		}
 	}
