--- a/internal/daemon/second.go
+++ b/internal/daemon/apiserver.go
@@ -20,23 +20,23 @@
 	"woodrouter/internal/plan"
 )
 
-// replacedCloseTimeout is how long a connection whose settings no longer hold may wait for the
-// answers of its set-ups.
+// replacedCloseTimeout is how long a connection made under former settings may wait for the answers to its
+// set-ups before it is closed.
 const replacedCloseTimeout = 5 * time.Second
 
-// apiServer is the front that an operator may set up: the call-control API. One front
-// outlives all its settings, so that calls that stand are heard of after a change.
+// apiServer serves the call-control API, which operators enable by the state file. The same front is kept
+// through all changes of the settings, so that the ends of standing calls are still reported after a change.
 type apiServer struct {
 	daemon *Daemon
 	front  *callapi.Front
 
 	mu      sync.Mutex
-	applied *plan.Front // nil or not enabled: off
-	ln      net.Listener
-	closed  bool
+	applied *plan.Front  // the settings in force; nil or not enabled: off
+	ln      net.Listener // nil: off
+	closed  bool         // no further settings are applied
 }
 
-// configure applies settings. On an error the former ones stay in force.
+// configure applies settings. On an error the former settings stay in force.
 func (s *apiServer) configure(next *plan.Front) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	if rebind && s.ln != nil {
 		s.ln.Close()
 	}
-	if s.ln != nil { // who may connect has changed: the clients connect anew
+	if s.ln != nil { // who may connect may have changed, so clients must reconnect
 		go s.front.CloseExisting(replacedCloseTimeout)
 	}
 	if rebind && enabled {
@@ -70,14 +70,14 @@
 	}
 	s.applied, s.ln = next, ln
 	if enabled {
-		s.daemon.log.Info("call API on", "listen", ln.Addr().String(), "path", next.Path, "clients", len(next.Clients))
+		s.daemon.log.Info("call API enabled", "listen", ln.Addr().String(), "path", next.Path, "clients", len(next.Clients))
 	} else {
-		s.daemon.log.Info("call API off")
+		s.daemon.log.Info("call API disabled")
 	}
 	return nil
 }
 
-// reload reads the state file again.
+// reload reads the state file and applies its settings.
 func (s *apiServer) reload(path string) error {
 	state, err := plan.ReadState(path)
 	if err != nil {
@@ -89,17 +89,17 @@
 	return nil
 }
 
-// apiListenRetryInterval is how often a new version tries for the second front's address.
+// apiListenRetryInterval is the interval at which a new process retries to listen on the call API's address.
 const apiListenRetryInterval = 50 * time.Millisecond
 
-// openAPI applies the state at the start. A new version beside a running one finds the
-// second front's address taken, as that is not handed over, and has it once the other stops.
+// openAPI applies the state file at the start. The call API's address is not handed over between processes: a
+// new process that starts beside a running one finds it in use, and retries until the other has stopped.
 func (d *Daemon) openAPI(ctx context.Context) error {
 	err := d.api.reload(d.cfg.State)
 	if d.cfg.Callers == "" || !errors.Is(err, syscall.EADDRINUSE) {
 		return err
 	}
-	d.log.Warn("call API waits for its address", "error", err)
+	d.log.Warn("call API: address in use; retrying until the other process has stopped", "error", err)
 	go func() {
 		for errors.Is(err, syscall.EADDRINUSE) {
 			select {
@@ -110,13 +110,13 @@
 			err = d.api.reload(d.cfg.State)
 		}
 		if err != nil {
-			d.log.Error("state not taken; the former settings stay", "error", err)
+			d.log.Error("state file rejected; the former settings stay in force", "error", err)
 		}
 	}()
 	return nil
 }
 
-// stopListening frees the address for good. The connections there are stay.
+// stopListening closes the listener for good. Existing connections stay open.
 func (s *apiServer) stopListening() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// address is where the front listens; nil: it is off.
+// address returns where the API listens; nil if it is off.
 func (s *apiServer) address() net.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 	s.front.Close()
 }
 
-// endpoint words who may connect and how.
+// endpoint returns the WebSocket endpoint of the settings: its path, and who may connect.
 func endpoint(f *plan.Front) ws.Endpoint {
 	e := ws.Endpoint{Path: f.Path, Origins: f.Origins}
 	if len(f.Clients) > 0 {
@@ -150,13 +150,14 @@
 	return e
 }
 
-// authorize looks for the client of a bearer token, in a time that tells nothing of it.
+// authorize returns 0 if the Authorization header holds a client's bearer token, else 401. It compares in
+// constant time, so that its duration reveals nothing of the tokens.
 func authorize(clients []plan.Client, header string) int {
 	token, ok := strings.CutPrefix(header, "Bearer ")
 	sum := sha256.Sum256([]byte(token))
 	matched := 0
 	for _, c := range clients {
-		want, _ := hex.DecodeString(c.TokenSHA256) // checked when it was planned
+		want, _ := hex.DecodeString(c.TokenSHA256) // Front.Check has verified the hex digits
 		matched |= subtle.ConstantTimeCompare(sum[:], want)
 	}
 	if !ok || matched == 0 {
--- a/internal/daemon/cli.go
+++ b/internal/daemon/cli.go
@@ -12,8 +12,8 @@
 	"woodrouter/internal/routes"
 )
 
-// commandLine is the program's grammar, read by kong. Each command's help is its docstring
-// for operators; docs/operators.md has the same in full.
+// commandLine is the program's command line, parsed by kong: commands and flags are named after the fields.
+// docs/operators.md describes the commands in full.
 type commandLine struct {
 	Run     runCommand     `cmd:"" default:"1" help:"Run the call agent; PROXY_CONFIG names its configuration."`
 	Plan    planCommand    `cmd:"" help:"Show what applying an operators' file would change; exit 0 none, 2 changes, 1 error."`
@@ -92,8 +92,8 @@
 	return level, level.UnmarshalText([]byte(name))
 }
 
-// loadRoutes reads a file of per-route limits and the rules of a configuration's settings and
-// of the list it knows.
+// loadRoutes reads a file of per-route limits, and the rules to check it against from a configuration's
+// settings and its list of setup servers.
 func loadRoutes(file, config string) (*routes.Table, routes.Rules, error) {
 	if config == "" {
 		return nil, routes.Rules{}, errors.New("no configuration: give --config or set PROXY_CONFIG; its settings give the rules")
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -1,4 +1,4 @@
-// Package daemon puts the call agent together from its parts and runs it.
+// Package daemon builds the call agent from its parts and runs it. It also has the program's commands.
 package daemon
 
 import (
@@ -13,7 +13,7 @@
 	"woodrouter/internal/settings"
 )
 
-// Config is what the platform tells a call agent.
+// Config is the platform's configuration of a call agent, with the paths of its further files.
 type Config struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
@@ -22,43 +22,43 @@
 	Bulletin string          `json:"bulletin"`
 	Known    bulletin.Batch  `json:"known"`
 	Settings json.RawMessage `json:"settings"`
-	Console  string          `json:"console"` // where operators connect; "": nowhere
+	Console  string          `json:"console"` // address of the operators' console; "": none
 
-	State    string `json:"-"` // path of the second front's state; "": that front is off
-	Callers  string `json:"-"` // descriptor of the callers' listening socket; "": Listen is bound
-	Promises string `json:"-"` // path of the file of promises (YAML); "": kept by this process alone
-	Failover string `json:"-"` // path of the file of zone failover (YAML); "": zones are not followed
-	Spread   string `json:"-"` // path of the file of spreading load (YAML); "": alone
-	Rollout  string `json:"-"` // path of the file of control machines (YAML); "": the agent's own files alone
-	Routes   string `json:"-"` // path of the per-route limits (YAML); "": the settings' limits for all
+	State    string `json:"-"` // path of the call API's state file; "": the API is off
+	Callers  string `json:"-"` // file descriptor of the callers' listening socket; "": listens on Listen
+	Promises string `json:"-"` // path of the promises file (YAML); "": promises are not replicated
+	Failover string `json:"-"` // path of the failover file (YAML); "": no zone failover
+	Spread   string `json:"-"` // path of the spread file (YAML); "": load is spread without other agents
+	Rollout  string `json:"-"` // path of the rollout file (YAML), which names control machines; "": only own files
+	Routes   string `json:"-"` // path of the per-route limits (YAML); "": the settings' limits apply to all calls
 
-	path string // of the file this was read from; "": none
+	path string // the file this was read from; "": none
 	seed uint64
 	info settings.Info
 
-	source net.Addr // setup servers and the bulletin are called from here; nil: the system's choice
+	source net.Addr // local address of connections to setup servers and the bulletin; nil: the system's choice
 }
 
-// parseSource reads the address that the agent calls from, on a machine with several.
+// parseSource parses the local address of outgoing connections, for machines with several addresses.
 func parseSource(text string) (net.Addr, error) {
 	if text == "" {
 		return nil, nil
 	}
 	ip := net.ParseIP(text)
 	if ip == nil {
-		return nil, fmt.Errorf("WOODROUTER_SOURCE: %.40q is no IP address", text)
+		return nil, fmt.Errorf("WOODROUTER_SOURCE: %.40q is not an IP address", text)
 	}
 	return &net.TCPAddr{IP: ip}, nil
 }
 
-// Limits are the bounds of the machine.
+// Limits are the resources of the machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// ReadConfig reads the configuration file. An error names the field at fault.
+// ReadConfig reads the configuration file. An error names the invalid field.
 func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return c, err
 }
 
-// ParseConfig reads the configuration's text.
+// ParseConfig parses the text of a configuration file. An error names the invalid field.
 func ParseConfig(text []byte) (Config, error) {
 	c := Config{Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -98,7 +98,7 @@
 		return bad("seed", err)
 	}
 	if c.Limits.Cores <= 0 || c.Limits.MemoryMB < 16 || c.Limits.Sockets < 32 {
-		return bad("limits", fmt.Errorf("%+v is too little to run in", c.Limits))
+		return bad("limits", fmt.Errorf("%+v are too small to run in", c.Limits))
 	}
 	if len(c.Settings) == 0 {
 		return bad("settings", errors.New("missing"))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,63 +26,65 @@
 	"woodrouter/spread"
 )
 
-// A stop: callers keep coming for stopServing after it is asked for. The platform kills what
-// is left once the longest deadline, counted as killMost where it is longer, and killSpare
-// have passed; stopMargin before that everything has its answer.
+// The times of a stop. The platform kills a process once the longest deadline (counted as maxKillDeadline if it
+// is longer) plus killGrace have passed since SIGTERM. By stopMargin before that, every call must have its
+// answer.
 const (
-	stopServePeriod = 800 * time.Millisecond
+	stopServePeriod = 800 * time.Millisecond // new calls are still served for this long after SIGTERM
 	maxKillDeadline = 3 * time.Second
 	killGrace       = 700 * time.Millisecond
 	stopMargin      = 400 * time.Millisecond
 )
 
-// How the bulletin is asked. What it would have told counts as told 2 s after the end of the
-// wait asked for, so a short wait and a short grace keep the list true over broken answers.
+// The times of polling the bulletin. A change counts as told 2 s after the end of the wait that was requested,
+// so a short wait and a short grace leave time for another poll after a broken answer.
 const (
 	pollWait       = time.Second
 	pollGrace      = 750 * time.Millisecond
 	pollRetryDelay = 100 * time.Millisecond
 )
 
-// maxBusyRetryAfter is when to come back to an agent that is too busy or stops, where callers heed so much.
+// maxBusyRetryAfter is the Retry-After of an agent that is too busy or stopping. It is shorter if the settings'
+// maxRetryAfter is.
 const maxBusyRetryAfter = time.Second
 
-// gcMemoryShare is the part of the memory limit at which the collector works harder.
+// gcMemoryShare is the share of the memory limit that is set as the Go runtime's soft limit, at which the
+// garbage collector works harder.
 const gcMemoryShare = 0.75
 
-// callMemoryDivisor is the part of the memory limit, one in so many, that calls may hold before their
-// answers.
+// callMemoryDivisor limits the memory of calls without a final answer to this fraction of the memory limit.
 const callMemoryDivisor = 8
 
-// Daemon is a call agent with its parts.
+// Daemon is a call agent with all its parts.
 type Daemon struct {
 	cfg          Config
-	connLimits   connLimits // of the descriptors
+	connLimits   connLimits // how the file descriptors are divided
 	log          *slog.Logger
 	core         *agent.Agent
 	pool         *trunk.Pool
 	front        *isupfront.Front
 	api          apiServer
-	promises     *promises          // nil: what is promised is kept by this process alone
-	placer       *placer.Placer     // nil: zones are not followed
-	spreader     *spreader.Spreader // nil: load is spread alone
+	promises     *promises          // nil: promises are not replicated
+	placer       *placer.Placer     // nil: no zone failover
+	spreader     *spreader.Spreader // nil: load is spread without other agents
 	ownConfig    ownConfig
-	distribution *distribution // nil: configuration comes from the agent's own files alone
+	distribution *distribution // nil: all configuration comes from the agent's own files
 	follower     *bulletin.Follower
 	serving      atomic.Bool
 	stopping     atomic.Bool
-	drained      atomic.Bool // an operator has callers go elsewhere
+	drained      atomic.Bool // an operator has ordered a drain
 	drainOrder   drainOrder
 	reloads      struct{ applied, refused atomic.Int64 }
-	retryAfter   time.Duration // told by the agent itself where it can't take a call
+	retryAfter   time.Duration // told to callers whose call the agent can't accept
 }
 
-// ready tells whether callers may come. Where not every setup server may have a connection, one must.
+// ready returns whether the agent accepts callers. If the connection limit does not allow a connection to each
+// setup server, at least one must be connected.
 func (d *Daemon) ready() bool {
 	return d.serving.Load() && !d.stopping.Load() && !d.drained.Load() && d.pool.Serves()
 }
 
-// New puts a call agent together. Its list holds what the configuration knows.
+// New builds a call agent. Its list of setup servers starts with those in the configuration.
 func New(cfg Config, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, log: log, connLimits: newConnLimits(cfg.Limits.Sockets, cfg.State != "")}
 	var err error
@@ -135,7 +137,7 @@
 	d.follower = &bulletin.Follower{Core: d.core, Log: log, PollWait: pollWait, Grace: pollGrace,
 		RetryDelay: pollRetryDelay, Source: cfg.source}
 	d.follower.SetAddress(cfg.Bulletin)
-	if cfg.State != "" { // what can't be read is told before anything is served
+	if cfg.State != "" { // an unreadable state file is reported before anything is served
 		if _, err := plan.ReadState(cfg.State); err != nil {
 			return nil, err
 		}
@@ -143,10 +145,10 @@
 	if err := d.follower.Apply(cfg.Known); err != nil {
 		return nil, fmt.Errorf("configuration: field known.%w", err)
 	}
-	if err := d.applyRoutesFile(); err != nil { // a refused file at the start: the program exits
+	if err := d.applyRoutesFile(); err != nil { // a file refused at the start ends the program
 		return nil, err
 	}
-	if cfg.Rollout != "" { // what was distributed last is in force before calls come
+	if cfg.Rollout != "" { // the last distributed configuration is in force before the first call
 		if err := d.openDistribution(); err != nil {
 			return nil, err
 		}
@@ -154,21 +156,21 @@
 	return d, nil
 }
 
-// spreadConfig is what the module and the spreader are both told of spreading load: a steward counts
-// what is lent by the number of senders that the module has.
+// spreadConfig returns the spread configuration of both the policy and the spreader. They must have the same
+// number of senders, because a steward counts the rights that are lent by it.
 func spreadConfig(file spreader.Config, name string, set policy.Settings) spread.Config {
 	c := file.SpreadConfig(name, time.Now())
 	c.Rank, c.Senders = set.Rank, set.Senders
 	return c
 }
 
-// Limit fits the Go runtime to the machine's bounds.
+// Limit sets the Go runtime's limits to those of the machine.
 func Limit(l Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(int64(gcMemoryShare * float64(l.MemoryMB<<20)))
 }
 
-// Run serves until ctx ends, then answers what is open and returns.
+// Run serves until ctx ends, then answers the open calls and returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	ln, err := callersListener(d.cfg.Listen, d.cfg.Callers)
 	if err != nil {
@@ -177,7 +179,7 @@
 	return d.Serve(ctx, ln)
 }
 
-// Serve is Run on a listener of the caller's.
+// Serve does what Run does, on a given listener.
 func (d *Daemon) Serve(ctx context.Context, ln net.Listener) error {
 	closeConsole, err := d.openConsole()
 	if err != nil {
@@ -226,50 +228,49 @@
 	ln.Close()
 	d.api.close()
 	d.front.Close()
-	d.core.Stop() // before the pool, whose servers are the core's: news of the list still comes
+	d.core.Stop() // before the pool, which the core may still update when the list changes
 	<-coreDone
 	d.pool.Close()
 	d.log.Info("stopped")
 	return err
 }
 
-// Reload reads the configuration file and the second front's state anew. What can't be
-// used changes nothing.
+// Reload reads the configuration files and the state file again. A file that can't be used changes nothing.
 func (d *Daemon) Reload() {
 	if d.cfg.path == "" && d.cfg.State == "" && d.cfg.Routes == "" && d.promises == nil && d.placer == nil && d.spreader == nil {
-		d.log.Warn("nothing to reload: neither a configuration file nor a state file was named at the start")
+		d.log.Warn("nothing to reload: no configuration or state file was named at the start")
 		return
 	}
 	ok := true
 	if d.cfg.path != "" {
 		if err := d.reconfigure(); err != nil {
 			ok = false
-			d.log.Error("configuration not taken; the former one stays", "error", err)
+			d.log.Error("configuration rejected; the former one stays in force", "error", err)
 		}
 	}
 	if err := d.applyRoutesFile(); err != nil {
 		ok = false
-		d.log.Error("routes not taken; the former ones stay", "error", err)
+		d.log.Error("routes rejected; the former ones stay in force", "error", err)
 	}
 	if err := d.reloadFailover(); err != nil {
 		ok = false
-		d.log.Error("failover file not taken; the former one stays", "error", err)
+		d.log.Error("failover file rejected; the former one stays in force", "error", err)
 	}
 	if err := d.reloadSpread(); err != nil {
 		ok = false
-		d.log.Error("spread file not taken; the former one stays", "error", err)
+		d.log.Error("spread file rejected; the former one stays in force", "error", err)
 	}
 	if d.promises != nil {
 		if err := d.promises.reload(d.cfg.Promises); err != nil {
 			ok = false
-			d.log.Error("promises file not taken; the former one stays", "error", err)
+			d.log.Error("promises file rejected; the former one stays in force", "error", err)
 		}
 		d.recordVersions()
 	}
 	if d.cfg.State != "" {
 		if err := d.api.reload(d.cfg.State); err != nil {
 			ok = false
-			d.log.Error("state not taken; the former settings stay", "error", err)
+			d.log.Error("state file rejected; the former settings stay in force", "error", err)
 		}
 	}
 	if ok {
@@ -279,23 +280,23 @@
 	}
 }
 
-// reconfigure moves the list's follower to the bulletin that the file names now. All else
-// in the file is what a process starts with; a change there is told and left to the next.
+// reconfigure follows the bulletin that the configuration file names now. Everything else in the file takes
+// effect only at the start of a process; changes there are logged.
 func (d *Daemon) reconfigure() error {
 	next, err := ReadConfig(d.cfg.path)
 	if err != nil {
 		return err
 	}
 	d.follower.SetAddress(next.Bulletin)
-	d.log.Info("configuration taken", "bulletin", next.Bulletin)
+	d.log.Info("configuration applied", "bulletin", next.Bulletin)
 	if next.Name != d.cfg.Name || next.Listen != d.cfg.Listen || next.Limits != d.cfg.Limits ||
 		!bytes.Equal(next.Settings, d.cfg.Settings) {
-		d.log.Warn("configuration: name, listen, limits and settings hold from the next start")
+		d.log.Warn("configuration: name, listen, limits and settings take effect at the next start")
 	}
 	return nil
 }
 
-// stopTimeout is when a stop must have answered everything.
+// stopTimeout returns how long after SIGTERM every call must have its answer.
 func (d *Daemon) stopTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, p := range d.cfg.info.Profiles {
@@ -304,12 +305,12 @@
 	return max(min(longest, maxKillDeadline)+killGrace-stopMargin, stopServePeriod)
 }
 
-// shutDown answers what is open, and what still comes, until the stop must end.
+// shutDown serves until the open calls, and those that still arrive, have their answers, or the stop times out.
 func (d *Daemon) shutDown(ln net.Listener) {
 	d.log.Info("stopping: serving on, then answering what is open")
 	timeout := time.After(d.stopTimeout())
 	if d.cfg.Callers != "" {
-		ln.Close() // before the no: whoever connects after it meets the other process
+		ln.Close() // before ready returns false: later connections then go to the other process
 		d.stopping.Store(true)
 		d.api.stopListening()
 		d.handOver(timeout)
@@ -319,7 +320,7 @@
 	time.Sleep(stopServePeriod)
 	ticker := time.NewTicker(closeIdleInterval)
 	defer ticker.Stop()
-	for d.front.BusyPeers()+d.api.front.BusyPeers() > 0 { // half-read set-ups, too, get their answers
+	for d.front.BusyPeers()+d.api.front.BusyPeers() > 0 { // also those with a partly read set-up
 		select {
 		case <-ticker.C:
 		case <-timeout:
@@ -330,17 +331,17 @@
 }
 
 func (d *Daemon) refuseOpen() {
-	d.log.Warn("stopping: refusing what is still open")
-	d.core.RefuseNew(true) // what still comes is refused as it comes
+	d.log.Warn("stopping: refusing the calls that are still open")
+	d.core.RefuseNew(true) // refuses calls that arrive from now on
 	done := make(chan struct{})
 	d.core.RefuseAll(d.retryAfter)
 	d.core.NotifyIdle(func() { close(done) })
 	<-done
 }
 
-// handOver leaves the callers to the process that accepts from the same socket: whoever
-// connects from now on is its. The connections there are end one by one, each when nothing
-// is open on it; a process that ended sooner would reset those in use.
+// handOver leaves the callers to the process that accepts from the same socket, which gets all new connections.
+// Existing connections are closed one by one, each once no call is open on it: a process that exited earlier
+// would reset connections in use.
 func (d *Daemon) handOver(timeout <-chan time.Time) {
 	started, ticker := time.Now(), time.NewTicker(closeIdleInterval)
 	defer ticker.Stop()
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -17,8 +17,8 @@
 	"woodrouter/shard"
 )
 
-// newPlacer is the part of an agent that follows where each zone's calls go (docs/failover.md).
-// Off unless WOODROUTER_FAILOVER names its file.
+// newPlacer returns the agent's part in zone failover, which decides where each zone's calls go
+// (docs/failover.md). It is off unless WOODROUTER_FAILOVER names its file.
 func newPlacer(cfg Config, file placer.Config, replicated *promises, observations *agent.Observations, log *slog.Logger) (*placer.Placer, error) {
 	var control placer.Control
 	if replicated != nil {
@@ -31,8 +31,8 @@
 	return p, nil
 }
 
-// controlGroup is the ring's group with the least id: every agent finds the same one, and it is
-// not found anew when others come and go.
+// controlGroup is the ring's group with the smallest id. Every agent determines the same group, and it does
+// not change when other groups are added or removed.
 type controlGroup struct{ p *promises }
 
 func (c *controlGroup) id() string {
@@ -45,13 +45,13 @@
 	return id
 }
 
-// IsMember tells whether this agent's member, which is in one group alone, is in the control group.
+// IsMember returns whether this agent's member, which is in a single group, is in the control group.
 func (c *controlGroup) IsMember() bool {
 	g, _ := c.p.ring().Group(c.id())
 	return slices.ContainsFunc(g.Members, func(m shard.Member) bool { return m.ID == c.p.member() })
 }
 
-// IsLeader tells whether it leads it.
+// IsLeader returns whether this agent's member leads the control group.
 func (c *controlGroup) IsLeader() bool {
 	n := c.p.node.Load()
 	return n != nil && n.Leading() && c.IsMember()
@@ -72,8 +72,8 @@
 	return r.First, err
 }
 
-// zoneRouter is a call's route by the routes file, narrowed to its zone's pools where zones are
-// followed.
+// zoneRouter returns a router that takes a call's route from fileRouter and, with zone failover, narrows it to
+// the pools of the zone that the call goes to. fileRouter may be nil.
 func (d *Daemon) zoneRouter(fileRouter agent.Router) agent.Router {
 	if d.placer == nil {
 		return fileRouter
@@ -91,8 +91,8 @@
 	}
 }
 
-// setUpSentHook counts set-ups by class and zone as they are written whole; nil where zones are not
-// followed.
+// setUpSentHook returns the function that counts set-ups by class and zone once they are completely written;
+// nil without zone failover.
 func (d *Daemon) setUpSentHook() func(class, zone string) {
 	if d.placer == nil {
 		return nil
@@ -100,7 +100,7 @@
 	return d.placer.CountSetUp
 }
 
-// zonesAnswer words the plan in force, the membership, and the set-ups written by class.
+// zonesAnswer describes the plan in force, the agents alive by zone, and the set-ups sent by class.
 func (d *Daemon) zonesAnswer() string {
 	if d.placer == nil {
 		return console.Failure + " zones are not followed"
@@ -126,7 +126,7 @@
 	return b.String() + console.End
 }
 
-// writeZoneStats are the lines of STATS about zones.
+// writeZoneStats writes the lines of STATS about zone failover.
 func (d *Daemon) writeZoneStats(line func(kind string, n int64, name string)) {
 	line("g", int64(d.placer.Plan().Epoch), "zone_epoch")
 	home, away := d.placer.SetUpCounts()
@@ -139,7 +139,7 @@
 		traded[t.For] += t.PerSecond
 	}
 	for _, reason := range slices.Sorted(maps.Keys(traded)) {
-		line("g", int64(traded[reason]*1000), "zone_traded_mps."+reason) // thousandths of a call a second
+		line("g", int64(traded[reason]*1000), "zone_traded_mps."+reason) // thousandths of a call per second
 	}
 	line("c", d.placer.KeptHome(), "zone_kept_home")
 	n := 0
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -17,18 +17,18 @@
 	"woodrouter/internal/plan"
 )
 
-// Exit codes; plan tells of changes by one of its own.
+// Exit codes. The command plan returns exitChanges if there are changes.
 const (
 	exitOK = iota
 	exitError
 	exitChanges
 )
 
-// maxLogLinesPerSecond is how many lines of one kind a second may have.
+// maxLogLinesPerSecond limits the log lines of one kind.
 const maxLogLinesPerSecond = 20
 
-// Main is the program; it returns the exit code. With no command it runs the call agent, as
-// the deploy file's `exec bin/woodrouter` does.
+// Main runs the program and returns its exit code. Without a command it runs the call agent, as the deploy
+// file's `exec bin/woodrouter` does.
 func Main(args []string, env func(string) string, stdout, stderr io.Writer) (code int) {
 	cli := commandLine{env: env, stdout: stdout, stderr: stderr}
 	defer func() {
@@ -45,7 +45,7 @@
 		kong.Writers(stdout, stderr), kong.Exit(func(c int) { panic(exitStatus(c)) }),
 		kong.Vars{"state": cmp.Or(env("WOODROUTER_STATE"), "woodrouter.state.json"), "config": env("PROXY_CONFIG")})
 	if err != nil {
-		panic(err) // the grammar below is wrong: a program error
+		panic(err) // the command structs are invalid: a program error
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
@@ -60,11 +60,12 @@
 	return code
 }
 
-// exitStatus carries kong's exit code (after --help) out of the parse.
+// exitStatus is the panic value by which kong's exit code, as after --help, leaves the parser.
 type exitStatus int
 
 func serve(env func(string) string, logs io.Writer, level slog.Level, json bool) error {
-	// First of all: a signal that comes before the program is ready must neither kill it nor be lost.
+	// Signals are handled before anything else: one that arrives before the program is ready must neither
+	// kill it nor be lost.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	hangUps := make(chan os.Signal, 1)
@@ -100,7 +101,7 @@
 			select {
 			case <-hangUps:
 				d.Reload()
-			case <-ctx.Done(): // what is reloaded in a stop would serve nobody
+			case <-ctx.Done(): // a reload during a stop would be of no use
 				return
 			}
 		}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -13,7 +13,7 @@
 	"woodrouter/internal/front/connmgr"
 )
 
-// openConsole serves the operators' calls, where the configuration names an address.
+// openConsole serves the operators' console, if the configuration names an address for it.
 func (d *Daemon) openConsole() (close func(), err error) {
 	if d.cfg.Console == "" {
 		return func() {}, nil
@@ -38,7 +38,7 @@
 	return console.Failure + " takes no clients"
 }
 
-// spreadAnswer words how the load is spread.
+// spreadAnswer describes how load is spread over the setup servers.
 func (d *Daemon) spreadAnswer() string {
 	if d.spreader == nil {
 		return console.Failure + " load is spread alone"
@@ -46,7 +46,7 @@
 	return d.spreader.Status() + console.End
 }
 
-// statsAnswer words the figures in the form of statsd: counters since the start, and gauges.
+// statsAnswer returns the statistics in statsd's format: counters since the start, and gauges.
 func (d *Daemon) statsAnswer() string {
 	var b strings.Builder
 	line := func(kind string, n int64, name string) { fmt.Fprintf(&b, "svc.%s:%d|%s\n", name, n, kind) }
@@ -84,13 +84,13 @@
 	return b.String() + console.End
 }
 
-// drainOrder is the wish of an operator that callers go elsewhere.
+// drainOrder is an operator's order to drain this agent.
 type drainOrder struct {
 	mu    sync.Mutex
-	ended chan struct{} // closed when it ends; nil: there is none
+	ended chan struct{} // closed when the drain ends; nil: not draining
 }
 
-// startDrain has callers go elsewhere. The process keeps running, and takes them again by refill.
+// startDrain makes callers move to other agents. The process keeps running, and endDrain reverses it.
 func (d *Daemon) startDrain() string {
 	order := &d.drainOrder
 	order.mu.Lock()
@@ -100,12 +100,12 @@
 	}
 	order.ended = make(chan struct{})
 	d.drained.Store(true)
-	d.log.Info("draining: callers are to go elsewhere")
+	d.log.Info("drain started: callers must use other agents")
 	go d.runDrain(order.ended)
 	return console.Success + " drains"
 }
 
-// endDrain takes callers again.
+// endDrain accepts callers again.
 func (d *Daemon) endDrain() string {
 	order := &d.drainOrder
 	order.mu.Lock()
@@ -117,14 +117,14 @@
 	order.ended = nil
 	d.drained.Store(false)
 	d.core.RefuseNew(false)
-	d.log.Info("drained no more: taking callers")
+	d.log.Info("drain ended: accepting callers")
 	return console.Success + " takes clients"
 }
 
-// runDrain ends callers' connections once the front has heard that it is to send no new
-// ones, and has what still comes after drainServe refused: two seconds later no connection
-// may be kept, but for calls older than that. Until their ends are told the callers of those
-// that stand need one.
+// runDrain carries out a drain until it ends. After drainCloseAfter it closes callers' connections that are
+// not in use, and after drainRefuseAfter it also refuses new calls: two seconds after the start no connection
+// may be open except for calls older than that. Callers of standing calls keep their connections, because the
+// end of a call is reported there.
 func (d *Daemon) runDrain(ended <-chan struct{}) {
 	started, ticker := time.Now(), time.NewTicker(closeIdleInterval)
 	defer ticker.Stop()
@@ -144,7 +144,7 @@
 	}
 }
 
-// refuseNewCalls has new calls refused, unless the drain has ended meanwhile.
+// refuseNewCalls makes the core refuse new calls, unless the drain has ended meanwhile.
 func (d *Daemon) refuseNewCalls(ended <-chan struct{}) {
 	d.drainOrder.mu.Lock()
 	defer d.drainOrder.mu.Unlock()
@@ -153,24 +153,21 @@
 	}
 }
 
-// A drain: the front has heard of it after drainHeard, and what comes after drainServe is
-// refused.
+// The times of a drain, from its start.
 const (
-	drainCloseAfter  = 300 * time.Millisecond
+	drainCloseAfter  = 300 * time.Millisecond // by then the platform's front sends no new callers here
 	drainRefuseAfter = 1900 * time.Millisecond
 )
 
-// How connections are ended while callers are to go elsewhere: looked for each emptyTick,
-// those quiet for emptyQuiet first, as the next set-up may be on its way; one that is in use
-// all the time ends in whatever gap there is after emptyHurry.
+// How callers' connections are closed during a drain or a hand-over.
 const (
-	closeIdleInterval = 20 * time.Millisecond
-	closeIdleAfter    = 100 * time.Millisecond
-	closeAnyGapAfter  = time.Second
+	closeIdleInterval = 20 * time.Millisecond  // between two searches for connections to close
+	closeIdleAfter    = 100 * time.Millisecond // idle time before a close, as the next set-up may be on its way
+	closeAnyGapAfter  = time.Second            // after this a busy connection is closed in any gap between its calls
 )
 
-// closeIdle ends callers' connections that are not in use, at an age of the wish to have none,
-// and tells how many are left.
+// closeIdle closes callers' connections that are not in use, and returns how many are left. age is the time
+// since the drain or hand-over began.
 func (d *Daemon) closeIdle(age time.Duration, exempt connmgr.Exempt) int {
 	if age < closeAnyGapAfter {
 		exempt.Used = closeIdleAfter
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -114,7 +114,7 @@
 		})
 		p.awaitLog(t, "serving")
 		p.writeConfig(t, func(f *os.File) { f.WriteString(p.config) }) // read anew, for the signal
-		p.awaitLog(t, "configuration taken")
+		p.awaitLog(t, "configuration applied")
 		c := standin.NewCaller(t, p.address)
 		c.Send(isup.Message{Type: isup.Test, Call: 1}.WithCause(0))
 		c.Await(t, isup.TestResult, 1)
--- a/internal/daemon/promisecmd.go
+++ b/internal/daemon/promisecmd.go
@@ -19,11 +19,11 @@
 	"woodrouter/shard"
 )
 
-// promisesCommand is the operators' side of replicated promises (docs/replication.md).
+// promisesCommand has the operators' commands for replicated promises (docs/replication.md).
 type promisesCommand struct {
 	Check  promisesFile  `cmd:"" help:"Check a file of promises; exit 0 if it can be used."`
 	Status promisesFile  `cmd:"" help:"Ask each group's leader what the group holds; exit 1 if any has none."`
-	Fence  promisesFile  `cmd:"" help:"Have the groups of the ring that the file replaces refuse claims by it."`
+	Fence  promisesFile  `cmd:"" help:"Make the groups of the ring that the file replaces refuse claims by it."`
 	Place  placeCommand  `cmd:"" help:"Make a ring of groups across zones from a list of agents."`
 	Mend   mendCommand   `cmd:"" help:"Replace agents that are gone by spare ones; shows the steps, or carries them out."`
 	Remove memberCommand `cmd:"" help:"Take a member out of its group."`
@@ -53,7 +53,7 @@
 	Raft  string `help:"For join: where the others reach its log (host:port)."`
 }
 
-// commandTimeout bounds what an operator's command waits for the groups.
+// commandTimeout is how long an operator's command waits for the groups.
 const commandTimeout = 30 * time.Second
 
 func (c promisesCommand) run(command string, out io.Writer) error {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// sampleCalls are ids enough to tell a share of all calls to a percent.
+// sampleCalls returns enough call ids to estimate a share of all calls to within one percent.
 func sampleCalls() (out []string) {
 	for i := range 10_000 {
 		out = append(out, fmt.Sprintf("%016x", i+1))
@@ -105,7 +105,7 @@
 	return out
 }
 
-// observerKeeper is a keeper that only asks: it takes no part in a group and claims nothing.
+// observerKeeper returns a keeper for queries only: it is not a member of a group and claims nothing.
 func observerKeeper(file string) (*promisestore.Store, promisestore.Config, error) {
 	c, err := promisestore.LoadConfig(file)
 	if err != nil {
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// fencePromises has the groups of the former ring refuse claims by agents that still follow
-// it. Claims by the new ring pass, as agents make them there first while they know both.
+// fencePromises makes the groups of the former ring refuse claims by agents that still use that ring. Agents
+// that know both rings are not affected, because they claim at the new ring's group first.
 func fencePromises(ctx context.Context, file string, out io.Writer) error {
 	c, err := promisestore.LoadConfig(file)
 	if err != nil {
@@ -183,9 +183,9 @@
 	return err
 }
 
-// run shows the steps that replace agents that are gone, and the ring after them. With --apply
-// each step is carried out once the one before it is committed; a step that stands already
-// does nothing, so a command that broke off is given again.
+// run prints the membership changes that replace lost agents, and the ring after them. With --apply it also
+// carries them out, each once the one before is committed. A change that is already in effect does nothing, so
+// an interrupted command can be repeated.
 func (c mendCommand) run(ctx context.Context, out io.Writer) error {
 	conf, err := promisestore.LoadConfig(c.File)
 	if err != nil {
--- a/internal/daemon/promises.go
+++ b/internal/daemon/promises.go
@@ -18,19 +18,19 @@
 	"woodrouter/shard"
 )
 
-// promises is the part of an agent that copies what it promises to further agents, and keeps
-// what others promise where it is a member of a group (docs/replication.md). Off unless
-// WOODROUTER_PROMISES names its file.
+// promises is an agent's part in the replication of promises (docs/replication.md): it replicates the agent's
+// promises to a group of other agents and, if the agent is a member of a group, stores those of others. It is
+// off unless WOODROUTER_PROMISES names its file.
 type promises struct {
 	keeper *promisestore.Store
 	log    *slog.Logger
 	cfg    atomic.Pointer[promisestore.Config]
-	node   atomic.Pointer[replica.Node] // nil: no part in a group, or none yet
+	node   atomic.Pointer[replica.Node] // this agent's member of a group; nil: none, or not started yet
 }
 
 func (p *promises) ring() shard.Ring { return p.cfg.Load().Ring }
 
-// member is the id of this agent's part in a group; "": none.
+// member returns the id of this agent's member of a group; "" if it has none.
 func (p *promises) member() string {
 	if m := p.cfg.Load().Member; m != nil {
 		return m.ID
@@ -48,17 +48,18 @@
 	return p, nil
 }
 
+// applyFile puts the rings of a file in force.
 func (p *promises) applyFile(file promisestore.Config) {
 	for _, found := range file.Ring.CheckZones() {
-		p.log.Warn("ring: a zone's loss would stop a group", "found", found)
+		p.log.Warn("ring: the loss of one zone would stop a group", "found", found)
 	}
 	p.cfg.Store(&file)
 	p.keeper.SetRings(file.Ring, file.Previous)
-	p.log.Info("ring taken", "version", file.Ring.Version, "groups", len(file.Ring.Groups), "replaces", file.Previous != nil)
+	p.log.Info("ring applied", "version", file.Ring.Version, "groups", len(file.Ring.Groups), "replaces", file.Previous != nil)
 }
 
-// reload takes a changed file: its rings at once, the rest at the next start. A ring older
-// than the one in force is refused, as claims by it may be fenced off.
+// reload reads the promises file again and puts its rings in force at once; the rest takes effect at the next
+// start. A ring older than the one in force is refused, because groups may refuse claims by it (fence).
 func (p *promises) reload(path string) error {
 	next, err := promisestore.LoadConfig(path)
 	if err != nil {
@@ -69,7 +70,7 @@
 		return fmt.Errorf("promises: %s: field ring.version: %d is before %d, which is in force", path, next.Ring.Version, current.Ring.Version)
 	}
 	if next.Name != current.Name || next.StoresCalls() != current.StoresCalls() || !reflect.DeepEqual(next.Member, current.Member) {
-		p.log.Warn("promises: name, member and calls hold from the next start")
+		p.log.Warn("promises: name, member and calls take effect at the next start")
 		next.Name, next.Member, next.Calls = current.Name, current.Member, current.Calls
 	}
 	if !reflect.DeepEqual(next.Ring, current.Ring) || !reflect.DeepEqual(next.Previous, current.Previous) {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// openPromises starts the agent's part in its group and takes up an order that was kept for it.
+// openPromises starts the agent's member of its group, if it has one, and restores a replicated drain order.
 func (d *Daemon) openPromises(ctx context.Context) (closeAll func(), err error) {
 	if d.promises == nil {
 		return func() {}, nil
@@ -107,17 +108,17 @@
 	return closeAll, nil
 }
 
-// restoreDrainInterval is how often an agent asks whether it is under an order while no group answers.
+// restoreDrainInterval is the interval at which an agent asks for a drain order while no group answers.
 const restoreDrainInterval = 500 * time.Millisecond
 
-// restoreDrain drains this agent where a drain of it was promised before its start, and keeps the
-// versions it runs by. Until a group answers, calls are refused for want of a quorum anyway.
+// restoreDrain drains this agent if a drain of it was replicated before its start, and records the versions of
+// its configuration. Until a group answers, calls are refused anyway, for lack of a quorum.
 func (d *Daemon) restoreDrain(ctx context.Context) {
 	for {
 		drained, err := d.promises.keeper.Drained()
 		if err == nil {
 			if drained {
-				d.log.Info("drained by an order kept before this start")
+				d.log.Info("restoring the drain that was ordered before this start")
 				d.startDrain()
 			}
 			d.recordVersions()
@@ -131,8 +132,7 @@
 	}
 }
 
-// recordVersions has the groups keep which settings, routes and second front's state this agent
-// runs by.
+// recordVersions replicates which versions of the settings, the routes file and the state file this agent uses.
 func (d *Daemon) recordVersions() {
 	d.promises.keeper.RecordDigest("settings", d.cfg.Settings)
 	for kind, path := range map[string]string{"routes": d.cfg.Routes, "plan": d.cfg.State} {
@@ -142,23 +142,24 @@
 	}
 }
 
-// recordDrain has an order kept by the groups before it takes effect here. Where not every group
-// is seen to have it nothing changes here: an order that is not promised would be undone by
-// the next restart. A group may have it all the same; the order given again settles that.
+// recordDrain returns a console handler that replicates a drain order to the groups before apply carries it
+// out here. Unless every group confirms the order, nothing changes here: an order that is not replicated would
+// be undone by the next restart. Some groups may have stored it all the same; the operator repeats the order to
+// settle that.
 func (d *Daemon) recordDrain(drain bool, apply func() string) func() string {
 	return func() string {
 		if d.promises == nil {
 			return apply()
 		}
 		if err := d.promises.keeper.Drain(drain); err != nil {
-			d.log.Warn("order not kept", "drain", drain, "error", err)
+			d.log.Warn("drain order not replicated", "drain", drain, "error", err)
 			return console.Failure + " not promised by every group, nothing changed here: " + strings.ReplaceAll(err.Error(), "\n", "; ")
 		}
 		return apply()
 	}
 }
 
-// writeStats are the lines of STATS about promises.
+// writeStats writes the lines of STATS about promises.
 func (p *promises) writeStats(line func(kind string, n int64, name string)) {
 	c := &p.keeper.Counts
 	line("c", c.Claimed.Load(), "promises_claimed")
@@ -170,7 +171,7 @@
 	line("c", c.EndsDropped.Load(), "promises_ends_dropped")
 }
 
-// promisesAnswer words what each group tells through its leader.
+// promisesAnswer describes each group's state, as its leader reports it.
 func (d *Daemon) promisesAnswer() string {
 	if d.promises == nil {
 		return console.Failure + " promises are kept by this process alone"
@@ -185,7 +186,7 @@
 	return b.String() + console.End
 }
 
-// groupLine words a group's state in a line.
+// groupLine describes a group's state in one line.
 func groupLine(id string, v promisestore.GroupStatus) string {
 	if v.Err != nil {
 		return fmt.Sprintf("group %s: no leader within reach: %v", id, v.Err)
--- a/internal/daemon/replica.go
+++ b/internal/daemon/replica.go
@@ -17,9 +17,9 @@
 	LogFormat string `help:"text (key=value) or json, one line each." enum:"text,json" default:"text"`
 }
 
-// runReplica runs one member of a group that replicates promises, or, where its file has a
-// section of rollout, a control machine, until SIGTERM or SIGINT. A file or data directory that
-// can't be used ends it with the reason, before it joins.
+// runReplica runs one member of a group that replicates promises or, if its file has a rollout section, a
+// control machine, until SIGTERM or SIGINT. It returns an error before it joins the group if the file or the
+// data directory can't be used.
 func runReplica(c replicaCommand, logs io.Writer) error {
 	var handler slog.Handler = slog.NewTextHandler(logs, nil)
 	if c.LogFormat == "json" {
@@ -41,7 +41,8 @@
 	return end()
 }
 
-// openMember starts a member of a group that replicates promises.
+// openMember starts a member of a group that replicates promises. It returns the function that stops it, and
+// the log with the member's name.
 func openMember(path string, log *slog.Logger) (end func() error, _ *slog.Logger, err error) {
 	cfg, err := replica.LoadConfig(path)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return func() error { ln.Close(); return n.Close() }, log, nil
 }
 
-// openControl starts a control machine.
+// openControl starts a control machine. Its results are those of openMember.
 func openControl(path string, log *slog.Logger) (end func() error, _ *slog.Logger, err error) {
 	cfg, err := control.LoadConfig(path)
 	if err != nil {
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -16,7 +16,7 @@
 	"woodrouter/rollout"
 )
 
-// The kinds of documents that an agent can take.
+// The kinds of configuration documents that an agent can use.
 const (
 	kindRoutes   = "routes"
 	kindFailover = "failover"
@@ -25,19 +25,19 @@
 
 var documentKinds = []string{kindRoutes, kindFailover, kindSpread}
 
-// ownConfig is what the agent's own files hold, as last taken. It is in force where no distributed
-// document of its kind is.
+// ownConfig is the content of the agent's own files as last read. Each kind is in force unless a distributed
+// document of that kind is.
 type ownConfig struct {
-	mu       sync.Mutex // one change at a time, by SIGHUP or by a revision
+	mu       sync.Mutex // held for a change, by SIGHUP or by a distributed revision
 	routes   agent.Router
 	failover placer.Config
 	spread   spreader.Config
-	// distributed are the distributed documents in force, by kind.
+	// distributed holds the distributed documents in force, by kind.
 	distributed map[string]rollout.Document
 }
 
-// distribution is the agent's part in the distribution of configuration (docs/rollout.md), and
-// the loaders by which documents take effect: those of the start and of SIGHUP. Off unless
+// distribution is the agent's part in the distribution of configuration (docs/rollout.md). It checks and applies
+// documents by the same code as the agent's own files at the start and at SIGHUP. It is off unless
 // WOODROUTER_ROLLOUT names its file.
 type distribution struct {
 	daemon  *Daemon
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Check proves a text as the agent would its own file at the start.
+// Check validates a document's text as the agent would validate its own file at the start.
 func (r *distribution) Check(kind string, text []byte) error {
 	r.daemon.ownConfig.mu.Lock()
 	defer r.daemon.ownConfig.mu.Unlock()
@@ -68,8 +68,8 @@
 	return err
 }
 
-// Apply puts a document in force for the calls that come from now on; those that are open keep
-// what they came under.
+// Apply puts a document in force for calls that arrive from now on; open calls keep the configuration they
+// started with. Unless present is true, the agent's own file is in force again.
 func (r *distribution) Apply(kind string, document rollout.Document, present bool) error {
 	own := &r.daemon.ownConfig
 	own.mu.Lock()
@@ -88,8 +88,8 @@
 	return err
 }
 
-// prepare proves a text, and returns what puts it in force. The kind stands for a file's name in
-// messages.
+// prepare validates a document's text, and returns the function that puts it in force. Error messages have
+// the kind in place of a file name.
 func (r *distribution) prepare(kind string, text []byte) (apply func() error, err error) {
 	daemon := r.daemon
 	switch kind {
@@ -117,7 +117,7 @@
 	return nil, fmt.Errorf("no kind %q", kind)
 }
 
-// restoreOwnFile puts the agent's own file of a kind in force again, as it was last taken.
+// restoreOwnFile puts the agent's own file of a kind in force again, as it was last read.
 func (d *Daemon) restoreOwnFile(kind string) error {
 	switch {
 	case kind == kindRoutes:
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// Calls counts those that have ended, and of them the refused and failed ones.
+// Calls returns how many calls have ended, and how many of them were refused or failed.
 func (r *distribution) Calls() (ended, failed uint64) {
 	for _, t := range r.daemon.core.Tallies() {
 		unsuccessful := t.Refused.Load() + t.Failed.Load()
@@ -139,13 +139,13 @@
 	return ended, failed
 }
 
-// applyOwnFile keeps the agent's own file of a kind, which was read and proved, and puts it in force
-// unless a distributed revision is. Which of the two it is, is told.
+// applyOwnFile stores the agent's own file of a kind, which has been read and validated, and puts it in force
+// unless a distributed revision is in force, which it logs.
 func (d *Daemon) applyOwnFile(kind, file string, keep func(), apply func() error) error {
 	d.ownConfig.mu.Lock()
 	defer d.ownConfig.mu.Unlock()
 	if document, replaced := d.ownConfig.distributed[kind]; replaced {
-		d.log.Warn("own file checked, not in force: a distributed revision is", "kind", kind, "file", file, "name", document.Name.String(), "revision", document.Revision)
+		d.log.Warn("own file is valid but not in force: a distributed revision is in force", "kind", kind, "file", file, "name", document.Name.String(), "revision", document.Revision)
 	} else if err := apply(); err != nil {
 		return err
 	}
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// reloadFailover reads the own file of zone failover again: topology, settings and times hold at
-// once, the rest from the next start.
+// reloadFailover reads the agent's own failover file again. Topology, settings and times take effect at once,
+// the rest at the next start.
 func (d *Daemon) reloadFailover() error {
 	if d.placer == nil {
 		return nil
@@ -163,22 +163,22 @@
 	if err != nil {
 		return err
 	}
-	current := d.ownConfig.failover // mode, zone and members of it never change
+	current := d.ownConfig.failover // its mode, zone and members never change
 	if next.Mode != current.Mode || next.Zone != current.Zone || !reflect.DeepEqual(next.Members, current.Members) {
-		d.log.Warn("failover: mode, zone and members hold from the next start")
+		d.log.Warn("failover: mode, zone and members take effect at the next start")
 		next.Mode, next.Zone, next.Members = current.Mode, current.Zone, current.Members
 	}
 	if err := d.placer.CheckConfig(next); err != nil {
 		return fmt.Errorf("failover: %s: %w", d.cfg.Failover, err)
 	}
 	return d.applyOwnFile(kindFailover, d.cfg.Failover, func() { d.ownConfig.failover = next }, func() error {
-		d.log.Info("failover file taken", "file", d.cfg.Failover)
+		d.log.Info("failover file applied", "file", d.cfg.Failover)
 		return d.placer.Reconfigure(next)
 	})
 }
 
-// reloadSpread reads the own file of spreading load again: the period holds at once, the rest
-// from the next start.
+// reloadSpread reads the agent's own spread file again. The period takes effect at once, the rest at the next
+// start.
 func (d *Daemon) reloadSpread() error {
 	if d.spreader == nil {
 		return nil
@@ -188,18 +188,18 @@
 		return fmt.Errorf("spread: %w", err)
 	}
 	if fixed := d.ownConfig.spread.FieldsNeedingRestart(next); len(fixed) > 0 {
-		d.log.Warn("spread: all but the period holds from the next start", "changed", fixed)
+		d.log.Warn("spread: only the period takes effect before the next start", "changed", fixed)
 	}
 	period := next.Period
 	next = d.ownConfig.spread
 	next.Period = period
 	return d.applyOwnFile(kindSpread, d.cfg.Spread, func() { d.ownConfig.spread = next }, func() error {
-		d.log.Info("spread file taken", "file", d.cfg.Spread)
+		d.log.Info("spread file applied", "file", d.cfg.Spread)
 		return d.spreader.Reconfigure(next)
 	})
 }
 
-// rolloutAnswer words which revisions are in force, and what becomes of the agent's own files.
+// rolloutAnswer describes which revisions are in force, and whether the agent's own files are.
 func (d *Daemon) rolloutAnswer() string {
 	if d.distribution == nil {
 		return console.Failure + " configuration comes from the agent's own files alone"
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -12,7 +12,7 @@
 	"woodrouter/internal/servers/bulletin"
 )
 
-// readRoutes is parseRoutes of a file.
+// readRoutes reads a file of per-route limits and parses it by parseRoutes.
 func readRoutes(path string, cfg Config) (agent.Router, int, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,9 +21,9 @@
 	return parseRoutes(path, text, cfg)
 }
 
-// parseRoutes reads and proves a text of per-route limits against the configuration's
-// settings, and returns the router the core takes calls' routes from. A refused text is an
-// error naming every refusal; nothing of it is used. name stands for its file in messages.
+// parseRoutes parses a text of per-route limits, checks it against the configuration's settings, and returns a
+// router for the core and the number of routes. If any rule is broken, the error names every refusal, and no
+// part of the text is used. name is the file's name in messages.
 func parseRoutes(name string, text []byte, cfg Config) (agent.Router, int, error) {
 	table, err := routefile.Parse(name, text)
 	if err != nil {
@@ -44,8 +44,8 @@
 	}, len(table.Routes), nil
 }
 
-// applyRoutesFile reads the routes file, if one is named, and hands it to the core, unless a
-// distributed revision is in force.
+// applyRoutesFile reads the routes file, if the configuration names one, and puts it in force unless a
+// distributed revision is.
 func (d *Daemon) applyRoutesFile() error {
 	if d.cfg.Routes == "" {
 		return nil
@@ -56,15 +56,15 @@
 	}
 	return d.applyOwnFile(kindRoutes, d.cfg.Routes, func() { d.ownConfig.routes = router }, func() error {
 		d.core.SetRouter(d.zoneRouter(router))
-		d.log.Info("routes taken", "file", d.cfg.Routes, "routes", count)
+		d.log.Info("routes applied", "file", d.cfg.Routes, "routes", count)
 		return nil
 	})
 }
 
-// knownPools is each pool's state by the list that a configuration knows: up where any of its
-// servers is. nil for an empty list, so that nothing is refused for want of news. Only the
-// operators' commands prove a file against it: the list moves while a daemon runs, and a pool
-// that drains at its start is no fault of the file.
+// knownPools returns each pool's state by a configuration's list of setup servers: up if any of its servers is.
+// It is nil for an empty list, so that no file is refused because the list is missing. Only the operators'
+// commands check a file against it: the list changes while a daemon runs, and a pool that is draining when the
+// daemon starts does not make the file wrong.
 func knownPools(known bulletin.Batch) map[int]string {
 	byName := map[string]bulletin.Endpoint{}
 	for _, item := range known.Items {
