--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,8 +26,8 @@
 	"woodrouter/spread"
 )
 
-// The times of a stop. The platform kills a process once the longest deadline (counted as maxKillDeadline if it
-// is longer) plus killGrace have passed since SIGTERM. By stopMargin before that, every call must have its
+// The times of a stop. The platform kills a process once the longest deadline (counted as maxKillDeadline if
+// it is longer) plus killGrace have passed since SIGTERM. By stopMargin before that, every call must have its
 // answer.
 const (
 	stopServePeriod = 800 * time.Millisecond // new calls are still served for this long after SIGTERM
@@ -36,16 +36,16 @@
 	stopMargin      = 400 * time.Millisecond
 )
 
-// The times of polling the bulletin. A change counts as told 2 s after the end of the wait that was requested,
-// so a short wait and a short grace leave time for another poll after a broken answer.
+// The times of polling the bulletin. A change counts as told 2 s after the end of the wait that was
+// requested, so a short wait and a short grace leave time for another poll after a broken answer.
 const (
 	pollWait       = time.Second
 	pollGrace      = 750 * time.Millisecond
 	pollRetryDelay = 100 * time.Millisecond
 )
 
-// maxBusyRetryAfter is the Retry-After of an agent that is too busy or stopping. It is shorter if the settings'
-// maxRetryAfter is.
+// maxBusyRetryAfter is the Retry-After of an agent that is too busy or stopping. It is shorter if the
+// settings' maxRetryAfter is.
 const maxBusyRetryAfter = time.Second
 
 // gcMemoryShare is the share of the memory limit that is set as the Go runtime's soft limit, at which the
@@ -78,8 +78,8 @@
 	retryAfter   time.Duration // told to callers whose call the agent can't accept
 }
 
-// ready returns whether the agent accepts callers. If the connection limit does not allow a connection to each
-// setup server, at least one must be connected.
+// ready returns whether the agent accepts callers. If the connection limit does not allow a connection to
+// each setup server, at least one must be connected.
 func (d *Daemon) ready() bool {
 	return d.serving.Load() && !d.stopping.Load() && !d.drained.Load() && d.pool.Serves()
 }
@@ -305,7 +305,8 @@
 	return max(min(longest, maxKillDeadline)+killGrace-stopMargin, stopServePeriod)
 }
 
-// shutDown serves until the open calls, and those that still arrive, have their answers, or the stop times out.
+// shutDown serves until the open calls, and those that still arrive, have their answers, or the stop times
+// out.
 func (d *Daemon) shutDown(ln net.Listener) {
 	d.log.Info("stopping: serving on, then answering what is open")
 	timeout := time.After(d.stopTimeout())
@@ -339,9 +340,9 @@
 	<-done
 }
 
-// handOver leaves the callers to the process that accepts from the same socket, which gets all new connections.
-// Existing connections are closed one by one, each once no call is open on it: a process that exited earlier
-// would reset connections in use.
+// handOver leaves the callers to the process that accepts from the same socket, which gets all new
+// connections. Existing connections are closed one by one, each once no call is open on it: a process that
+// exited earlier would reset connections in use.
 func (d *Daemon) handOver(timeout <-chan time.Time) {
 	started, ticker := time.Now(), time.NewTicker(closeIdleInterval)
 	defer ticker.Stop()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,7 +22,7 @@
 	"woodrouter/isup"
 )
 
-// testConfig words a configuration with two classes and times that suit a test.
+// testConfig returns a configuration with one class, two pools and times short enough for a test.
 func testConfig(t testing.TB, b *standin.Bulletin) Config {
 	t.Helper()
 	cfg, err := ParseConfig(testConfigText(t, b))
@@ -43,7 +43,7 @@
 	return text
 }
 
-// testSite is a daemon between both kinds of callers and two setup servers.
+// testSite is a daemon with both fronts, two setup servers and a bulletin.
 type testSite struct {
 	t        *testing.T
 	servers  [2]*standin.Server
@@ -83,8 +83,8 @@
 	return s
 }
 
-// attemptChecker watches over all servers that a call never has two attempts out, and that one
-// that broke off goes out again no sooner than 300 ms later.
+// attemptChecker checks over all servers that a call never has two attempts out at the same time, and that
+// after a broken attempt the next one is sent no sooner than 300 ms later.
 type attemptChecker struct {
 	mu          sync.Mutex
 	outstanding map[isup.CallID]int
@@ -112,7 +112,7 @@
 	}
 }
 
-// serve has a server act on each set-up by the last digit of its call.
+// serve makes a server react to each set-up by the last three bits of its call id.
 func (s *testSite) serve(server *standin.Server) {
 	for g := range server.Got {
 		if g.Type == isup.Release {
@@ -144,7 +144,7 @@
 	}
 }
 
-// setUpFunc is one front's way to set a call up; it words the outcome without the wire.
+// setUpFunc sets a call up through one front and describes the outcome independently of the protocol.
 type setUpFunc func(id isup.CallID, left time.Duration) string
 
 func (s *testSite) binaryCaller(t *testing.T) setUpFunc {
@@ -202,8 +202,8 @@
 	}, client
 }
 
-// TestBothFronts mixes both fronts on one core against the same servers: the outcomes are
-// the same, each call has one, and none has two copies out at any time.
+// TestBothFronts sends calls through both fronts of one agent to the same servers. Both fronts must give the
+// same outcomes, each call exactly one, and no call may have two attempts out at the same time.
 func TestBothFronts(t *testing.T) {
 	s := newTestSite(t)
 	for _, server := range s.servers {
@@ -212,14 +212,14 @@
 	}
 	api, _ := s.webSocketCaller(t)
 	for _, round := range []struct {
-		kind, calls isup.CallID // so many by each front
+		kind, calls isup.CallID // calls: number per front
 		left        time.Duration
 		want        func(id isup.CallID) string
 	}{
 		{1, 4, 5 * time.Second, func(id isup.CallID) string { return "stands in room " + id.String() + ", completed" }},
 		{3, 1, 5 * time.Second, func(id isup.CallID) string { return "stands in room " + id.String() + ", cut" }},
 		{4, 4, 5 * time.Second, func(isup.CallID) string { return "refused with a time" }},
-		{5, 1, 1400 * time.Millisecond, func(isup.CallID) string { return "failed" }}, // silent: its deadline ends it
+		{5, 1, 1400 * time.Millisecond, func(isup.CallID) string { return "failed" }}, // no answer: ended by its deadline
 		{2, 4, 5 * time.Second, func(isup.CallID) string { return "refused with a time" }},
 	} {
 		var group sync.WaitGroup
@@ -234,14 +234,14 @@
 		group.Wait()
 	}
 	assert.Empty(t, s.attempts.violations)
-	require.Eventually(t, func() bool { // what was silent was given up, whichever front it came by
+	require.Eventually(t, func() bool { // the unanswered calls were given up, for both fronts
 		return s.servers[0].Seen(isup.Release, 0x1005)+s.servers[1].Seen(isup.Release, 0x1005) > 0 &&
 			s.servers[0].Seen(isup.Release, 0x2005)+s.servers[1].Seen(isup.Release, 0x2005) > 0
 	}, standin.Patience, time.Millisecond)
 }
 
-// TestClientGoneMidSetUp: a WebSocket client that leaves has its set-up given up at the
-// server, and the answer that crosses the give-up is released there.
+// TestClientGoneMidSetUp checks that when a WebSocket client disconnects, its set-up is given up at the
+// server, and that an answer that crosses the give-up is released there.
 func TestClientGoneMidSetUp(t *testing.T) {
 	s := newTestSite(t)
 	api, client := s.webSocketCaller(t)
@@ -253,16 +253,17 @@
 	assert.Equal(t, g.Call, s.servers[0].Await(t, isup.Release).Call)
 	g.Answer("late")
 	assert.Equal(t, g.Call, s.servers[0].Await(t, isup.Release).Call)
-	assert.Zero(t, s.servers[1].Seen(isup.SetUp, 0), "nobody waits for another attempt")
+	assert.Zero(t, s.servers[1].Seen(isup.SetUp, 0), "no further attempt without a client")
 }
 
-// TestServerDrain: a server drains while calls of both fronts wait there. They go on elsewhere,
-// 300 ms after their attempts broke, and nothing new reaches it 2 s after the news.
+// TestServerDrain drains a server while calls of both fronts wait there. They must continue at the other
+// server, no sooner than 300 ms after their attempts broke, and within 2 s of the bulletin's update no new
+// call may reach the draining server.
 func TestServerDrain(t *testing.T) {
 	s := newTestSite(t)
 	api, _ := s.webSocketCaller(t)
 	outcomes := make(chan string, 2)
-	for id := isup.CallID(0x1000); id < 0x1080; id += 0x10 { // answers in time give room for two
+	for id := isup.CallID(0x1000); id < 0x1080; id += 0x10 { // answers in time make room for two calls
 		go func() { outcomes <- s.binaryCaller(t)(id, 3*time.Second) }()
 		g := s.servers[0].Await(t, isup.SetUp)
 		g.Answer("room")
@@ -276,14 +277,14 @@
 	s.bulletin.Tell(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
 	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond)
 	require.Less(t, time.Since(notified), 2*time.Second)
-	for id := isup.CallID(0x100); id < 0x180; id += 0x20 { // first choice is the draining server
+	for id := isup.CallID(0x100); id < 0x180; id += 0x20 { // the first choice is the draining server
 		go s.binaryCaller(t)(id, 3*time.Second)
 		s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 		go api(id+0x10, 3*time.Second)
 		s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	}
 	before := s.servers[0].Seen(isup.SetUp, 0)
-	require.Equal(t, 10, before, "what came before the news")
+	require.Equal(t, 10, before, "sent before the update")
 	broke := time.Now()
 	for _, g := range waiting {
 		g.Release(isup.TempFailure, "")
@@ -297,11 +298,11 @@
 	for range waiting {
 		assert.Equal(t, "stands in room, completed", <-outcomes)
 	}
-	assert.Equal(t, before, s.servers[0].Seen(isup.SetUp, 0), "nothing more at the draining server")
+	assert.Equal(t, before, s.servers[0].Seen(isup.SetUp, 0), "no further set-up at the draining server")
 }
 
-// TestOneIDAtBothFronts: an id that is open by one front is not taken by the other, and
-// the call that has it goes on.
+// TestOneIDAtBothFronts checks that a call id that is open at one front is refused at the other, and that the
+// open call continues.
 func TestOneIDAtBothFronts(t *testing.T) {
 	s := newTestSite(t)
 	api, _ := s.webSocketCaller(t)
@@ -315,8 +316,8 @@
 	assert.Equal(t, 1, s.servers[0].Seen(isup.SetUp, 0)+s.servers[1].Seen(isup.SetUp, 0))
 }
 
-// TestStop: after SIGTERM calls are still taken for a while, what is open is answered, and
-// the program ends in time.
+// TestStop checks that after SIGTERM new calls are still accepted for stopServePeriod, open calls get their
+// answers, and the daemon stops in time.
 func TestStop(t *testing.T) {
 	s := newTestSite(t)
 	api, _ := s.webSocketCaller(t)
@@ -326,7 +327,7 @@
 	began := time.Now()
 	ended := make(chan struct{})
 	go func() { s.stop(); close(ended) }()
-	c := standin.NewCaller(t, s.addr) // a new connection, just after
+	c := standin.NewCaller(t, s.addr) // a new connection just after SIGTERM
 	c.SetUp(0x20, "voice", 3*time.Second, 1)
 	late := s.servers[1].Await(t, isup.SetUp)
 	late.Answer("room")
@@ -338,8 +339,8 @@
 	assert.Less(t, time.Since(began), s.daemon.stopTimeout())
 }
 
-// TestReload: a SIGHUP takes the state as it is then; settings that can't be used change
-// nothing, and without a state the front is off.
+// TestReload checks that SIGHUP applies the state file, that settings that can't be used change nothing, and
+// that a disabled API closes its address and, once their set-ups are answered, its connections.
 func TestReload(t *testing.T) {
 	s := newTestSite(t)
 	api, client := s.webSocketCaller(t)
@@ -356,14 +357,14 @@
 		s.daemon.Reload()
 	}
 	was := s.daemon.api.address()
-	apply(func(f *plan.Front) { f.Listen = s.addr }) // taken by the other front
+	apply(func(f *plan.Front) { f.Listen = s.addr }) // in use by the other front
 	assert.Equal(t, was, s.daemon.api.address())
 	apply(func(f *plan.Front) { f.Enabled = false })
 	assert.Nil(t, s.daemon.api.address())
 	_, err := net.Dial("tcp", was.String())
 	assert.Error(t, err)
-	g.Answer("room")                    // its client is still connected: a set-up is open on it
-	require.Eventually(t, func() bool { // and is cleared then
+	g.Answer("room")                    // its client is still connected, as a set-up is open
+	require.Eventually(t, func() bool { // after the answer its connection is closed
 		_, err := client.SetUp(context.Background(), callrpc.Call{ID: "0000000000000030", Class: "none", DeadlineMs: 1})
 		_, answered := callrpc.AsError(err)
 		return err != nil && !answered
@@ -374,8 +375,8 @@
 	s.servers[0].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 }
 
-// TestReconfigure: a SIGHUP has the list followed at the bulletin that the file names by
-// then, from the event reached; a file that can't be used changes nothing.
+// TestReconfigure checks that after SIGHUP the list is followed at the bulletin that the file names now, from
+// the last event received, and that a file that can't be used changes nothing.
 func TestReconfigure(t *testing.T) {
 	s := newTestSite(t)
 	s.daemon.cfg.path = filepath.Join(t.TempDir(), "config.json")
@@ -385,17 +386,18 @@
 		s.daemon.Reload()
 	}
 	s.bulletin.Tell(false)
-	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond, "the former one is followed")
+	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond, "the former bulletin is still followed")
 	require.NoError(t, os.WriteFile(s.daemon.cfg.path, testConfigText(t, next), 0o600))
 	s.daemon.Reload()
 	next.Tell(false)
 	next.Tell(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
 	require.Eventually(t, next.Taken, standin.Patience, time.Millisecond)
-	go s.binaryCaller(t)(0x10, 3*time.Second) // first choice is the server that drains
+	go s.binaryCaller(t)(0x10, 3*time.Second) // the first choice is the draining server
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 }
 
-// TestStopTimeout: the time that a stop may take follows the longest deadline, as SIGKILL does.
+// TestStopTimeout checks that the time allowed for a stop follows the longest deadline, as the time of
+// SIGKILL does.
 func TestStopTimeout(t *testing.T) {
 	for _, tc := range []struct{ deadlines, most string }{
 		{`{"name":"a","deadline":9000000}`, "3.3s"},
@@ -440,8 +442,8 @@
 	assert.Error(t, err)
 }
 
-// TestRoutes: a file of per-route limits taken on SIGHUP has calls go only to its servers; a
-// refused file changes nothing and is counted; at the start it stops the program.
+// TestRoutes checks that a file of per-route limits applied by SIGHUP restricts calls to its servers, that a
+// refused file changes nothing and is counted, and that at the start it ends the program.
 func TestRoutes(t *testing.T) {
 	s := newTestSite(t)
 	file := filepath.Join(t.TempDir(), "routes.yaml")
@@ -456,15 +458,15 @@
 	assert.Equal(t, int64(1), s.daemon.reloads.refused.Load())
 	go s.binaryCaller(t)(0x20, 3*time.Second)
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
-	assert.Zero(t, s.servers[0].Seen(isup.SetUp, 0), "the former routes stay")
+	assert.Zero(t, s.servers[0].Seen(isup.SetUp, 0), "the former routes stay in force")
 	cfg := testConfig(t, s.bulletin)
 	cfg.Routes = file
 	_, err := New(cfg, slog.New(slog.DiscardHandler))
 	assert.ErrorContains(t, err, `route "eager": retry_spacing 10ms`)
 }
 
-// TestRouteTimeout: on the wire, a route's attempt time-out is what the server is told to wait
-// and when the attempt is given up, well before the caller's deadline.
+// TestRouteTimeout checks that a route's attempt time-out is the time left that the server is told, and that
+// the attempt is given up then, well before the caller's deadline.
 func TestRouteTimeout(t *testing.T) {
 	s := newTestSite(t)
 	file := filepath.Join(t.TempDir(), "routes.yaml")
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -72,8 +72,8 @@
 	return r.First, err
 }
 
-// zoneRouter returns a router that takes a call's route from fileRouter and, with zone failover, narrows it to
-// the pools of the zone that the call goes to. fileRouter may be nil.
+// zoneRouter returns a router that takes a call's route from fileRouter and, with zone failover, narrows it
+// to the pools of the zone that the call goes to. fileRouter may be nil.
 func (d *Daemon) zoneRouter(fileRouter agent.Router) agent.Router {
 	if d.placer == nil {
 		return fileRouter
--- a/internal/daemon/gone_test.go
+++ b/internal/daemon/gone_test.go
@@ -12,20 +12,20 @@
 	"woodrouter/isup"
 )
 
-// abandonDelay is the rule: so long after its caller has left, no attempt of a call may begin.
+// abandonDelay is the time after a caller has left from which on no attempt of its call may begin.
 const abandonDelay = 100 * time.Millisecond
 
-// awaitSent waits, where the caller stays, until its call has gone out so many times, however slow the
-// machine is.
+// awaitSent waits, if the caller stays, until its call has been sent want times; it bounds the wait
+// generously for slow machines.
 func (s *testSite) awaitSent(stays bool, want int, seen func(*testSite) int) {
 	if stays {
 		require.Eventually(s.t, func() bool { return seen(s) == want }, standin.Patience, time.Millisecond)
 	}
 }
 
-// TestCallerGone: a call whose caller leaves while it waits, for room at the servers or after a
-// broken attempt, is not sent on, whichever way the caller leaves by either front. The same call
-// is sent on where the caller stays.
+// TestCallerGone checks that a call that waits for room at the servers, or for a retry after a broken
+// attempt, is not sent once its caller has left, in whichever way and through either front. If the caller
+// stays, the same call is sent.
 func TestCallerGone(t *testing.T) {
 	const waiting isup.CallID = 0x30
 	for name, leave := range map[string]func(c *standin.Caller){
@@ -42,7 +42,7 @@
 		if name == "stays" {
 			sent = 2
 		}
-		// begin sets the waiting call up and returns how its caller leaves.
+		// begin starts the call and returns the function by which its caller leaves.
 		begin := func(t *testing.T, s *testSite) func() {
 			if name == "closes its WebSocket" {
 				api, client := s.webSocketCaller(t)
@@ -64,7 +64,7 @@
 			t.Parallel()
 			s := newTestSite(t)
 			c := standin.NewCaller(t, s.addr)
-			for id := range isup.CallID(8) { // first attempts earn the budget of further ones
+			for id := range isup.CallID(8) { // first attempts add to the retry budget
 				c.SetUp(id+1, "voice", 9*time.Second, 0)
 				s.servers[0].Await(t, isup.SetUp).Answer("there")
 				c.Await(t, isup.Answer, id+1)
@@ -85,8 +85,8 @@
 			c.SetUp(2, "voice", 9*time.Second, 1)
 			second := s.servers[1].Await(t, isup.SetUp)
 			leaves := begin(t, s)
-			require.Eventually(t, func() bool { return s.daemon.core.InFlight() == 3 }, standin.Patience, time.Millisecond, "it has come")
-			time.Sleep(abandonDelay) // and waits
+			require.Eventually(t, func() bool { return s.daemon.core.InFlight() == 3 }, standin.Patience, time.Millisecond, "the call has arrived")
+			time.Sleep(abandonDelay) // it waits
 			assert.Zero(t, seen(s))
 			leaves()
 			time.Sleep(abandonDelay)
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestCloseWithSetUp: a close that comes right behind a set-up, in the same segment or as a reset,
-// leaves nothing at a server: it is not sent on, or it is given up there.
+// TestCloseWithSetUp checks that when a connection is closed or reset right after a set-up, possibly in the
+// same segment, no call stays at a server: the set-up is either not sent or given up there.
 func TestCloseWithSetUp(t *testing.T) {
 	for name, end := range map[string]func(c *standin.Caller){
 		"close": func(c *standin.Caller) { c.Close() },
@@ -118,12 +118,12 @@
 			c := standin.NewCaller(t, s.addr)
 			c.SetUp(99, "voice", 9*time.Second, 0)
 			var g standin.Got
-			for g.Call != 99 || g.Type != isup.SetUp { // at whichever has room
+			for g.Call != 99 || g.Type != isup.SetUp { // at the server that has room
 				select {
 				case g = <-s.servers[0].Got:
 				case g = <-s.servers[1].Got:
 				case <-time.After(standin.Patience):
-					t.Fatal("the call of a caller that stays is not sent on")
+					t.Fatal("the call of a caller that stays was not sent")
 				}
 			}
 			g.Answer("there")
--- a/internal/daemon/main_test.go
+++ b/internal/daemon/main_test.go
@@ -12,8 +12,8 @@
 	"woodrouter/internal/standin"
 )
 
-// TestMain's name is taken by the testing package, hence TestProgram: the commands, their
-// exit codes and what they name.
+// TestProgram checks the commands of Main, their exit codes, and what their output and errors name. (A test
+// named TestMain would replace the testing package's main function.)
 func TestProgram(t *testing.T) {
 	dir := t.TempDir()
 	state, file := filepath.Join(dir, "state.json"), filepath.Join(dir, "api.plan")
@@ -40,7 +40,7 @@
 		return "{id: " + id + ", members: [" + m(a) + ", " + m(b) + ", " + m(c) + "]}"
 	}
 	moving, foreign := filepath.Join(dir, "moving.yaml"), filepath.Join(dir, "foreign.yaml")
-	require.NoError(t, os.WriteFile(foreign, []byte("version: 1\n"), 0o600)) // one key, as the library names any of several
+	require.NoError(t, os.WriteFile(foreign, []byte("version: 1\n"), 0o600)) // one unknown key, as the library names any of several
 	require.NoError(t, os.WriteFile(moving, []byte("ring: {version: 2, groups: ["+group("g1", "a", "b", "c")+", "+group("g2", "d", "e", "f")+"]}\n"+
 		"previous: {version: 1, groups: ["+group("g1", "a", "b", "c")+"]}\n"), 0o600))
 	for _, tc := range []struct {
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -22,15 +22,15 @@
 	"woodrouter/isup"
 )
 
-// freeAddress is one that nobody listens on, and nobody else will: a port of 127.0.0.1 that was free
-// may be the other end of any connection a moment later.
+// freeAddress returns an address on a loopback host of its own. A free port of 127.0.0.1 would not do: any
+// outgoing connection may use it a moment later.
 func freeAddress(t *testing.T) string {
 	host, err := faultnet.NewHost()
 	require.NoError(t, err)
 	return host + ":5070"
 }
 
-// askConsole puts one line to a console; "": nobody answers.
+// askConsole sends one line to a console and returns its answer; "" if none.
 func askConsole(address, line string) string {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -47,8 +47,7 @@
 	return strings.HasPrefix(askConsole(address, line), "SUCCESS")
 }
 
-// startDaemon runs a daemon as the program does, with a console of its own, and returns once it
-// is ready.
+// startDaemon runs a daemon as the program does, on a new console address, and returns once it is ready.
 func startDaemon(t *testing.T, cfg Config) (d *Daemon, stop context.CancelFunc, done chan error) {
 	cfg.Console = freeAddress(t)
 	d, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -61,7 +60,7 @@
 	return d, stop, done
 }
 
-// inheritedSockets returns a descriptor for each process that is to share a listening socket.
+// inheritedSockets opens a listening socket and returns one descriptor of it for each of n processes.
 func inheritedSockets(t *testing.T, n int) (address string, fds []string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -78,16 +77,16 @@
 	return ln.Addr().String(), fds
 }
 
-// oneServerConfig is what processes with one setup server and one socket for the callers need.
+// oneServerConfig returns a configuration with one setup server, and a socket for callers that the given
+// number of processes share.
 func oneServerConfig(t *testing.T, processes int) (server *standin.Server, cfg Config, address string, fds []string) {
 	server = standin.NewServer(t, "")
 	address, fds = inheritedSockets(t, processes)
 	return server, testConfig(t, standin.NewBulletin(t, standin.Endpoint("s0", server.Addr, 0, "up"))), address, fds
 }
 
-// TestHandOver: two processes serve one inherited socket. The one that stops leaves
-// newcomers to the other, answers what is open with it, and ends a connection only when
-// nothing is open there.
+// TestHandOver runs two daemons on one inherited socket and stops the first. It must leave new connections to
+// the second, answer its open calls, and close a connection only when no call is open on it.
 func TestHandOver(t *testing.T) {
 	server, cfg, address, fds := oneServerConfig(t, 2)
 	cfg.Callers = fds[0]
@@ -108,7 +107,7 @@
 	g.Answer("room")
 	served.Await(t, isup.Answer, 0x10)
 	_, err := served.Next()
-	assert.ErrorIs(t, err, io.EOF, "the next set-up is for the other process")
+	assert.ErrorIs(t, err, io.EOF, "closed, so that the next set-up goes to the other process")
 	assert.NoError(t, <-done)
 	last := standin.NewCaller(t, address)
 	last.SetUp(0x30, "voice", 5*time.Second, 0)
@@ -116,8 +115,8 @@
 	last.Await(t, isup.Answer, 0x30)
 }
 
-// TestAPIHandOver: the second front's address is not handed over. A new version serves the
-// first front without it, and takes it once the old one stops.
+// TestAPIHandOver checks that a new process, as the call API's address is not handed over, first serves
+// without the API and listens on its address once the old process has stopped.
 func TestAPIHandOver(t *testing.T) {
 	_, cfg, _, fds := oneServerConfig(t, 2)
 	cfg.State = filepath.Join(t.TempDir(), "state.json")
@@ -135,7 +134,7 @@
 	require.Eventually(t, func() bool { return next.api.address() != nil }, standin.Patience, time.Millisecond)
 }
 
-// TestInheritedSocket: what PROXY_FD names must be a listening socket.
+// TestInheritedSocket checks that a PROXY_FD that is not a listening socket's descriptor is refused.
 func TestInheritedSocket(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "1", "65000"} {
 		_, err := callersListener("127.0.0.1:0", fd)
@@ -143,7 +142,7 @@
 	}
 }
 
-// TestStats: the figures are those of what has passed, and end with their last line.
+// TestStats checks the statistics after a call that stands and a refused one, and the line that ends them.
 func TestStats(t *testing.T) {
 	server, cfg, address, fds := oneServerConfig(t, 1)
 	cfg.Callers = fds[0]
@@ -155,7 +154,7 @@
 	c.SetUp(0x20, "voice", 5*time.Second, 0)
 	server.Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	c.Await(t, isup.Release, 0x20)
-	require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, standin.Patience, time.Millisecond, "counted once the answer has gone out")
+	require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, standin.Patience, time.Millisecond, "a call is counted once its answer has been sent")
 	c.SetUp(0x10, "voice", 5*time.Second, 7) // no such server: failed
 	assert.Equal(t, `svc.calls.voice.success:1|c
 svc.calls.voice.busy:1|c
@@ -170,9 +169,9 @@
 `, askConsole(d.cfg.Console, "STATS"))
 }
 
-// TestDrainedAgent: a drained agent says no, to the console and on the wire, ends connections that
-// hold no call, and refuses what comes after a while; what is open is answered, and the end
-// of what stands is told. Then it takes callers again.
+// TestDrainedAgent checks that a drained agent reports to the console and on the wire that it accepts no
+// callers, closes connections without calls, still serves new calls for a while and then refuses them,
+// answers open calls, and reports the ends of standing calls. After UNDRAIN it accepts callers again.
 func TestDrainedAgent(t *testing.T) {
 	server, cfg, address, fds := oneServerConfig(t, 1)
 	cfg.Callers = fds[0]
@@ -188,14 +187,14 @@
 	busy.SetUp(0x10, "voice", 5*time.Second, 0)
 	g := server.Await(t, isup.SetUp)
 	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"))
-	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"), "again")
+	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"), "a repeated DRAIN")
 	assert.False(t, consoleSucceeds(d.cfg.Console, "READY"))
 	assert.Equal(t, isup.NotPassed, test(busy, 2))
 	_, err := idle.Next()
 	assert.ErrorIs(t, err, io.EOF)
 	g.Answer("room")
 	busy.Await(t, isup.Answer, 0x10)
-	outcome := func(id isup.CallID) isup.Message { // of a set-up that the server, asked, answers
+	outcome := func(id isup.CallID) isup.Message { // the outcome of a set-up that the server answers if it gets it
 		busy.SetUp(id, "voice", 5*time.Second, 0)
 		received := make(chan isup.Message, 1)
 		go func() { m, _ := busy.Next(); received <- m }()
@@ -217,7 +216,7 @@
 		m := outcome(id)
 		return m.Call == id && m.Type == isup.Release && m.Text(isup.RetryAfter) != ""
 	}, standin.Patience, 50*time.Millisecond, "then refused")
-	conns := server.Conns() // the one that it was asked on may have been replaced: its answer waited for the drain
+	conns := server.Conns() // the set-up's own connection may have been replaced, as the answer came late
 	g.Conn = conns[len(conns)-1]
 	g.Release(isup.Normal, "")
 	busy.Await(t, isup.Release, 0x10)
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -20,7 +20,7 @@
 	"woodrouter/isup"
 )
 
-// buildProgram is the program as built for these tests, once.
+// buildProgram builds the program once for all these tests and returns its path.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "woodrouter")
 	if err != nil {
@@ -29,8 +29,8 @@
 	return faultnet.Build(dir)
 })
 
-// agentProcess is one process of the program whose configuration is a pipe: it reads when the test
-// writes, so that signals come before, between and after as the test orders them.
+// agentProcess is a process of the program whose configuration file is a pipe: it reads only when the test
+// writes, so that the test decides whether a signal arrives before, during or after that.
 type agentProcess struct {
 	*faultnet.Proc
 	configPipe, config string
@@ -44,7 +44,7 @@
 	return p
 }
 
-// setDescriptorLimit has the configuration state a machine of so many descriptors.
+// setDescriptorLimit sets the number of descriptors of the machine in the configuration.
 func (p *agentProcess) setDescriptorLimit(t *testing.T, sockets int) {
 	var cfg map[string]any
 	require.NoError(t, json.Unmarshal([]byte(p.config), &cfg))
@@ -74,9 +74,9 @@
 	return p
 }
 
-// writeConfig waits until the process reads its configuration, and gives it what write puts there.
+// writeConfig waits until the process opens its configuration, and calls write to write it.
 func (p *agentProcess) writeConfig(t *testing.T, write func(*os.File)) {
-	f, err := os.OpenFile(p.configPipe, os.O_WRONLY, 0) // waits for the reader
+	f, err := os.OpenFile(p.configPipe, os.O_WRONLY, 0) // blocks until there is a reader
 	require.NoError(t, err)
 	write(f)
 	require.NoError(t, f.Close())
@@ -92,7 +92,7 @@
 	require.Eventually(t, func() bool { return strings.Contains(p.Log(), line) }, standin.Patience, time.Millisecond, line)
 }
 
-// awaitExit waits for the process to end by itself, in order.
+// awaitExit waits until the process has ended by itself after a regular stop.
 func (p *agentProcess) awaitExit(t *testing.T) {
 	t.Helper()
 	select {
@@ -103,7 +103,7 @@
 	assert.Contains(t, p.Log(), "msg=stopped")
 }
 
-// TestSignalsBeforeReady: a signal that comes while the program still reads its configuration
+// TestSignalsBeforeReady checks that a signal that arrives while the program still reads its configuration
 // neither kills it nor is lost.
 func TestSignalsBeforeReady(t *testing.T) {
 	t.Run("SIGHUP", func(t *testing.T) {
@@ -113,7 +113,7 @@
 			f.WriteString(p.config)
 		})
 		p.awaitLog(t, "serving")
-		p.writeConfig(t, func(f *os.File) { f.WriteString(p.config) }) // read anew, for the signal
+		p.writeConfig(t, func(f *os.File) { f.WriteString(p.config) }) // read again because of the signal
 		p.awaitLog(t, "configuration applied")
 		c := standin.NewCaller(t, p.address)
 		c.Send(isup.Message{Type: isup.Test, Call: 1}.WithCause(0))
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestStopCrossings: a stop answers what is open, whatever comes in the middle of it: a second
-// SIGTERM, a SIGHUP, a set-up half-read or on a new connection, discovery that is down.
+// TestStopCrossings checks that a stop answers the open calls whatever happens during it: a second SIGTERM, a
+// SIGHUP, a partly read set-up, a set-up on a new connection, an unreachable bulletin.
 func TestStopCrossings(t *testing.T) {
 	for name, bulletin := range map[string]string{"discovery up": "", "discovery down": freeAddress(t)} {
 		t.Run(name, func(t *testing.T) {
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestStopHalfRead: a set-up that has begun to come is waited for, also where nothing else is open
-// any more when the time of new ones is over, and gets its answer.
+// TestStopHalfRead checks that a stop waits for the rest of a partly received set-up and answers it, even if
+// no call is open when stopServePeriod ends.
 func TestStopHalfRead(t *testing.T) {
 	p := startProcess(t, "")
 	p.configure(t)
@@ -171,14 +171,14 @@
 	p.Term()
 	c.SetReadDeadline(time.Now().Add(stopServePeriod + 200*time.Millisecond))
 	_, err := c.In.Peek(1)
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection stays")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection stays open")
 	c.Write(setUp[20:])
 	p.server.Await(t, isup.SetUp).Answer("there")
 	c.Await(t, isup.Answer, 2)
 	p.awaitExit(t)
 }
 
-// setUpBytes is a set-up's bytes.
+// setUpBytes returns an encoded set-up.
 func setUpBytes(t *testing.T, id isup.CallID) []byte {
 	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.TimeLeft, 9*time.Second).
 		WithText(isup.Number, "2").WithText(isup.Figures, "dest:0;width:1;via:-1").WithText(isup.Description, "offer").Append(nil)
@@ -186,8 +186,9 @@
 	return b
 }
 
-// TestIdleFlood: idle callers that fill what a small machine has, while discovery is down, leave
-// enough for who has calls, for connections to setup servers, and for discovery once it is back.
+// TestIdleFlood checks that idle callers that open more connections than a small machine has descriptors,
+// while the bulletin is unreachable, leave enough for callers with calls, for connections to setup servers,
+// and for the bulletin once it is reachable.
 func TestIdleFlood(t *testing.T) {
 	const descriptors = 64
 	down := freeAddress(t)
@@ -206,9 +207,9 @@
 		p.server.Await(t, isup.SetUp).Answer("there")
 		c.Await(t, isup.Answer, id)
 	}
-	time.Sleep(300 * time.Millisecond) // a connection makes room when it was quiet for 250 ms
+	time.Sleep(300 * time.Millisecond) // a connection may be closed for others once it was idle for 250 ms
 	serve(1)
-	p.server.Die() // its connection is to come up again
+	p.server.Die() // its connection must be established again
 	p.server = standin.NewServer(t, p.server.Addr)
 	require.Eventually(t, func() bool { return len(p.server.Conns()) > 0 }, standin.Patience, time.Millisecond)
 	serve(2)
@@ -217,7 +218,7 @@
 	defer ln.Close()
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience))
 	conn, err := ln.Accept()
-	require.NoError(t, err, "discovery is asked again")
+	require.NoError(t, err, "the bulletin is asked again")
 	conn.Close()
 	assert.False(t, strings.Contains(p.Log(), "too many open files"))
 	for _, c := range idle {
--- a/internal/daemon/promisecmd.go
+++ b/internal/daemon/promisecmd.go
@@ -184,8 +184,8 @@
 }
 
 // run prints the membership changes that replace lost agents, and the ring after them. With --apply it also
-// carries them out, each once the one before is committed. A change that is already in effect does nothing, so
-// an interrupted command can be repeated.
+// carries them out, each once the one before is committed. A change that is already in effect does nothing,
+// so an interrupted command can be repeated.
 func (c mendCommand) run(ctx context.Context, out io.Writer) error {
 	conf, err := promisestore.LoadConfig(c.File)
 	if err != nil {
--- a/internal/daemon/promises.go
+++ b/internal/daemon/promises.go
@@ -111,8 +111,8 @@
 // restoreDrainInterval is the interval at which an agent asks for a drain order while no group answers.
 const restoreDrainInterval = 500 * time.Millisecond
 
-// restoreDrain drains this agent if a drain of it was replicated before its start, and records the versions of
-// its configuration. Until a group answers, calls are refused anyway, for lack of a quorum.
+// restoreDrain drains this agent if a drain of it was replicated before its start, and records the versions
+// of its configuration. Until a group answers, calls are refused anyway, for lack of a quorum.
 func (d *Daemon) restoreDrain(ctx context.Context) {
 	for {
 		drained, err := d.promises.keeper.Drained()
@@ -132,7 +132,8 @@
 	}
 }
 
-// recordVersions replicates which versions of the settings, the routes file and the state file this agent uses.
+// recordVersions replicates which versions of the settings, the routes file and the state file this agent
+// uses.
 func (d *Daemon) recordVersions() {
 	d.promises.keeper.RecordDigest("settings", d.cfg.Settings)
 	for kind, path := range map[string]string{"routes": d.cfg.Routes, "plan": d.cfg.State} {
@@ -143,9 +144,9 @@
 }
 
 // recordDrain returns a console handler that replicates a drain order to the groups before apply carries it
-// out here. Unless every group confirms the order, nothing changes here: an order that is not replicated would
-// be undone by the next restart. Some groups may have stored it all the same; the operator repeats the order to
-// settle that.
+// out here. Unless every group confirms the order, nothing changes here: an order that is not replicated
+// would be undone by the next restart. Some groups may have stored it all the same; the operator repeats the
+// order to settle that.
 func (d *Daemon) recordDrain(drain bool, apply func() string) func() string {
 	return func() string {
 		if d.promises == nil {
--- a/internal/daemon/rollout.go
+++ b/internal/daemon/rollout.go
@@ -36,8 +36,8 @@
 	distributed map[string]rollout.Document
 }
 
-// distribution is the agent's part in the distribution of configuration (docs/rollout.md). It checks and applies
-// documents by the same code as the agent's own files at the start and at SIGHUP. It is off unless
+// distribution is the agent's part in the distribution of configuration (docs/rollout.md). It checks and
+// applies documents by the same code as the agent's own files at the start and at SIGHUP. It is off unless
 // WOODROUTER_ROLLOUT names its file.
 type distribution struct {
 	daemon  *Daemon
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -20,7 +20,7 @@
 	"woodrouter/rollout"
 )
 
-// scriptedControl is a scripted one: each watch waits for the test's answer.
+// scriptedControl is a control machine whose answer to each watch is given by the test.
 type scriptedControl struct{ watches chan pendingWatch }
 
 type pendingWatch struct {
@@ -35,7 +35,8 @@
 	return nil
 }
 
-// newScriptedControl serves one, and words the agent's file that names it.
+// newScriptedControl starts a scripted control machine and writes the agent's rollout file that names it. It
+// returns the paths of the file and of the agent's data directory.
 func newScriptedControl(t *testing.T) (m scriptedControl, file, data string) {
 	m.watches = make(chan pendingWatch, 64)
 	server := rpc.NewServer()
@@ -56,7 +57,7 @@
 	case w := <-m.watches:
 		return w
 	case <-time.After(standin.Patience):
-		t.Fatal("the control machine is not asked")
+		t.Fatal("the control machine got no watch")
 	}
 	panic("unreached")
 }
@@ -71,10 +72,10 @@
 		"routes:\n  - {name: all, match: {class: voice}, servers: [%d]}\n", pool)
 }
 
-// TestDistributedConfig: a revision takes effect between two calls, and the one that is open keeps its
-// route and its answer. It goes before the agent's own file, which SIGHUP checks and does not take
-// meanwhile; a text that the loader refuses is told back with line and field; with control gone a
-// restart serves by what was acknowledged; once the document is removed the own file holds.
+// TestDistributedConfig checks that a distributed revision takes effect for the next call while an open call
+// keeps its route. It has precedence over the agent's own file, which SIGHUP then only checks. A text that
+// the loader refuses is reported with its line and field. A restart without an answer from control uses the
+// last acknowledged revision. Once the document is removed, the agent's own file is in force.
 func TestDistributedConfig(t *testing.T) {
 	servers := []*standin.Server{standin.NewServer(t, ""), standin.NewServer(t, "")}
 	cfg := testConfig(t, standin.NewBulletin(t, standin.Endpoint("s0", servers[0].Addr, 0, "up"), standin.Endpoint("s1", servers[1].Addr, 1, "up")))
@@ -117,7 +118,7 @@
 	w = m.next(t)
 	require.Len(t, w.Report.Refused, 2)
 	assert.Contains(t, w.Report.Refused[0].Why, "started without WOODROUTER_FAILOVER")
-	goesTo(1, "the former stays")
+	goesTo(1, "the former revision stays in force")
 	d.Reload()
 	goesTo(1, "SIGHUP")
 	assert.EqualValues(t, 1, d.reloads.applied.Load())
@@ -127,27 +128,27 @@
 	assert.Contains(t, askConsole(d.cfg.Console, "STATS"), "svc.rollout_revision.routes:3|g")
 	require.NoError(t, os.WriteFile(cfg.Routes, []byte("version: 2\n"), 0o600))
 	d.Reload()
-	assert.EqualValues(t, 1, d.reloads.refused.Load(), "checked all the same")
+	assert.EqualValues(t, 1, d.reloads.refused.Load(), "the own file is still checked")
 	require.NoError(t, os.WriteFile(cfg.Routes, []byte(routesText(0)), 0o600))
 
 	stop()
 	require.NoError(t, <-done)
 	cfg.Callers = fds[1]
 	again, _, _ := startDaemon(t, cfg)
-	goesTo(1, "a restart, before any machine has answered")
+	goesTo(1, "after a restart, before any machine has answered")
 	for former := w.Report.Life; w.Report.Life == former; {
 		w = m.next(t)
 	}
-	assert.EqualValues(t, 3, w.Report.Seen["routes@all"], "never below")
+	assert.EqualValues(t, 3, w.Report.Seen["routes@all"], "the revision never decreases")
 	w.reply <- documentReply(kindRoutes, 9, "")
 	w = m.next(t)
 	assert.Zero(t, w.Report.InForce[kindRoutes])
-	goesTo(0, "removed: the own file")
+	goesTo(0, "removed: the own file is in force")
 	calls, failed := again.distribution.Calls()
 	assert.Equal(t, [2]uint64{2, 0}, [2]uint64{calls, failed})
 }
 
-// TestRolloutFileRefusedAtStart: a file that names no control machines as it should stops the program.
+// TestRolloutFileRefusedAtStart checks that a rollout file with an invalid address ends the program.
 func TestRolloutFileRefusedAtStart(t *testing.T) {
 	cfg := testConfig(t, standin.NewBulletin(t))
 	cfg.Rollout = filepath.Join(t.TempDir(), "rollout.yaml")
@@ -156,7 +157,7 @@
 	assert.ErrorContains(t, err, "rollout.yaml: field machines[0].client")
 }
 
-// TestSpreadConfig: the steward at an agent knows the senders that the module knows, else it would
+// TestSpreadConfig checks that the steward at an agent has the policy's number of senders. Otherwise it would
 // grant rights to a cold server as if all were lent.
 func TestSpreadConfig(t *testing.T) {
 	file, err := spreader.LoadConfig("../../deploy/spread-control.yaml")
--- a/internal/daemon/routes.go
+++ b/internal/daemon/routes.go
@@ -21,9 +21,9 @@
 	return parseRoutes(path, text, cfg)
 }
 
-// parseRoutes parses a text of per-route limits, checks it against the configuration's settings, and returns a
-// router for the core and the number of routes. If any rule is broken, the error names every refusal, and no
-// part of the text is used. name is the file's name in messages.
+// parseRoutes parses a text of per-route limits, checks it against the configuration's settings, and returns
+// a router for the core and the number of routes. If any rule is broken, the error names every refusal, and
+// no part of the text is used. name is the file's name in messages.
 func parseRoutes(name string, text []byte, cfg Config) (agent.Router, int, error) {
 	table, err := routefile.Parse(name, text)
 	if err != nil {
@@ -61,10 +61,10 @@
 	})
 }
 
-// knownPools returns each pool's state by a configuration's list of setup servers: up if any of its servers is.
-// It is nil for an empty list, so that no file is refused because the list is missing. Only the operators'
-// commands check a file against it: the list changes while a daemon runs, and a pool that is draining when the
-// daemon starts does not make the file wrong.
+// knownPools returns each pool's state by a configuration's list of setup servers: up if any of its servers
+// is. It is nil for an empty list, so that no file is refused because the list is missing. Only the
+// operators' commands check a file against it: the list changes while a daemon runs, and a pool that is
+// draining when the daemon starts does not make the file wrong.
 func knownPools(known bulletin.Batch) map[int]string {
 	byName := map[string]bulletin.Endpoint{}
 	for _, item := range known.Items {
--- a/internal/daemon/unusual_test.go
+++ b/internal/daemon/unusual_test.go
@@ -14,8 +14,8 @@
 	"woodrouter/isup"
 )
 
-// TestUnusualSettings: settings that are odd but lawful start, and a call is served by them over
-// loopback, one server listed.
+// TestUnusualSettings checks that the daemon starts with unusual but valid settings and serves a call over
+// loopback, with one server listed.
 func TestUnusualSettings(t *testing.T) {
 	type object = map[string]any
 	for name, change := range map[string]func(s object){
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestRetryAfter: what the agent tells of its own when it can't take a call is what the settings have
-// callers heed, and nothing where they heed none.
+// TestRetryAfter checks that the Retry-After of a call that the agent can't accept is bounded by the
+// settings' maxRetryAfter, and is zero if the settings have no Retry-After.
 func TestRetryAfter(t *testing.T) {
 	for _, tc := range []struct {
 		limits string
