--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,6 +1,6 @@
-// Package console is the operators' door: a connection brings one line, with some orders a
-// text after it, and gets one answer. What a call does stands with whoever registers it; nothing here waits for an
-// actor, so the door answers while callers keep those busy.
+// Package console is the operators' interface: a client sends one line, for some commands followed by a text,
+// and gets one answer. Handlers are registered by the package's users. Nothing here waits for an actor, so
+// the console answers even while callers keep all actors busy.
 package console
 
 import (
@@ -16,50 +16,50 @@
 	"time"
 )
 
-// The first words of an answer, and the line after the last figure.
+// The words that begin an answer, and the line that ends a long answer or a command's text.
 const (
 	Success = "SUCCESS"
 	Failure = "FAILURE"
 	End     = "EOT"
 )
 
-// The bounds of a connection. Most connections of people who said nothing yet make room,
-// the oldest first; descriptors are the callers'.
+// Limits of connections.
 const (
 	maxLineBytes = 512
+	// maxWaiting limits the connections without a complete request. Above it the oldest is closed, because
+	// the callers need the descriptors.
 	maxWaiting   = 16
 	lineTimeout  = 5 * time.Second
 	bodyTimeout  = 10 * time.Second
 	writeTimeout = time.Second
 
-	// MaxBodyBytes bounds the bytes of an order's text.
+	// MaxBodyBytes limits the length of a command's text.
 	MaxBodyBytes = 256 << 10
 )
 
-// Command is a call that takes words after its name.
+// Command is a request with words after its name.
 type Command struct {
-	// Usage is what the answer to a wrong line says; its words after the name are Least to
-	// Most in number.
+	// Usage is shown if the number of words after the name is not in MinWords to MaxWords.
 	Usage              string
 	MinWords, MaxWords int
-	// TakesBody has lines follow, up to one that is EOT alone: the order's text.
+	// TakesBody means that lines of text follow, up to a line that holds only EOT.
 	TakesBody bool
-	Run       func(words []string, body []byte) string
+	Run       func(words []string, body []byte) string // returns the answer, without the final line break
 }
 
-// Console answers the calls that are registered, by their names.
+// Console answers requests by the registered handlers and commands.
 type Console struct {
-	Handlers map[string]func() string // an answer, without the end of its last line
-	Commands map[string]Command       // by name, of one word or two; the longer name goes first
+	Handlers map[string]func() string // by name; each returns the answer, without the final line break
+	Commands map[string]Command       // by name of one or two words; a name of two words has precedence
 	Log      *slog.Logger
 
 	mu          sync.Mutex
-	waiting     []net.Conn // that have said no whole line yet, oldest first
+	waiting     []net.Conn // connections without a complete request, oldest first
 	closed      bool
 	connections sync.WaitGroup
 }
 
-// Serve accepts operators until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (c *Console) Serve(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Close ends the connections there are.
+// Close closes the connections that have no complete request yet, and waits for the others' answers.
 func (c *Console) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -101,7 +101,7 @@
 	c.connections.Go(func() { c.serveConn(conn) })
 }
 
-// stopWaiting takes a connection out of those that make room.
+// stopWaiting removes a connection from those that may be closed to make room.
 func (c *Console) stopWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,11 +113,11 @@
 	}
 }
 
-// serveConn answers one connection. A panic stops here.
+// serveConn answers one connection. It recovers from a handler's panic, which ends only this connection.
 func (c *Console) serveConn(conn net.Conn) {
 	defer func() {
 		if r := recover(); r != nil {
-			c.Log.Error("panic at the console", "reason", r, "stack", string(debug.Stack()))
+			c.Log.Error("console: panic in a handler", "reason", r, "stack", string(debug.Stack()))
 		}
 		c.stopWaiting(conn)
 		conn.Close()
@@ -140,7 +140,7 @@
 	if req.hasBody && err != nil {
 		answer = fmt.Sprintf("%s %v; nothing changed", Failure, err)
 	} else {
-		answer = req.run(body) // an order that is kept by further agents takes its time
+		answer = req.run(body) // may take long, as when an order is replicated
 	}
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := fmt.Fprintf(conn, "%s\n", answer); err != nil {
@@ -148,13 +148,13 @@
 	}
 }
 
-// request is what a line asks for.
+// request is a parsed request line.
 type request struct {
 	hasBody bool
 	run     func(body []byte) string
 }
 
-// parse reads a line. One that is not whole is no order.
+// parse finds the handler or command of a line. A line that was cut off at maxLineBytes is not a command.
 func (c *Console) parse(line string, complete bool) request {
 	reply := func(answer string) request { return request{run: func([]byte) string { return answer }} }
 	name := strings.ToUpper(strings.TrimSpace(line))
@@ -175,9 +175,9 @@
 	return reply(fmt.Sprintf("%s no call %.40q", Failure, name))
 }
 
-// readBody reads the lines up to one that is EOT alone.
+// readBody reads a command's text up to a line that holds only EOT.
 func readBody(reader *bufio.Reader) (body []byte, err error) {
-	lineStart := 0 // where the last line begins
+	lineStart := 0 // offset of the last line
 	for {
 		part, err := reader.ReadSlice('\n')
 		body = append(body, part...)
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -43,8 +43,8 @@
 	return string(answer)
 }
 
-// TestLines: each line gets one answer and the end of its connection; what is no call gets
-// a failure, and a fault in a call ends its own connection alone.
+// TestLines checks that each line gets one answer, after which the connection is closed, that an unknown
+// request gets a failure, and that a panic in a handler ends only its own connection.
 func TestLines(t *testing.T) {
 	address := startConsole(t)
 	for _, tc := range []struct{ line, answer string }{
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestIncompleteLines: connections that bring no whole line hold nobody else off, and are
-// bounded: the descriptors are the callers'.
+// TestIncompleteLines checks that connections without a complete line do not block other operators, and that
+// their number is limited, so that they do not use up the callers' descriptors.
 func TestIncompleteLines(t *testing.T) {
 	address := startConsole(t)
 	first := dial(t, address)
@@ -72,11 +72,11 @@
 	}
 	assert.Equal(t, "SUCCESS ready\n", ask(t, address, "READY\n"))
 	_, err := first.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, io.EOF, "the oldest has made room")
+	assert.ErrorIs(t, err, io.EOF, "the oldest was closed to make room")
 }
 
-// TestCommandsWithText: an order takes words and, where it says so, a text; both are bounded, and a text
-// that does not come whole changes nothing.
+// TestCommandsWithText checks commands with words and, for some, a text: both are limited in length, and an
+// incomplete text changes nothing.
 func TestCommandsWithText(t *testing.T) {
 	address := startConsole(t)
 	long := strings.Repeat("x", MaxBodyBytes-1) + "\n"
--- a/internal/daemon/connlimits.go
+++ b/internal/daemon/connlimits.go
@@ -26,16 +26,16 @@
 // newConnLimits divides the machine's descriptors. The limits add up to no more than there are, except on the
 // smallest machines.
 func newConnLimits(sockets int, api bool) connLimits {
-	p := connLimits{callers: sockets / callersDivisor}
+	limits := connLimits{callers: sockets / callersDivisor}
 	if api {
-		p.callers, p.api = sockets/callersDivisorWithAPI, sockets/apiDivisor
+		limits.callers, limits.api = sockets/callersDivisorWithAPI, sockets/apiDivisor
 	}
-	p.servers = max(sockets-p.callerTotal()-max(sockets/reservedDivisor, minReserved), sockets/minServersDivisor)
-	p.extraServers = min(sockets/extraServersDivisor, p.servers)
-	return p
+	limits.servers = max(sockets-limits.callerTotal()-max(sockets/reservedDivisor, minReserved), sockets/minServersDivisor)
+	limits.extraServers = min(sockets/extraServersDivisor, limits.servers)
+	return limits
 }
 
 // callerTotal returns how many connections callers may hold, including those that are closing.
-func (p connLimits) callerTotal() int {
-	return p.callers + p.callers/connmgr.ClosingDivisor + p.api + p.api/connmgr.ClosingDivisor
+func (l connLimits) callerTotal() int {
+	return l.callers + l.callers/connmgr.ClosingDivisor + l.api + l.api/connmgr.ClosingDivisor
 }
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -22,7 +22,7 @@
 func newPlacer(cfg Config, file placer.Config, replicated *promises, observations *agent.Observations, log *slog.Logger) (*placer.Placer, error) {
 	var control placer.Control
 	if replicated != nil {
-		control = &controlGroup{p: replicated}
+		control = &controlGroup{promises: replicated}
 	}
 	p, err := placer.New(file, cfg.Name, cmp.Or(file.Zone, cfg.info.MyZone), observations, control, log)
 	if err != nil {
@@ -33,11 +33,11 @@
 
 // controlGroup is the ring's group with the smallest id. Every agent determines the same group, and it does
 // not change when other groups are added or removed.
-type controlGroup struct{ p *promises }
+type controlGroup struct{ promises *promises }
 
 func (c *controlGroup) id() string {
 	id := ""
-	for _, g := range c.p.ring().Groups {
+	for _, g := range c.promises.ring().Groups {
 		if id == "" || g.ID < id {
 			id = g.ID
 		}
@@ -47,28 +47,28 @@
 
 // IsMember returns whether this agent's member, which is in a single group, is in the control group.
 func (c *controlGroup) IsMember() bool {
-	g, _ := c.p.ring().Group(c.id())
-	return slices.ContainsFunc(g.Members, func(m shard.Member) bool { return m.ID == c.p.member() })
+	g, _ := c.promises.ring().Group(c.id())
+	return slices.ContainsFunc(g.Members, func(m shard.Member) bool { return m.ID == c.promises.member() })
 }
 
 // IsLeader returns whether this agent's member leads the control group.
 func (c *controlGroup) IsLeader() bool {
-	n := c.p.node.Load()
+	n := c.promises.node.Load()
 	return n != nil && n.Leading() && c.IsMember()
 }
 
 func (c *controlGroup) Plan(ctx context.Context, least uint64) (uint64, []byte, error) {
-	r, err := c.p.keeper.Group(c.id()).Plan(ctx, least)
+	r, err := c.promises.keeper.Group(c.id()).Plan(ctx, least)
 	return r.Epoch, r.Plan, err
 }
 
 func (c *controlGroup) LeaderPlan(ctx context.Context) (uint64, []byte, error) {
-	r, err := c.p.keeper.Group(c.id()).LeaderPlan(ctx)
+	r, err := c.promises.keeper.Group(c.id()).LeaderPlan(ctx)
 	return r.Epoch, r.Plan, err
 }
 
 func (c *controlGroup) Propose(ctx context.Context, epoch uint64, plan []byte) (bool, error) {
-	r, err := c.p.keeper.Group(c.id()).Propose(ctx, promise.Entry{Op: promise.OpPlan, Epoch: epoch, Plan: json.RawMessage(plan)})
+	r, err := c.promises.keeper.Group(c.id()).Propose(ctx, promise.Entry{Op: promise.OpPlan, Epoch: epoch, Plan: json.RawMessage(plan)})
 	return r.First, err
 }
 
@@ -109,8 +109,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "epoch %d by %s\n", plan.Epoch, cmp.Or(plan.By, "nobody"))
 	for _, z := range slices.Sorted(maps.Keys(plan.Zones)) {
-		share := plan.Zones[z]
-		fmt.Fprintf(&b, "zone %s: %s shares %v caps %v lost %v\n", z, share.Mode, share.Shares, share.Caps, plan.States[z].Lost)
+		placement := plan.Zones[z]
+		fmt.Fprintf(&b, "zone %s: %s shares %v caps %v lost %v\n", z, placement.Mode, placement.Shares, placement.Caps, plan.States[z].Lost)
 	}
 	for _, t := range plan.Trades {
 		fmt.Fprintf(&b, "traded in %s for %s %s: %g a second\n", t.Zone, t.For, t.Class, t.PerSecond)
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan manages the second front's settings as plan-and-apply files: an operator's
-// file says what is desired, a state file what is applied, and a plan what an apply would
-// change. The daemon reads the state only.
+// Package plan manages the settings of the call-control API in plan-and-apply files: an operator's file has
+// the desired settings, a state file the applied ones, and a plan what an apply would change. The daemon
+// reads only the state.
 package plan
 
 import (
@@ -28,22 +28,22 @@
 	Origins        []string `toml:"origins" json:"origins"`
 	MaxConnections int      `toml:"max_connections" json:"max_connections"`
 	MaxMessage     int      `toml:"max_message_bytes" json:"max_message_bytes"`
-	IdleS          int      `toml:"idle_s" json:"idle_s"`
+	IdleS          int      `toml:"idle_s" json:"idle_s"` // after so many seconds an idle connection is closed
 	Clients        []Client `toml:"client" json:"clients"`
 }
 
-// Client is a client that may connect. Without any, all may.
+// Client is a client that may connect. If no client is listed, all may connect.
 type Client struct {
 	Name        string `toml:"name" json:"name"`
 	TokenSHA256 string `toml:"token_sha256" json:"token_sha256"`
 }
 
-// defaults are what an operator's file need not say.
+// defaults returns the settings that an operator's file may omit.
 func defaults() Front {
 	return Front{Path: "/calls", MaxConnections: 64, MaxMessage: 64 << 10, IdleS: 30}
 }
 
-// Check names the first field that can't be used.
+// Check returns an error that names the first invalid field.
 func (f Front) Check() error {
 	bad := func(field, format string, args ...any) error {
 		return fmt.Errorf("field %s: %s", field, fmt.Sprintf(format, args...))
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// ReadDesired reads an operator's file. A field that nobody knows is an error: it is
-// likelier misspelt than meant for a later version.
+// ReadDesired reads an operator's file. An unknown field is an error, because it is more likely misspelt than
+// meant for a later version.
 func ReadDesired(path string) (Front, error) {
 	f := defaults()
 	meta, err := toml.DecodeFile(path, &f)
@@ -98,19 +98,19 @@
 	return f, nil
 }
 
-// State is what is applied. Serial counts the applies.
+// State has the applied settings.
 type State struct {
 	Version int    `json:"version"`
-	Serial  int64  `json:"serial"`
+	Serial  int64  `json:"serial"` // number of applies
 	Front   *Front `json:"websocket"`
 
-	sum string // of the file's text; "" where there is none
+	sum string // SHA-256 of the file's text in hex; "" if there is no file
 }
 
 const formatVersion = 1
 
-// ReadState reads a state file. One that does not exist is the state before all applies:
-// the front is off.
+// ReadState reads a state file. If it does not exist, the result is the state before the first apply, in
+// which the API is off.
 func ReadState(path string) (State, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -136,16 +136,16 @@
 	return s, nil
 }
 
-// Plan is a change that an operator may look at and then apply.
+// Plan is a change of the state that an operator can review and then apply.
 type Plan struct {
 	Version int      `json:"version"`
-	State   string   `json:"state"`    // the state file it is for
-	BaseSum string   `json:"base_sum"` // of the state it starts from
+	State   string   `json:"state"`    // path of the state file to change
+	BaseSum string   `json:"base_sum"` // State.sum of the state that the plan was made from
 	Desired Front    `json:"desired"`
-	Changes []string `json:"changes"`
+	Changes []string `json:"changes"` // as shown to the operator
 }
 
-// Make compares what is desired with what is applied.
+// Make compares the desired settings with the applied ones.
 func Make(statePath string, desired Front) (Plan, error) {
 	s, err := ReadState(statePath)
 	if err != nil {
@@ -157,7 +157,7 @@
 	return Plan{formatVersion, statePath, s.sum, desired, diff(s.Front, &desired)}, nil
 }
 
-// diff words the fields that differ: + added, ~ changed.
+// diff describes the fields that differ: + added, ~ changed.
 func diff(old, desired *Front) []string {
 	var changes []string
 	value := reflect.ValueOf(*desired)
@@ -168,7 +168,7 @@
 			continue
 		}
 		former := reflect.ValueOf(*old).Field(i)
-		if a, b := jsonText(former), jsonText(v); a != b { // in full: what is shown of a sum may be alike
+		if a, b := jsonText(former), jsonText(v); a != b { // compared in full, as only the beginning of a token's sum is shown
 			changes = append(changes, fmt.Sprintf("~ %s = %s -> %s", name, displayText(former), displayText(v)))
 		}
 	}
@@ -183,7 +183,7 @@
 	return string(b)
 }
 
-// displayText words a value; clients by their names and the beginnings of their sums.
+// displayText describes a value; clients by their names and the first digits of their tokens' sums.
 func displayText(v reflect.Value) string {
 	clients, ok := v.Interface().([]Client)
 	if !ok {
@@ -197,10 +197,10 @@
 	return "[" + strings.Join(words, " ") + "]"
 }
 
-// Write saves a plan.
+// Write writes a plan to a file.
 func (p Plan) Write(path string) error { return writeFile(path, p) }
 
-// Read loads a plan.
+// Read reads a plan from a file.
 func Read(path string) (Plan, error) {
 	var p Plan
 	text, err := os.ReadFile(path)
@@ -219,11 +219,11 @@
 	return p, nil
 }
 
-// ErrStale tells that the state has changed since the plan was made.
+// ErrStale means that the state has changed since the plan was made.
 var ErrStale = errors.New("the plan is stale: the state has changed since; plan again")
 
-// Apply makes the plan's state the applied one, or changes nothing. Applies at the same
-// time take turns, so that of two plans from one state the second is stale.
+// Apply writes the desired settings to the state file, or changes nothing. A lock file serializes concurrent
+// applies, so that of two plans made from the same state the second is stale.
 func (p Plan) Apply() error {
 	lock, err := os.OpenFile(p.State+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -243,7 +243,7 @@
 	return writeFile(p.State, State{Version: formatVersion, Serial: s.Serial + 1, Front: &p.Desired})
 }
 
-// writeFile writes a file whole or not at all: a reader sees the old text or the new.
+// writeFile replaces a file atomically: a reader sees either the old text or the new.
 func writeFile(path string, v any) (err error) {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
@@ -259,7 +259,7 @@
 		}
 	}()
 	_, err = f.Write(append(text, '\n'))
-	// The daemon may run as another user of the operator's group; nobody else reads tokens' sums.
+	// The daemon may run as another user in the operator's group. Nobody else may read the tokens' sums.
 	err = errors.Join(err, f.Chmod(0o640), f.Sync(), f.Close())
 	if err != nil {
 		return err
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -48,11 +48,11 @@
 		})
 	}
 	_, err := ReadDesired(filepath.Join("..", "..", "deploy", "websocket.toml"))
-	require.NoError(t, err, "the file that operators start from")
+	require.NoError(t, err, "the example file for operators")
 }
 
-// TestPlanAndApply goes through the life of a state: none, applied, changed, and a plan
-// that another apply has made stale.
+// TestPlanAndApply checks a state through its changes: none, applied, changed, and a plan made stale by
+// another apply.
 func TestPlanAndApply(t *testing.T) {
 	dir := t.TempDir()
 	state, file := filepath.Join(dir, "state.json"), filepath.Join(dir, "api.plan")
@@ -68,13 +68,13 @@
 	}
 	s, err := ReadState(state)
 	require.NoError(t, err)
-	require.Nil(t, s.Front, "no state: off")
+	require.Nil(t, s.Front, "without a state file the API is off")
 
 	first, second := planned(on), planned(on+"idle_s = 5")
 	assert.Contains(t, first.Changes, "+ enabled = true")
 	require.NoError(t, first.Apply())
 	require.ErrorIs(t, second.Apply(), ErrStale)
-	require.ErrorIs(t, first.Apply(), ErrStale, "an apply is not repeated")
+	require.ErrorIs(t, first.Apply(), ErrStale, "a plan can't be applied twice")
 	s, err = ReadState(state)
 	require.NoError(t, err)
 	assert.True(t, s.Front.Enabled)
@@ -86,7 +86,7 @@
 	require.NoError(t, p.Apply())
 	other := strings.Repeat("ab", 31) + "cd"
 	assert.Len(t, planned(on+"idle_s = 5\n[[client]]\nname = \"a\"\ntoken_sha256 = \""+other+"\"").Changes, 1,
-		"sums that begin alike differ")
+		"token sums with the same beginning differ")
 	left, err := filepath.Glob(filepath.Join(dir, "*.*.*"))
 	require.NoError(t, err)
 	assert.Equal(t, []string{state + ".lock"}, left, "no temporary file is left")
