--- a/internal/routefile/fuzz_test.go
+++ b/internal/routefile/fuzz_test.go
@@ -8,9 +8,9 @@
 	"woodrouter/internal/routes"
 )
 
-// FuzzParse: the loader never panics, and no table it reads is found lawful unless each
-// route's limits keep the rules, recomputed here apart from the checker. A time-out of
-// `deadline` is the module's own give-up, which ends within the usable deadline.
+// FuzzParse checks that the loader never panics, and that a table passes the check only if each route's
+// limits keep the rules, which are computed here independently. The time-out `deadline` always keeps them,
+// because the policy then ends the attempt within the usable deadline.
 func FuzzParse(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	for _, name := range files {
--- a/internal/routefile/routefile.go
+++ b/internal/routefile/routefile.go
@@ -1,7 +1,6 @@
-// Package routefile reads the operators' file of per-route Limits, YAML as in
-// deploy/routes.yaml, into a routes.Table. Unknown keys, wrong types, duplicate keys and
-// duplicate route names are refused with file, line, column and field; whether the values
-// are lawful is package routes' to prove.
+// Package routefile reads the operators' file of per-route limits, a YAML file like deploy/routes.yaml, into
+// a routes.Table. Unknown keys, wrong types, duplicate keys and duplicate route names are refused with file,
+// line, column and field. Package routes checks the values.
 package routefile
 
 import (
@@ -20,10 +19,10 @@
 	"woodrouter/internal/yamlfile"
 )
 
-// Version is the form of the file this package reads.
+// Version is the version of the file format that this package reads.
 const Version = 1
 
-// MaxSize bounds a file: ten thousand routes fit in a fraction of it.
+// MaxSize limits the size of a file in bytes. Ten thousand routes take only a fraction of it.
 const MaxSize = 8 << 20
 
 type file struct {
@@ -32,12 +31,13 @@
 	Routes   []route `yaml:"routes"`
 }
 
+// Limits are routes.Limits as written in the file.
 type Limits struct {
-	AttemptTimeout string  `yaml:"attempt_timeout"` // a Go duration, as 1500ms, or "deadline"; read after, to name the field
+	AttemptTimeout string  `yaml:"attempt_timeout"` // a Go duration such as 1500ms, or "deadline"; parsed later, so that an error names the field
 	Attempts       int     `yaml:"attempts"`
 	RetrySpacing   string  `yaml:"retry_spacing"`
 	DeadlineShare  float64 `yaml:"deadline_share"`
-	Servers        *[]int  `yaml:"servers"` // nil: not given; empty: given and empty
+	Servers        *[]int  `yaml:"servers"` // nil: not given
 	Hedge          bool    `yaml:"hedge"`
 	RetryOnTimeout bool    `yaml:"retry_on_timeout"`
 }
@@ -54,7 +54,7 @@
 	Prefix string `yaml:"prefix"`
 }
 
-// Error is a file that can't be read as routes: where, and what.
+// Error is an error at a place of a file. Line is 0 if the place is not known.
 type Error struct {
 	File         string
 	Line, Column int
@@ -77,7 +77,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads a file's text; name is only for messages.
+// Parse parses the text of a file; name is the file's name in messages.
 func Parse(name string, data []byte) (*routes.Table, error) {
 	if len(data) > MaxSize {
 		return nil, &Error{File: name, Msg: fmt.Sprintf("%d bytes, more than %d", len(data), MaxSize)}
@@ -138,7 +138,7 @@
 	return out, nil
 }
 
-// lineOf is the first line that begins with text; 0: none.
+// lineOf returns the number of the first line that begins with text; 0 if there is none.
 func lineOf(data []byte, text string) int {
 	for i, line := range strings.Split(string(data), "\n") {
 		if strings.HasPrefix(line, text) {
@@ -148,8 +148,8 @@
 	return 0
 }
 
-// keyAt is the key of the value at a column of a YAML line, as in "    attempts: three" or
-// "{name: a, attempts: three}", or else the line's only key; "" where there is none.
+// keyAt returns the key of the value at a column of a YAML line, as in "    attempts: three" or
+// "{name: a, attempts: three}", or else the line's only key; "" if there is none.
 func keyAt(data []byte, line, column int) string {
 	lines := strings.Split(string(data), "\n")
 	if line < 1 || line > len(lines) {
@@ -167,7 +167,7 @@
 	return key
 }
 
-// withPosition turns the library's error into one with file, line and column.
+// withPosition turns an error of the YAML library into one with file, line and column.
 func withPosition(name string, data []byte, err error) error {
 	var y yaml.Error
 	if errors.As(err, &y) && y.GetToken() != nil {
@@ -181,8 +181,8 @@
 	return &Error{File: name, Msg: err.Error()}
 }
 
-// routeLines finds the line on which each route begins; 0 where it can't be told. It walks
-// the tree once: a path query for each route would cost the square of their number.
+// routeLines returns the first line of each of n routes; 0 if it is not known. It walks the syntax tree once:
+// a path query per route would take quadratic time.
 func routeLines(data []byte, n int) []int {
 	lines := make([]int, n)
 	tree, err := parser.ParseBytes(data, 0)
@@ -207,10 +207,10 @@
 	return lines
 }
 
-// Rules draws the standing rules from the settings object: classes with their deadlines and
-// pools, tenants, the wait after a bad end, the answer's slack, the most attempts and whether
-// attempts may be called off. Second copies are never allowed (the protocol loses a request
-// on a second answer). servers is the list's pools and states, or nil where it is not known.
+// Rules takes the rules for routes from the settings: classes with their deadlines and pools, tenants, the
+// wait after a failed attempt, the answer's slack, the most attempts and whether attempts may be given up.
+// Second copies are never allowed, because the protocol loses a request on a second answer. servers has the
+// listed pools and their states; nil if the list is not known.
 func Rules(in settings.Info, servers map[int]string) routes.Rules {
 	r := routes.Rules{Classes: map[string]routes.ClassRule{}, ClearWait: settings.Micros(in.Domain.ClearWait),
 		AnswerSlack: settings.Micros(in.Guarantees.AnswerSlack), MaxAttempts: in.Limits.MaxAttempts,
--- a/internal/routefile/routefile_test.go
+++ b/internal/routefile/routefile_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// corpusRules are the site's rules as the corpus assumes them.
+// corpusRules are the rules that the files of testdata are checked against.
 var corpusRules = routes.Rules{
 	Classes: map[string]routes.ClassRule{
 		"private-lesson": {Deadline: 9 * time.Second, Pools: []int{0, 1, 2}},
@@ -24,8 +24,9 @@
 	Servers: map[int]string{0: "up", 1: "up", 2: "draining", 3: "removed", 4: "up"},
 }
 
-// TestCorpus: every file of testdata says on its first line what it must give: "lawful", the
-// rules it breaks, or a parse error with a word it names. Each refusal names file and line.
+// TestCorpus checks every file of testdata. Its first line has the expected result: "lawful", the rules it
+// breaks, or "parse" and a word that the parse error must contain. Each refusal must begin with the file's
+// name.
 func TestCorpus(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.yaml")
 	if len(files) < 30 {
@@ -70,7 +71,7 @@
 	}
 }
 
-// TestLines: a route's refusal names the line on which it begins.
+// TestLines checks that each route has the number of its first line.
 func TestLines(t *testing.T) {
 	table, err := Load("testdata/lawful-full.yaml")
 	if err != nil {
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -8,60 +8,57 @@
 	"time"
 )
 
-// Rules are the standing rules a table is checked against, from the settings and the
-// protocol page: the caller's deadline and the answer's slack by class, the wait after a bad
-// end (ClearWait, 300 ms on this platform), the most attempts of one call, and whether calling
-// an attempt off and second copies are allowed at all.
+// Rules are what a table is checked against. They come from the settings and the protocol.
 type Rules struct {
 	Classes      map[string]ClassRule
-	Tenants      []string // names the settings know; nil: calls have no tenant
-	ClearWait    time.Duration
-	AnswerSlack  time.Duration // taken off every deadline: the answer must reach the caller
-	MaxAttempts  int
-	Cancel       bool           // an attempt may be given up in writing
-	SecondCopies bool           // a second copy of a set-up may be out
-	Servers      map[int]string // pool -> state ("up", "draining", "removed"); nil: not known at load
+	Tenants      []string       // the settings' tenants; nil: calls have no tenant
+	ClearWait    time.Duration  // wait after a failed attempt before the next; 300 ms on this platform
+	AnswerSlack  time.Duration  // subtracted from every deadline, for the answer to reach the caller
+	MaxAttempts  int            // attempts of one call
+	Cancel       bool           // an attempt may be given up by a release message
+	SecondCopies bool           // a call may have two attempts out at the same time
+	Servers      map[int]string // state of each pool ("up", "draining", "removed"); nil: not known
 }
 
-// ClassRule is what the settings say of one class.
+// ClassRule has the settings of one class.
 type ClassRule struct {
-	Deadline time.Duration // the caller's patience over all tries
-	Pools    []int         // pools the class may go to; nil: any
+	Deadline time.Duration // time the caller waits, over all attempts
+	Pools    []int         // pools that calls of the class may go to; nil: any
 }
 
-// Refusal is one reason a table is not lawful. String gives it as one line:
-// file:line: route "name": what, the values, and the rule.
+// Refusal is one reason why a table is invalid.
 type Refusal struct {
 	File  string
 	Line  int
 	Route string
-	Rule  string // a short name of the rule, stable for tests and operators' pages
-	What  string
+	Rule  string // one of the Rule constants, a stable name for tests and the operators' documentation
+	What  string // description with the values
 }
 
+// String returns the refusal in one line: file:line: route "name": description [rule name].
 func (r Refusal) String() string {
 	return fmt.Sprintf("%s:%d: route %q: %s [rule %s]", r.File, r.Line, r.Route, r.What, r.Rule)
 }
 
-// The names of the rules a refusal can cite; docs/routes.md explains each.
+// The names of the rules; docs/routes.md explains each.
 const (
-	RuleAttempts    = "attempts"     // 1 <= attempts <= the settings' most
-	RuleSpacing     = "spacing"      // no resend sooner than ClearWait after a give-up
-	RuleTimeout     = "timeout"      // an attempt has a time-out, within the usable deadline
+	RuleAttempts    = "attempts"     // 1 <= attempts <= Rules.MaxAttempts
+	RuleSpacing     = "spacing"      // no further attempt sooner than ClearWait after one was given up
+	RuleTimeout     = "timeout"      // an attempt needs a time-out within the usable deadline
 	RuleShare       = "share"        // deadline share in (0, 1]
 	RuleSpan        = "span"         // all attempts together end before the caller gives up
-	RuleSecondCopy  = "second-copy"  // no second copy where the settings forbid one
-	RuleClass       = "class"        // class and tenant are ones the settings name
-	RulePrefix      = "prefix"       // hex digits, at most 16
-	RuleServers     = "servers"      // pools the class may use and the list knows
-	RuleDrained     = "drained"      // a route with servers of which none is up
-	RuleDuplicate   = "duplicate"    // two routes with one match
-	RuleOverlap     = "overlap"      // two routes, neither within the other, that give one call two limits
-	RuleWiderParent = "wider-parent" // a route that allows more than the route it lies within
+	RuleSecondCopy  = "second-copy"  // no second copy unless the settings allow it
+	RuleClass       = "class"        // class and tenant must be in the settings
+	RulePrefix      = "prefix"       // at most 16 lower-case hex digits
+	RuleServers     = "servers"      // pools must be allowed for the class and be on the list
+	RuleDrained     = "drained"      // at least one of a route's pools must be up
+	RuleDuplicate   = "duplicate"    // two routes with the same match
+	RuleOverlap     = "overlap"      // two routes with common calls and other limits, neither of which contains the other
+	RuleWiderParent = "wider-parent" // a route that allows more than its parent
 )
 
-// Check proves every route of a table against the rules and returns all refusals, in the
-// order of the file. A table is lawful when it returns none.
+// Check checks every route of a table against the rules and returns all refusals, in the order of the file.
+// The table is valid if there are none.
 func Check(t *Table, r Rules) []Refusal {
 	var out []Refusal
 	refuse := func(i int, rule, format string, args ...any) {
@@ -71,7 +68,7 @@
 		}
 		out = append(out, Refusal{t.File, line, name, rule, fmt.Sprintf(format, args...)})
 	}
-	for _, class := range names(r.Classes) { // the defaults are the route of every call no route takes
+	for _, class := range names(r.Classes) { // the defaults apply to calls that match no route
 		checkLimits(t.Defaults, class, r, func(rule, f string, a ...any) { refuse(-1, rule, f, a...) })
 	}
 	parents, effective := t.resolve()
@@ -86,7 +83,7 @@
 	slices.SortStableFunc(out, func(a, b Refusal) int {
 		return cmp.Or(a.Line-b.Line, strings.Compare(a.Rule, b.Rule), strings.Compare(a.What, b.What))
 	})
-	return slices.Compact(out) // a route of every class is refused once for what all share
+	return slices.Compact(out) // a route for all classes may have got the same refusal for each
 }
 
 type refuser func(rule, format string, args ...any)
@@ -108,7 +105,7 @@
 	}
 }
 
-// classesOf is the classes a match can take: one, or all of the settings.
+// classesOf returns the classes of calls that a match can take: one, or all in the settings.
 func classesOf(m Match, r Rules) []string {
 	if m.Class != "" {
 		if _, ok := r.Classes[m.Class]; ok {
@@ -128,7 +125,7 @@
 	return out
 }
 
-// checkLimits proves one route's effective limits for one class.
+// checkLimits checks one route's effective limits for one class.
 func checkLimits(l Limits, class string, r Rules, refuse refuser) {
 	c := r.Classes[class]
 	if l.Attempts < 1 || r.MaxAttempts > 0 && l.Attempts > r.MaxAttempts {
@@ -146,7 +143,7 @@
 	case l.AttemptTimeout <= 0:
 		refuse(RuleTimeout, "attempt_timeout %v: an attempt needs a time-out", l.AttemptTimeout)
 	case l.AttemptTimeout == UntilDeadline:
-		// no time-out of the route's own: the module gives the call up within the usable deadline
+		// the route has no time-out: the policy gives the call up within the usable deadline
 	case l.AttemptTimeout > usable:
 		refuse(RuleTimeout, "attempt_timeout %v ends after class %s's caller gives up (%v usable of %v)",
 			l.AttemptTimeout, class, usable, c.Deadline)
@@ -189,7 +186,8 @@
 	}
 }
 
-// checkPairs finds duplicates, overlaps with different limits, and routes wider than their parent.
+// checkPairs refuses duplicates, overlaps with different limits, and routes that allow more than their
+// parent.
 func checkPairs(t *Table, parents []int, effective []Limits, refuse func(i int, rule, format string, args ...any)) {
 	index := newMatchIndex(t)
 	for j, route := range t.Routes {
@@ -199,7 +197,7 @@
 			case a.Match == route.Match && i < j:
 				refuse(j, RuleDuplicate, "takes the same calls as route %q (line %d): %v", a.Name, a.Line, a.Match)
 			case a.Match == route.Match, a.Match.Contains(route.Match), route.Match.Contains(a.Match):
-			case len(a.Match.Prefix) == len(route.Match.Prefix) && i > j: // met from both sides
+			case len(a.Match.Prefix) == len(route.Match.Prefix) && i > j: // found from both routes, reported once
 			case a.Match.Overlaps(route.Match) && !effective[i].Equal(effective[j]):
 				first, second := min(i, j), max(i, j)
 				refuse(second, RuleOverlap, "shares calls with route %q (line %d) and gives them other limits: %v and %v",
@@ -214,8 +212,8 @@
 	}
 }
 
-// checkNotWider refuses a route that allows more than its parent: a narrower match may tighten
-// limits, never loosen them, so that a rule proved for the parent holds for all within it.
+// checkNotWider refuses a route that allows more than its parent. A more specific route may tighten limits
+// but not loosen them, so that what was checked for the parent holds for all routes within it.
 func checkNotWider(l, parentLimits Limits, parentName string, refuse refuser) {
 	if l.Attempts > parentLimits.Attempts {
 		refuse(RuleWiderParent, "attempts %d beyond its parent %q's %d", l.Attempts, parentName, parentLimits.Attempts)
--- a/internal/routes/index.go
+++ b/internal/routes/index.go
@@ -1,9 +1,9 @@
 package routes
 
-// Index finds the route of a call: the most specific one that takes it. It keeps a trie of
-// hex digits for each pair of tenant and class (either may be "any"), so that a look-up walks
-// at most four paths of 16 digits, whatever the number of routes. Build it from a table that
-// Check found lawful: overlapping routes then give equal limits, and the first in the file wins.
+// Index finds the route of a call: the most specific one that matches it. It has a trie of hex digits for
+// each pair of tenant and class (either may be "any"), so that a look-up walks at most four paths of 16
+// digits, whatever the number of routes. It must be built from a table that Check found valid: overlapping
+// routes then have equal limits, and the first in the file wins.
 type Index struct {
 	tries  map[[2]string]*node
 	table  *Table
@@ -11,7 +11,7 @@
 }
 
 type node struct {
-	route int // -1: none ends here
+	route int // index of the route whose prefix ends here; -1: none
 	next  [16]*node
 }
 
@@ -56,8 +56,8 @@
 	return -1
 }
 
-// Lookup returns the route that takes a call and its limits; ok is false where no route does,
-// and the call keeps the table's defaults.
+// Lookup returns the route that matches a call, and its limits. If no route does, ok is false and the limits
+// are the table's defaults.
 func (x *Index) Lookup(tenant, class, number string) (route *Route, limits Limits, ok bool) {
 	best, score := -1, -1
 	for _, key := range [4][2]string{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
@@ -84,7 +84,8 @@
 	return &x.table.Routes[best], x.limits[best], true
 }
 
-// ScanLookup is the plain look-up that Index is measured against: every route, in order.
+// ScanLookup finds the index of a call's route by comparing every route in order. It is the reference that
+// Index is tested and measured against.
 func ScanLookup(t *Table, tenant, class, number string) (int, bool) {
 	best, score := -1, -1
 	for i, r := range t.Routes {
--- a/internal/routes/pairs.go
+++ b/internal/routes/pairs.go
@@ -1,12 +1,12 @@
 package routes
 
-// matchIndex finds routes by their exact match, so that the routes that contain a given one, or
-// share calls with it, are found by walking its prefix (at most 17 lengths) in a few buckets
-// of tenant and class instead of comparing every route with every other.
+// matchIndex finds routes by their exact match. The routes that contain a given one, or have calls in common
+// with it, are found by looking up its prefixes (at most 17 lengths) for a few pairs of tenant and class,
+// instead of comparing every route with every other.
 type matchIndex struct {
 	byMatch map[Match][]int
-	tenants []string // every tenant some route names, and ""
-	classes []string
+	tenants []string // all tenants that routes name, and ""
+	classes []string // all classes that routes name, and ""
 }
 
 func newMatchIndex(t *Table) *matchIndex {
@@ -27,7 +27,7 @@
 	return b
 }
 
-// containing calls f for every route whose match contains m, m's own bucket included.
+// containing calls f for every route whose match contains or equals m.
 func (b *matchIndex) containing(m Match, f func(int)) {
 	for _, tenant := range exactOrAny(m.Tenant) {
 		for _, class := range exactOrAny(m.Class) {
@@ -40,9 +40,9 @@
 	}
 }
 
-// related calls f for every route whose prefix is m's or a prefix of it, and whose tenant and
-// class can be those of one of m's calls: each pair of routes that share calls is met once
-// from the side with the longer prefix (from both where the prefixes are equal).
+// related calls f for every route whose prefix is m's or a prefix of it, and whose tenant and class can be
+// those of one of m's calls. Each pair of routes with common calls is thus found once, from the route with
+// the longer prefix; if the prefixes are equal, it is found from both.
 func (b *matchIndex) related(m Match, f func(int)) {
 	for _, tenant := range b.compatible(m.Tenant, b.tenants) {
 		for _, class := range b.compatible(m.Class, b.classes) {
@@ -62,7 +62,7 @@
 	return []string{name, ""}
 }
 
-// compatible is the names a field can meet: any, where it takes any.
+// compatible returns the values of a field that can have calls in common with name: all if name is any.
 func (b *matchIndex) compatible(name string, all []string) []string {
 	if name == "" {
 		return all
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,8 +1,8 @@
-// Package routes holds per-route limits: which calls a route takes (by tenant, class and a
-// prefix of the number called), the limits its calls get (attempt time-out, attempt count,
-// spacing between attempts, share of the caller's deadline, servers), and the proof that each
-// route keeps the standing rules of the protocol. It has no clock and no I/O: a table is data,
-// checked once when it is loaded, and looked up for every call.
+// Package routes implements per-route limits: which calls a route matches (by tenant, class and a prefix of
+// the called number), the limits of its calls (attempt time-out, number of attempts, spacing between
+// attempts, share of the caller's deadline, servers), and the check that each route keeps the rules of the
+// protocol. It has no clock and no I/O: a table is checked once when it is loaded, and looked up for every
+// call.
 package routes
 
 import (
@@ -14,48 +14,48 @@
 	"time"
 )
 
-// Match says which calls a route takes. An empty field takes any value; Prefix is a prefix of
-// the number called, in the hex digits of the protocol (parameter 20), at most 16 of them.
+// Match selects the calls of a route. An empty field matches any value. Prefix is a prefix of the called
+// number, of at most 16 hex digits as in the protocol (parameter 20).
 type Match struct {
 	Tenant string
 	Class  string
 	Prefix string
 }
 
-// UntilDeadline is an AttemptTimeout that gives an attempt no time-out of its own: it ends at
-// the module's give-up, within the usable deadline, as without a routes file. In the file it
-// is written `attempt_timeout: deadline`; a route under such a parent may still give one.
+// UntilDeadline is an AttemptTimeout without a time-out of the route: the policy ends the attempt within the
+// usable deadline, as without a routes file. In the file it is written `attempt_timeout: deadline`. A route
+// with such a parent may still have a time-out.
 const UntilDeadline = time.Duration(math.MaxInt64)
 
-// Limits are what a route gives its calls. A zero field is inherited from the route's parent,
-// and at the top from the table's defaults.
+// Limits are the limits of a route's calls. A zero field is inherited from the route's parent, or from the
+// table's defaults if it has none.
 type Limits struct {
-	AttemptTimeout time.Duration // how long one attempt may be out before it is given up
-	Attempts       int           // most attempts of one call, the first included
-	RetrySpacing   time.Duration // least time from a written give-up or a bad end to the next attempt
-	DeadlineShare  float64       // share of the caller's deadline that all attempts may use, in (0, 1]
-	Servers        []int         // pools a call may go to; nil: those its class allows
-	Hedge          bool          // send a second attempt while the first is out
-	RetryOnTimeout bool          // try again after an attempt that timed out
+	AttemptTimeout time.Duration // after this an attempt is given up
+	Attempts       int           // most attempts of one call, including the first
+	RetrySpacing   time.Duration // least time from the end of a failed or given-up attempt to the next
+	DeadlineShare  float64       // share of the caller's deadline for all attempts together, in (0, 1]
+	Servers        []int         // pools that calls may go to; nil: those allowed for the class
+	Hedge          bool          // sends a second attempt while the first is out
+	RetryOnTimeout bool          // retries after an attempt that timed out
 }
 
 // Route is one entry of an operators' file.
 type Route struct {
 	Name   string
-	Line   int // where it begins in its file; 0: not from a file
+	Line   int // first line in the file; 0: not from a file
 	Match  Match
 	Limits Limits
 }
 
-// Table is an operators' file, read.
+// Table is the content of an operators' file.
 type Table struct {
 	File     string
 	Defaults Limits
 	Routes   []Route
 }
 
-// specificity orders matches: a prefix digit weighs less than a named tenant or class, so
-// that a route for a tenant is more specific than any prefix for all tenants.
+// specificity orders matches. A tenant or class counts more than any prefix, so that a route for one tenant
+// is more specific than a route with a prefix for all tenants.
 func (m Match) specificity() int {
 	n := len(m.Prefix)
 	if m.Tenant != "" {
@@ -67,20 +67,20 @@
 	return n
 }
 
-// Contains tells whether every call that o takes is taken by m.
+// Contains returns whether m matches every call that o matches.
 func (m Match) Contains(o Match) bool {
 	return (m.Tenant == "" || m.Tenant == o.Tenant) && (m.Class == "" || m.Class == o.Class) &&
 		strings.HasPrefix(o.Prefix, m.Prefix)
 }
 
-// Overlaps tells whether some call is taken by both.
+// Overlaps returns whether some call is matched by both.
 func (m Match) Overlaps(o Match) bool {
 	same := func(a, b string) bool { return a == "" || b == "" || a == b }
 	return same(m.Tenant, o.Tenant) && same(m.Class, o.Class) &&
 		(strings.HasPrefix(m.Prefix, o.Prefix) || strings.HasPrefix(o.Prefix, m.Prefix))
 }
 
-// Matches tells whether a call of this tenant and class to this number is taken.
+// Matches returns whether m matches a call of a tenant and class to a number.
 func (m Match) Matches(tenant, class, number string) bool {
 	return (m.Tenant == "" || m.Tenant == tenant) && (m.Class == "" || m.Class == class) &&
 		strings.HasPrefix(number, m.Prefix)
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("tenant=%s class=%s prefix=%s", part(m.Tenant), part(m.Class), part(m.Prefix))
 }
 
-// inheritFrom fills the zero fields of l from its parent p.
+// inheritFrom returns l with its zero fields filled from its parent p.
 func (l Limits) inheritFrom(p Limits) Limits {
 	if l.AttemptTimeout == 0 {
 		l.AttemptTimeout = p.AttemptTimeout
@@ -113,21 +113,21 @@
 	return l
 }
 
-// Equal tells whether two routes give their calls the same limits.
+// Equal returns whether two limits are the same.
 func (l Limits) Equal(o Limits) bool {
 	return l.AttemptTimeout == o.AttemptTimeout && l.Attempts == o.Attempts &&
 		l.RetrySpacing == o.RetrySpacing && l.DeadlineShare == o.DeadlineShare &&
 		slices.Equal(l.Servers, o.Servers) && l.Hedge == o.Hedge && l.RetryOnTimeout == o.RetryOnTimeout
 }
 
-// Span is the longest time a call of these limits can take over all its attempts: each
-// attempt out for its time-out, and the spacing between two.
+// Span returns the longest time that all attempts of a call can take: each attempt's time-out, and the
+// spacing between them.
 func (l Limits) Span() time.Duration {
 	if l.Attempts <= 0 {
 		return 0
 	}
 	if l.AttemptTimeout == UntilDeadline {
-		return UntilDeadline // the module ends the last attempt at the usable deadline
+		return UntilDeadline // the policy ends the last attempt at the usable deadline
 	}
 	return time.Duration(l.Attempts)*l.AttemptTimeout + time.Duration(l.Attempts-1)*l.RetrySpacing
 }
@@ -144,9 +144,8 @@
 	return best
 }
 
-// resolve finds every route's parent once, and its effective limits from the most general
-// down: a route's parent is always less specific, so an order by specificity has each
-// parent before its children.
+// resolve finds every route's parent and effective limits. It goes through the routes by increasing
+// specificity: a parent is always less specific than its children, so it comes before them.
 func (t *Table) resolve() (parents []int, effective []Limits) {
 	n, index := len(t.Routes), newMatchIndex(t)
 	parents, effective = make([]int, n), make([]Limits, n)
@@ -167,8 +166,7 @@
 	return parents, effective
 }
 
-// Effective returns every route's limits with everything it inherits filled in, in the
-// order of the routes.
+// Effective returns every route's limits, including those it inherits, in the order of the routes.
 func (t *Table) Effective() []Limits {
 	_, effective := t.resolve()
 	return effective
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -21,7 +21,7 @@
 
 var lawful = Limits{AttemptTimeout: 1500 * ms, Attempts: 3, RetrySpacing: 300 * ms, DeadlineShare: 1}
 
-// TestCheck: each table is refused for its one stated rule, or lawful ("").
+// TestCheck checks that each table is refused by the rule in want, or by none ("").
 func TestCheck(t *testing.T) {
 	route := func(name string, m Match, l Limits) Route { return Route{Name: name, Line: 1, Match: m, Limits: l} }
 	for _, tc := range []struct {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestLookup: the trie finds what the plain scan finds.
+// TestLookup checks that the index finds the same routes as a scan of all routes.
 func TestLookup(t *testing.T) {
 	table := bigTable(300)
 	x := NewIndex(table)
@@ -87,7 +87,7 @@
 	return t
 }
 
-// BenchmarkLookup: the trie against a scan of every route, at 10,000 routes.
+// BenchmarkLookup compares the index with a scan of every route, at 10,000 routes.
 func BenchmarkLookup(b *testing.B) {
 	table := bigTable(10000)
 	x := NewIndex(table)
@@ -103,7 +103,7 @@
 	})
 }
 
-// BenchmarkCheck: proving a whole file at load, by its number of routes.
+// BenchmarkCheck measures the check of a whole file, by its number of routes.
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		table := bigTable(n)
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestPairsMatchBruteForce: the bucketed search refuses exactly the pairs that comparing every route
-// with every other finds, on tables where many routes share calls.
+// TestPairsMatchBruteForce checks that Check refuses as many pairs as a comparison of every route with every
+// other, on tables where many routes have common calls.
 func TestPairsMatchBruteForce(t *testing.T) {
 	for seed := range 20 {
 		table := bigTable(40 + seed)
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,5 +1,5 @@
-// Package yamlfile reads the operators' YAML files, strictly: a key that is not known, a key
-// given twice or a value of the wrong type is refused with its line and column.
+// Package yamlfile reads the operators' YAML files strictly: an unknown key, a duplicate key or a value of
+// the wrong type is refused with its line and column.
 package yamlfile
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// MaxSize bounds a file: a larger one is no operators' file.
+// MaxSize limits the size of a file in bytes.
 const MaxSize = 4 << 20
 
-// Decode reads a text. The YAML library panics on some malformed text (fuzzing found
-// "routes:\n  ! 0"): a bad text is an error of that text, never the end of the program.
+// Decode decodes a YAML text into v. The YAML library panics on some malformed texts (fuzzing found
+// "routes:\n  ! 0"), which Decode turns into an error.
 func Decode(text []byte, v any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -31,13 +31,13 @@
 	return yaml.UnmarshalWithOptions(text, v, yaml.Strict(), yaml.DisallowUnknownField())
 }
 
-// Bounds of nesting: the library takes memory with its square (250 KB of "[" take over 6 GB).
+// Limits of nesting. The library's memory grows with the square of the depth: 250 KB of "[" take over 6 GB.
 const (
-	maxFlowDepth   = 100  // flow sequences and mappings in one another
-	maxEntryColumn = 1000 // the column of a block sequence's entry, as in "- - - a"
+	maxFlowDepth   = 100  // nested flow sequences and mappings
+	maxEntryColumn = 1000 // column of a block sequence's entry, as in "- - - a"
 )
 
-// checkNesting refuses a text that is nested deeper than any operators' file.
+// checkNesting refuses a text that is nested too deeply.
 func checkNesting(text []byte) error {
 	depth := 0
 	for _, t := range lexer.Tokenize(string(text)) {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Read returns the value that a file holds. An error names the file.
+// Read decodes a file into a value. An error names the file.
 func Read[T any](path string) (v T, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return Parse[T](path, text)
 }
 
-// Parse returns the value that a text holds; name is only for messages.
+// Parse decodes a text into a value; name is the file's name in messages.
 func Parse[T any](name string, text []byte) (v T, err error) {
 	if err := Decode(text, &v); err != nil {
 		return v, fmt.Errorf("%s: %s", name, yaml.FormatError(err, false, true))
@@ -71,10 +71,10 @@
 	return v, nil
 }
 
-// Valid is a value that proves itself: an error names each field that can't be used.
+// Valid is a value with a method that validates it and returns an error that names the invalid fields.
 type Valid interface{ Valid() error }
 
-// Load reads a file's value and proves it. An error names the file.
+// Load decodes a file into a value and validates it. An error names the file.
 func Load[T Valid](path string) (v T, err error) {
 	if v, err = Read[T](path); err != nil {
 		return v, err
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -27,11 +27,11 @@
 		"c: 1\n":         `unknown field "c"`,
 		"a: 1\na: 2\n":   "already defined",
 		"a: x\n":         "[1:4]",
-		"b:\n  ! 0":      "not YAML this program can read", // the library panics on it
+		"b:\n  ! 0":      "not YAML this program can read", // the library panics
 		"a: [":           "v.yaml",
 		"\x00\xff\xfe\n": "v.yaml",
 
-		// The library takes gigabytes for these.
+		// The library would need gigabytes of memory for these.
 		"b: " + strings.Repeat("[", 250_000):                                "[1:104] nested too deep",
 		"b: " + strings.Repeat("{a: ", 60_000):                              "nested too deep",
 		"b:\n  " + strings.Repeat("- ", 125_000):                            "[2:1001] nested too deep",
