--- a/cmd/woodlab/main.go
+++ b/cmd/woodlab/main.go
@@ -1,5 +1,5 @@
-// Command woodlab runs the project's laboratory: long fault schedules and measurements, on
-// loopback, bounded in count and time.
+// Command woodlab runs the project's lab: long fault schedules and measurements over loopback, limited in
+// number and time.
 package main
 
 import (
--- a/cmd/woodrouter/main.go
+++ b/cmd/woodrouter/main.go
@@ -1,4 +1,4 @@
-// Command woodrouter is a call agent on real sockets.
+// Command woodrouter runs a call agent, and has the operators' commands for it.
 package main
 
 import (
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// TestControls: both ends agree on who controls every CIC, and each controls half.
+// TestControls checks that both ends agree on which of them controls a CIC, and that each controls half.
 func TestControls(t *testing.T) {
 	for cic := range uint16(64) {
 		a, b := Controls(cic, 10, 20), Controls(cic, 20, 10)
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestGlare: two ends seize the same circuit at once; one keeps its call, the other backs off
-// and takes the far end's, and its retry avoids that circuit. Repeated glare settles the same.
+// TestGlare makes two ends seize the same circuit at the same time, repeatedly. One must keep its call; the
+// other must accept the far end's call, and its retry must avoid that circuit.
 func TestGlare(t *testing.T) {
 	high, _ := NewGroup(20, 10, []uint16{1, 2})
 	low, _ := NewGroup(10, 20, []uint16{1, 2})
@@ -41,7 +41,7 @@
 		}
 		g := map[bool]*Group{true: high, false: low}[cic%2 == 1]
 		if next, ok := g.Seize(loser.Retry, 0, cic); ok && next == cic {
-			t.Fatalf("round %d: the retry met the glared circuit again", round)
+			t.Fatalf("round %d: the retry seized the same circuit again", round)
 		}
 		for _, c := range []uint16{1, 2} {
 			high.Circuit(c).State, low.Circuit(c).State = Idle, Idle
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestSeizeOrder: each end takes the circuits it controls first, the far end's last.
+// TestSeizeOrder checks that an end first seizes the circuits that it controls, then the far end's.
 func TestSeizeOrder(t *testing.T) {
 	g, _ := NewGroup(20, 10, []uint16{1, 2, 3, 4})
 	var order []uint16
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestAudit: what a crash left busy is reset; a live call or a release within its wait is not.
+// TestAudit checks that circuits left busy by a crash are reset, and those with a live call or with a release
+// within ReleaseWait are not.
 func TestAudit(t *testing.T) {
 	rules := AuditRules{ReleaseWait: 300 * ms, StaleAfter: 500 * ms, MaxResets: 8}
 	for _, tc := range []struct {
@@ -95,7 +96,8 @@
 	}
 }
 
-// TestUnexpectedMessages: a message the state does not allow is an error naming both, and changes nothing.
+// TestUnexpectedMessages checks that a message that the state does not allow returns an error and changes
+// nothing, and that RSC is answered in any state.
 func TestUnexpectedMessages(t *testing.T) {
 	g, _ := NewGroup(20, 10, []uint16{5})
 	if _, err := g.Receive(5, ANM, "", 0); err == nil || g.Circuit(5).State != Idle {
@@ -109,8 +111,9 @@
 	}
 }
 
-// TestGroupMessages: a group reset ends the calls of every CIC it names and is acknowledged;
-// blocking keeps a busy circuit busy but out of new seizures; a CIC outside the group changes nothing.
+// TestGroupMessages checks that a group reset ends the calls of all CICs it names and is acknowledged, that a
+// blocked busy circuit stays busy but is not seized again, and that a message with a CIC outside the group
+// changes nothing.
 func TestGroupMessages(t *testing.T) {
 	g, _ := NewGroup(20, 10, []uint16{1, 2, 3})
 	g.Seize("a", 0)
--- a/internal/circuit/group.go
+++ b/internal/circuit/group.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Group is the circuits of one trunk group at one end, with the two signalling point codes
-// that settle glare.
+// Group has the circuits of one trunk group at one end, and the signalling point codes of both ends, which
+// decide glare.
 type Group struct {
 	Own, Far uint32
 	circuits map[uint16]*Circuit
-	cics     []uint16 // in the order of selection: controlled ones first
+	cics     []uint16 // in the order of selection
 }
 
-// NewGroup makes a group of idle circuits. CICs must be distinct.
+// NewGroup returns a group of idle circuits. The CICs must be distinct.
 func NewGroup(own, far uint32, cics []uint16) (*Group, error) {
 	if own == far {
 		return nil, fmt.Errorf("circuit: both ends have point code %d: glare could not be settled", own)
@@ -27,8 +27,8 @@
 		g.circuits[cic] = &Circuit{CIC: cic}
 		g.cics = append(g.cics, cic)
 	}
-	// Controlled circuits first, from the bottom; the far end's from the top, so that the two
-	// ends meet on one circuit only when few are left (Q.764 2.9.1.3, the second method).
+	// The circuits that this end controls come first, in ascending order, then the far end's in descending
+	// order, so that both ends select the same circuit only when few are left (Q.764 2.9.1.3, second method).
 	slices.SortFunc(g.cics, func(a, b uint16) int {
 		ca, cb := Controls(a, own, far), Controls(b, own, far)
 		switch {
@@ -44,11 +44,11 @@
 	return g, nil
 }
 
-// Circuit returns a circuit's state; nil for a CIC not in the group.
+// Circuit returns a circuit; nil if the CIC is not in the group.
 func (g *Group) Circuit(cic uint16) *Circuit { return g.circuits[cic] }
 
-// Seize picks an idle circuit for an outgoing call, passing over those in avoid (the ones
-// a retry after glare must not meet again), and marks it outgoing. ok is false when none is free.
+// Seize selects an idle circuit for an outgoing call and marks it outgoing. It skips the circuits in avoid,
+// on which the call has already lost a dual seizure. ok is false if no circuit is free.
 func (g *Group) Seize(call string, now time.Duration, avoid ...uint16) (cic uint16, ok bool) {
 	for _, cic := range g.cics {
 		circuit := g.circuits[cic]
@@ -64,18 +64,17 @@
 	circuit.State, circuit.Since, circuit.Call = s, now, call
 }
 
-// Outcome is what a message means for this end: what to send back, how a dual seizure was
-// settled, which call is to be tried on another circuit, and which call has ended.
+// Outcome is what this end must do after a message or action.
 type Outcome struct {
-	Send  []Message
-	Glare Glare
-	Retry string // this end's call that lost a dual seizure
-	Ended string // the call that the circuit carried has ended here
+	Send  []Message // to the far end
+	Glare Glare     // how a dual seizure was decided
+	Retry string    // this end's call that lost a dual seizure and must be retried on another circuit
+	Ended string    // the call that has ended
 }
 
-// Receive takes a message from the far end on a circuit. A message that the circuit's state
-// does not allow is an error naming both; the state is then left as it was, but for REL and
-// RSC, which any state must answer (Q.764 2.10.1: an unexpected message is met with a reset).
+// Receive handles a message from the far end on a circuit. A message that the circuit's state does not allow
+// returns an error that names both, and the state does not change. REL and RSC are allowed in any state
+// (Q.764 2.10.1: an unexpected message is answered by a reset).
 func (g *Group) Receive(cic uint16, m Message, call string, now time.Duration) (Outcome, error) {
 	circuit := g.circuits[cic]
 	if circuit == nil {
@@ -103,7 +102,7 @@
 	case RSC:
 		ended := circuit.Call
 		g.setState(circuit, Idle, now, "")
-		circuit.Blocked = false // a reset also ends blocking (Q.764 2.10.3.1)
+		circuit.Blocked = false // a reset also removes blocking (Q.764 2.10.3.1)
 		return Outcome{Send: []Message{RLC}, Ended: ended}, nil
 	case BLO:
 		circuit.Blocked = true
@@ -115,8 +114,8 @@
 	return Outcome{}, fmt.Errorf("circuit: CIC %d: message %v is not one of this model's", cic, m)
 }
 
-// receiveIAM takes the far end's IAM: on an idle circuit it is incoming; on one this end has
-// seized, it is a dual seizure settled by Controls.
+// receiveIAM handles the far end's IAM. On an idle circuit it is an incoming call; on a circuit that this end
+// has seized it is a dual seizure, which Controls decides.
 func (g *Group) receiveIAM(circuit *Circuit, call string, now time.Duration) (Outcome, error) {
 	switch {
 	case circuit.State == Idle && !circuit.Blocked:
@@ -136,7 +135,7 @@
 	return fmt.Errorf("circuit: CIC %d: %v while %v", circuit.CIC, m, circuit.State)
 }
 
-// Answer marks an incoming call answered by this end.
+// Answer marks an incoming call as answered by this end.
 func (g *Group) Answer(cic uint16, now time.Duration) error {
 	circuit := g.circuits[cic]
 	if circuit == nil || circuit.State != Incoming {
@@ -146,7 +145,7 @@
 	return nil
 }
 
-// Release has this end end the call on a circuit: REL goes out and the circuit waits for RLC.
+// Release ends the call on a circuit from this end: REL must be sent, and the circuit waits for RLC.
 func (g *Group) Release(cic uint16, now time.Duration) (Outcome, error) {
 	circuit := g.circuits[cic]
 	if circuit == nil || circuit.State == Idle || circuit.State == Releasing || circuit.State == Resetting {
@@ -157,7 +156,7 @@
 	return Outcome{Send: []Message{REL}, Ended: ended}, nil
 }
 
-// Reset has this end reset a circuit: RSC goes out, and the call it carried, if any, ends.
+// Reset resets a circuit from this end: RSC must be sent, and the circuit's call, if any, ends.
 func (g *Group) Reset(cic uint16, now time.Duration) (Outcome, error) {
 	circuit := g.circuits[cic]
 	if circuit == nil {
@@ -168,7 +167,7 @@
 	return Outcome{Send: []Message{RSC}, Ended: ended}, nil
 }
 
-// GroupMessage is a circuit group supervision message: it names a range of CICs at once.
+// GroupMessage is a circuit group supervision message, which names several CICs at once.
 type GroupMessage int
 
 // The group messages and their acknowledgements (Q.764 2.8.2, 2.10.3.2).
@@ -186,17 +185,16 @@
 
 func (m GroupMessage) String() string { return enumName(groupNames[:], int(m), "group message") }
 
-// GroupOutcome is what a group message means for this end: the acknowledgement to send for
-// the CICs it names, and the calls that ended.
+// GroupOutcome is what this end must do after a group message.
 type GroupOutcome struct {
-	Ack   GroupMessage
-	CICs  []uint16
-	Ended []string
+	Ack   GroupMessage // to send for CICs; NoAck: none
+	CICs  []uint16     // acknowledged by Ack
+	Ended []string     // calls that have ended
 }
 
-// ReceiveGroup takes a group message for a range of CICs. Every CIC must be in the group, or
-// nothing changes and the error names the first that is not; an acknowledgement received is
-// taken as the end of this end's own reset or blocking, and is answered by nothing.
+// ReceiveGroup handles a group message for several CICs. If one of them is not in the group, nothing changes
+// and the error names the first such CIC. An acknowledgement ends this end's own reset or blocking, and is
+// not answered.
 func (g *Group) ReceiveGroup(m GroupMessage, cics []uint16, now time.Duration) (GroupOutcome, error) {
 	for _, cic := range cics {
 		if g.circuits[cic] == nil {
@@ -207,7 +205,7 @@
 	for _, cic := range cics {
 		circuit := g.circuits[cic]
 		switch m {
-		case GRS: // as RSC on each: the calls end, blocking ends
+		case GRS: // as RSC on each circuit: calls end and blocking is removed
 			if circuit.Call != "" {
 				out.Ended = append(out.Ended, circuit.Call)
 			}
--- a/internal/circuit/model_test.go
+++ b/internal/circuit/model_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// inFlightMessage is one message in flight, in order on its direction.
+// inFlightMessage is a message on its way; messages of one direction stay in order.
 type inFlightMessage struct {
 	cic  uint16
 	msg  Message
 	call string
 }
 
-// model is two ends of a group and what is in flight between them.
+// model has two ends of a group and the messages in flight between them.
 type model struct {
 	ends     [2]*Group
-	inFlight [2][]inFlightMessage // flight[i]: from end i to the other
-	started  [2]int               // calls each end began
-	maxCalls int                  // calls each end may begin
+	inFlight [2][]inFlightMessage // inFlight[i]: from end i to the other
+	started  [2]int               // calls begun by each end
+	maxCalls int                  // calls that each end may begin
 	retries  map[string]int
 }
 
@@ -50,14 +50,14 @@
 	return b.String()
 }
 
-// seize has end i try a call on a free circuit, avoiding one that glared.
+// seize lets end i start a call on a free circuit other than those in avoid.
 func (w *model) seize(i int, call string, avoid ...uint16) {
 	if cic, ok := w.ends[i].Seize(call, 0, avoid...); ok {
 		w.inFlight[i] = append(w.inFlight[i], inFlightMessage{cic, IAM, call})
 	}
 }
 
-// deliver hands the oldest message from end i to the other end.
+// deliver delivers the oldest message from end i to the other end.
 func (w *model) deliver(t *testing.T, i int) {
 	m := w.inFlight[i][0]
 	w.inFlight[i] = w.inFlight[i][1:]
@@ -72,15 +72,15 @@
 	}
 }
 
-// check holds in every state: no end has one call on two circuits, and once nothing is in
-// flight each circuit is idle at both ends or carries one call, outgoing at one end and
-// incoming at the other.
+// check verifies the invariants of every state: no end has a call on two circuits, and if no message is in
+// flight, each circuit is idle at both ends or carries one call, outgoing at one end and incoming at the
+// other.
 func (w *model) check(t *testing.T) {
 	for i, g := range w.ends {
 		seen := map[string]bool{}
 		for _, circuit := range g.circuits {
 			if circuit.Call != "" && seen[circuit.Call] {
-				t.Fatalf("end %d holds %s twice: %v", i, circuit.Call, w.key())
+				t.Fatalf("end %d has %s on two circuits: %v", i, circuit.Call, w.key())
 			}
 			seen[circuit.Call] = true
 		}
@@ -92,13 +92,13 @@
 		a, b := w.ends[0].circuits[cic], w.ends[1].circuits[cic]
 		pair := a.State == Outgoing && b.State == Incoming || a.State == Incoming && b.State == Outgoing
 		if !(a.State == Idle && b.State == Idle) && !(pair && a.Call == b.Call) {
-			t.Fatalf("CIC %d settled apart: %v", cic, w.key())
+			t.Fatalf("CIC %d: the ends disagree: %v", cic, w.key())
 		}
 	}
 }
 
-// TestModel explores every interleaving of two ends that each begin as many calls as there
-// are circuits, on a group of 2 to 4: seizures crossing on the wire, glare and its retries.
+// TestModel explores all interleavings of two ends that each begin as many calls as there are circuits, on
+// groups of 2 to 4 circuits: crossing seizures, glare and its retries.
 func TestModel(t *testing.T) {
 	for n := 2; n <= 4; n++ {
 		var cics []uint16
--- a/internal/citest/ci_test.go
+++ b/internal/citest/ci_test.go
@@ -1,4 +1,4 @@
-// Package citest holds the test of the script by which CI runs the tests.
+// Package citest tests the script with which CI runs the tests.
 package citest
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKnownRed: CI passes over just the tests that KNOWN-RED.txt names, says how they went, and
-// refuses a file that has too many lines, one it can't read, or one that names no test.
+// TestKnownRed checks that CI tolerates failures of exactly the tests in KNOWN-RED.txt and reports their
+// results, and that it refuses a file with too many lines, with a malformed line, or with a name that is not
+// a test's.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../.ci/test")
 	require.NoError(t, err)
