--- a/internal/daemon/cli.go
+++ b/internal/daemon/cli.go
@@ -16,13 +16,13 @@
 // docs/operators.md describes the commands in full.
 type commandLine struct {
 	Run     runCommand     `cmd:"" default:"1" help:"Run the call agent; PROXY_CONFIG names its configuration."`
-	Plan    planCommand    `cmd:"" help:"Show what applying an operators' file would change; exit 0 none, 2 changes, 1 error."`
+	Plan    planCommand    `cmd:"" help:"Show what applying an operators' file would change; exit 0 no changes, 2 changes, 1 error."`
 	Apply   applyCommand   `cmd:"" help:"Apply a plan, unless the state has changed since it was made."`
-	Check   checkCommand   `cmd:"" help:"Check a file of per-route limits against the standing rules; exit 0 lawful, 1 refused."`
-	Routes  routesCommand  `cmd:"" help:"Tell which route and limits a call would get."`
+	Check   checkCommand   `cmd:"" help:"Check a file of per-route limits against the rules of the settings; exit 0 lawful, 1 refused."`
+	Routes  routesCommand  `cmd:"" help:"Show which route and limits a call would get."`
 	Replica replicaCommand `cmd:"" help:"Run a member of a group that replicates promises (docs/replication.md)."`
 
-	Promises promisesCommand `cmd:"" help:"Groups of agents that keep one another's promises."`
+	Promises promisesCommand `cmd:"" help:"Manage the groups of agents that replicate promises."`
 
 	env            func(string) string
 	stdout, stderr io.Writer
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 		if d.promises.cfg.Load().StoresCalls() {
-			promiseStore = d.promises.keeper
+			promiseStore = d.promises.store
 		}
 	}
 	policySettings := cfg.info.Policy()
@@ -308,7 +308,7 @@
 // shutDown serves until the open calls, and those that still arrive, have their answers, or the stop times
 // out.
 func (d *Daemon) shutDown(ln net.Listener) {
-	d.log.Info("stopping: serving on, then answering what is open")
+	d.log.Info("stopping: serving until all open calls are answered")
 	timeout := time.After(d.stopTimeout())
 	if d.cfg.Callers != "" {
 		ln.Close() // before ready returns false: later connections then go to the other process
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -92,23 +92,23 @@
 	violations  []string
 }
 
-func (l *attemptChecker) recordSetUp(g standin.Got) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.outstanding[g.Call]++; l.outstanding[g.Call] > 1 {
-		l.violations = append(l.violations, fmt.Sprintf("%v has a second copy out", g.Call))
+func (c *attemptChecker) recordSetUp(g standin.Got) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.outstanding[g.Call]++; c.outstanding[g.Call] > 1 {
+		c.violations = append(c.violations, fmt.Sprintf("%v has two attempts out", g.Call))
 	}
-	if at, ok := l.brokenAt[g.Call]; ok && g.At.Sub(at) < 300*time.Millisecond {
-		l.violations = append(l.violations, fmt.Sprintf("%v came again after %v", g.Call, g.At.Sub(at)))
+	if at, ok := c.brokenAt[g.Call]; ok && g.At.Sub(at) < 300*time.Millisecond {
+		c.violations = append(c.violations, fmt.Sprintf("%v was sent again after %v", g.Call, g.At.Sub(at)))
 	}
 }
 
-func (l *attemptChecker) recordEnd(id isup.CallID, broke bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.outstanding[id] = 0
+func (c *attemptChecker) recordEnd(id isup.CallID, broke bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outstanding[id] = 0
 	if broke {
-		l.brokenAt[id] = time.Now()
+		c.brokenAt[id] = time.Now()
 	}
 }
 
@@ -167,7 +167,7 @@
 			case outcome != "":
 				return outcome + ", cut"
 			case cause == isup.Congestion && m.Text(isup.RetryAfter) != "":
-				return "refused with a time"
+				return "refused with Retry-After"
 			default:
 				return "failed"
 			}
@@ -187,7 +187,7 @@
 			DeadlineMs: left.Milliseconds(), Description: []byte("offer " + id.String())})
 		if e, ok := callrpc.AsError(err); ok {
 			if e.Code == callrpc.CodeRefused && e.Data.RetryAfterMs > 0 {
-				return "refused with a time"
+				return "refused with Retry-After"
 			}
 			return "failed"
 		} else if err != nil {
@@ -197,7 +197,7 @@
 		case e := <-call.Ended():
 			return "stands in " + string(call.Description) + ", " + e.Cause
 		case <-ctx.Done():
-			return "stands for ever"
+			return "stands without end"
 		}
 	}, client
 }
@@ -218,9 +218,9 @@
 	}{
 		{1, 4, 5 * time.Second, func(id isup.CallID) string { return "stands in room " + id.String() + ", completed" }},
 		{3, 1, 5 * time.Second, func(id isup.CallID) string { return "stands in room " + id.String() + ", cut" }},
-		{4, 4, 5 * time.Second, func(isup.CallID) string { return "refused with a time" }},
+		{4, 4, 5 * time.Second, func(isup.CallID) string { return "refused with Retry-After" }},
 		{5, 1, 1400 * time.Millisecond, func(isup.CallID) string { return "failed" }}, // no answer: ended by its deadline
-		{2, 4, 5 * time.Second, func(isup.CallID) string { return "refused with a time" }},
+		{2, 4, 5 * time.Second, func(isup.CallID) string { return "refused with Retry-After" }},
 	} {
 		var group sync.WaitGroup
 		for i := range round.calls {
@@ -257,7 +257,7 @@
 }
 
 // TestServerDrain drains a server while calls of both fronts wait there. They must continue at the other
-// server, no sooner than 300 ms after their attempts broke, and within 2 s of the bulletin's update no new
+// server, no sooner than 300 ms after their attempts broke, and from 2 s after the bulletin's update no new
 // call may reach the draining server.
 func TestServerDrain(t *testing.T) {
 	s := newTestSite(t)
@@ -333,7 +333,7 @@
 	late.Answer("room")
 	c.Await(t, isup.Answer, 0x20)
 	g.Release(isup.UserBusy, "lines_busy")
-	assert.Equal(t, "refused with a time", <-outcomes)
+	assert.Equal(t, "refused with Retry-After", <-outcomes)
 	<-ended
 	assert.GreaterOrEqual(t, time.Since(began), stopServePeriod)
 	assert.Less(t, time.Since(began), s.daemon.stopTimeout())
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -58,17 +58,17 @@
 }
 
 func (c *controlGroup) Plan(ctx context.Context, least uint64) (uint64, []byte, error) {
-	r, err := c.promises.keeper.Group(c.id()).Plan(ctx, least)
+	r, err := c.promises.store.Group(c.id()).Plan(ctx, least)
 	return r.Epoch, r.Plan, err
 }
 
 func (c *controlGroup) LeaderPlan(ctx context.Context) (uint64, []byte, error) {
-	r, err := c.promises.keeper.Group(c.id()).LeaderPlan(ctx)
+	r, err := c.promises.store.Group(c.id()).LeaderPlan(ctx)
 	return r.Epoch, r.Plan, err
 }
 
 func (c *controlGroup) Propose(ctx context.Context, epoch uint64, plan []byte) (bool, error) {
-	r, err := c.promises.keeper.Group(c.id()).Propose(ctx, promise.Entry{Op: promise.OpPlan, Epoch: epoch, Plan: json.RawMessage(plan)})
+	r, err := c.promises.store.Group(c.id()).Propose(ctx, promise.Entry{Op: promise.OpPlan, Epoch: epoch, Plan: json.RawMessage(plan)})
 	return r.First, err
 }
 
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -187,7 +187,7 @@
 	busy.SetUp(0x10, "voice", 5*time.Second, 0)
 	g := server.Await(t, isup.SetUp)
 	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"))
-	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"), "a repeated DRAIN")
+	require.True(t, consoleSucceeds(d.cfg.Console, "DRAIN"), "again")
 	assert.False(t, consoleSucceeds(d.cfg.Console, "READY"))
 	assert.Equal(t, isup.NotPassed, test(busy, 2))
 	_, err := idle.Next()
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -132,7 +132,7 @@
 // TestStopCrossings checks that a stop answers the open calls whatever happens during it: a second SIGTERM, a
 // SIGHUP, a partly read set-up, a set-up on a new connection, an unreachable bulletin.
 func TestStopCrossings(t *testing.T) {
-	for name, bulletin := range map[string]string{"discovery up": "", "discovery down": freeAddress(t)} {
+	for name, bulletin := range map[string]string{"bulletin reachable": "", "bulletin unreachable": freeAddress(t)} {
 		t.Run(name, func(t *testing.T) {
 			p := startProcess(t, bulletin)
 			p.configure(t)
@@ -142,7 +142,7 @@
 			half := setUpBytes(t, 2)
 			c.Write(half[:20])
 			p.Term()
-			p.awaitLog(t, "stopping: serving on")
+			p.awaitLog(t, "stopping: serving until")
 			p.Term()
 			p.HangUp()
 			newcomer := standin.NewCaller(t, p.address)
--- a/internal/daemon/promisecmd.go
+++ b/internal/daemon/promisecmd.go
@@ -22,11 +22,11 @@
 // promisesCommand has the operators' commands for replicated promises (docs/replication.md).
 type promisesCommand struct {
 	Check  promisesFile  `cmd:"" help:"Check a file of promises; exit 0 if it can be used."`
-	Status promisesFile  `cmd:"" help:"Ask each group's leader what the group holds; exit 1 if any has none."`
+	Status promisesFile  `cmd:"" help:"Show each group's state as its leader reports it; exit 1 if any group has no leader."`
 	Fence  promisesFile  `cmd:"" help:"Make the groups of the ring that the file replaces refuse claims by it."`
 	Place  placeCommand  `cmd:"" help:"Make a ring of groups across zones from a list of agents."`
-	Mend   mendCommand   `cmd:"" help:"Replace agents that are gone by spare ones; shows the steps, or carries them out."`
-	Remove memberCommand `cmd:"" help:"Take a member out of its group."`
+	Mend   mendCommand   `cmd:"" help:"Replace lost agents by spare ones; shows the steps, or carries them out."`
+	Remove memberCommand `cmd:"" help:"Remove a member from its group."`
 	Join   memberCommand `cmd:"" help:"Add a member to a group; its process must run, without bootstrap."`
 }
 
@@ -41,7 +41,7 @@
 
 type mendCommand struct {
 	File   string   `arg:"" help:"The file of promises in force."`
-	Gone   []string `help:"Agents lost with their disks." required:""`
+	Gone   []string `help:"Agents that are lost with their disks." required:""`
 	Spares string   `help:"A YAML list of spare agents." required:""`
 	Apply  bool     `help:"Carry the steps out, one after another; the spare agents must run."`
 }
@@ -50,7 +50,7 @@
 	File  string `arg:"" help:"The file of promises in force."`
 	Group string `help:"The group." required:""`
 	ID    string `help:"The member." required:""`
-	Raft  string `help:"For join: where the others reach its log (host:port)."`
+	Raft  string `help:"For join: address at which the other members reach its log (host:port)."`
 }
 
 // commandTimeout is how long an operator's command waits for the groups.
@@ -105,24 +105,24 @@
 	return out
 }
 
-// observerKeeper returns a keeper for queries only: it is not a member of a group and claims nothing.
-func observerKeeper(file string) (*promisestore.Store, promisestore.Config, error) {
+// newQueryStore returns a promise store for queries only: it is not a member of a group and claims nothing.
+func newQueryStore(file string) (*promisestore.Store, promisestore.Config, error) {
 	c, err := promisestore.LoadConfig(file)
 	if err != nil {
 		return nil, c, err
 	}
-	k := promisestore.New("operator", slog.New(slog.DiscardHandler))
-	k.SetRings(c.Ring, c.Previous)
-	return k, c, nil
+	store := promisestore.New("operator", slog.New(slog.DiscardHandler))
+	store.SetRings(c.Ring, c.Previous)
+	return store, c, nil
 }
 
 func printGroupStates(ctx context.Context, file string, out io.Writer) error {
-	k, _, err := observerKeeper(file)
+	store, _, err := newQueryStore(file)
 	if err != nil {
 		return err
 	}
-	defer k.Close()
-	views, leaderless := k.Overview(ctx), 0
+	defer store.Close()
+	views, leaderless := store.Overview(ctx), 0
 	for _, id := range slices.Sorted(maps.Keys(views)) {
 		fmt.Fprintln(out, groupLine(id, views[id]))
 		if views[id].Err != nil {
--- a/internal/daemon/promises.go
+++ b/internal/daemon/promises.go
@@ -22,10 +22,10 @@
 // promises to a group of other agents and, if the agent is a member of a group, stores those of others. It is
 // off unless WOODROUTER_PROMISES names its file.
 type promises struct {
-	keeper *promisestore.Store
-	log    *slog.Logger
-	cfg    atomic.Pointer[promisestore.Config]
-	node   atomic.Pointer[replica.Node] // this agent's member of a group; nil: none, or not started yet
+	store *promisestore.Store
+	log   *slog.Logger
+	cfg   atomic.Pointer[promisestore.Config]
+	node  atomic.Pointer[replica.Node] // this agent's member of a group; nil: none, or not started yet
 }
 
 func (p *promises) ring() shard.Ring { return p.cfg.Load().Ring }
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &promises{keeper: promisestore.New(cmp.Or(file.Name, cfg.Name), log), log: log}
+	p := &promises{store: promisestore.New(cmp.Or(file.Name, cfg.Name), log), log: log}
 	p.applyFile(file)
 	return p, nil
 }
@@ -54,7 +54,7 @@
 		p.log.Warn("ring: the loss of one zone would stop a group", "found", found)
 	}
 	p.cfg.Store(&file)
-	p.keeper.SetRings(file.Ring, file.Previous)
+	p.store.SetRings(file.Ring, file.Previous)
 	p.log.Info("ring applied", "version", file.Ring.Version, "groups", len(file.Ring.Groups), "replaces", file.Previous != nil)
 }
 
@@ -84,7 +84,7 @@
 	if d.promises == nil {
 		return func() {}, nil
 	}
-	closeAll = d.promises.keeper.Close
+	closeAll = d.promises.store.Close
 	if m := d.promises.cfg.Load().Member; m != nil {
 		n, err := replica.Open(*m, d.log.With("member", m.ID))
 		if err != nil {
@@ -99,7 +99,7 @@
 		d.promises.node.Store(n)
 		closeAll = func() {
 			d.promises.node.Store(nil)
-			d.promises.keeper.Close()
+			d.promises.store.Close()
 			ln.Close()
 			n.Close()
 		}
@@ -115,7 +115,7 @@
 // of its configuration. Until a group answers, calls are refused anyway, for lack of a quorum.
 func (d *Daemon) restoreDrain(ctx context.Context) {
 	for {
-		drained, err := d.promises.keeper.Drained()
+		drained, err := d.promises.store.Drained()
 		if err == nil {
 			if drained {
 				d.log.Info("restoring the drain that was ordered before this start")
@@ -135,10 +135,10 @@
 // recordVersions replicates which versions of the settings, the routes file and the state file this agent
 // uses.
 func (d *Daemon) recordVersions() {
-	d.promises.keeper.RecordDigest("settings", d.cfg.Settings)
+	d.promises.store.RecordDigest("settings", d.cfg.Settings)
 	for kind, path := range map[string]string{"routes": d.cfg.Routes, "plan": d.cfg.State} {
 		if path != "" {
-			d.promises.keeper.RecordVersion(kind, path)
+			d.promises.store.RecordVersion(kind, path)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 		if d.promises == nil {
 			return apply()
 		}
-		if err := d.promises.keeper.Drain(drain); err != nil {
+		if err := d.promises.store.Drain(drain); err != nil {
 			d.log.Warn("drain order not replicated", "drain", drain, "error", err)
 			return console.Failure + " not promised by every group, nothing changed here: " + strings.ReplaceAll(err.Error(), "\n", "; ")
 		}
@@ -162,7 +162,7 @@
 
 // writeStats writes the lines of STATS about promises.
 func (p *promises) writeStats(line func(kind string, n int64, name string)) {
-	c := &p.keeper.Counts
+	c := &p.store.Counts
 	line("c", c.Claimed.Load(), "promises_claimed")
 	line("c", c.Stored.Load(), "promises_kept")
 	line("c", c.Adopted.Load(), "promises_echoed")
@@ -179,7 +179,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	views := d.promises.keeper.Overview(ctx)
+	views := d.promises.store.Overview(ctx)
 	var b strings.Builder
 	for _, id := range slices.Sorted(maps.Keys(views)) {
 		fmt.Fprintln(&b, groupLine(id, views[id]))
--- a/internal/daemon/replica.go
+++ b/internal/daemon/replica.go
@@ -13,7 +13,7 @@
 )
 
 type replicaCommand struct {
-	Config    string `arg:"" help:"The member's operators' file (YAML), as deploy/replica.yaml, or a control machine's, as deploy/control.yaml."`
+	Config    string `arg:"" help:"The operators' file (YAML) of the member, as deploy/replica.yaml, or of a control machine, as deploy/control.yaml."`
 	LogFormat string `help:"text (key=value) or json, one line each." enum:"text,json" default:"text"`
 }
 
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -28,7 +28,7 @@
 	Origins        []string `toml:"origins" json:"origins"`
 	MaxConnections int      `toml:"max_connections" json:"max_connections"`
 	MaxMessage     int      `toml:"max_message_bytes" json:"max_message_bytes"`
-	IdleS          int      `toml:"idle_s" json:"idle_s"` // after so many seconds an idle connection is closed
+	IdleS          int      `toml:"idle_s" json:"idle_s"` // idle time in seconds after which a connection is closed
 	Clients        []Client `toml:"client" json:"clients"`
 }
 
--- a/internal/routefile/fuzz_test.go
+++ b/internal/routefile/fuzz_test.go
@@ -27,7 +27,7 @@
 			usable := corpusRules.Classes["group-lesson"].Deadline - corpusRules.AnswerSlack
 			if l.Attempts < 1 || l.Attempts > corpusRules.MaxAttempts || l.Attempts > 1 && l.RetrySpacing < corpusRules.ClearWait ||
 				l.AttemptTimeout <= 0 || l.AttemptTimeout != routes.UntilDeadline && l.Span() > usable || l.Hedge {
-				t.Fatalf("lawful, yet route %d has %+v", i, l)
+				t.Fatalf("lawful, but route %d has %+v", i, l)
 			}
 		}
 	})
