--- a/internal/circuit/group.go
+++ b/internal/circuit/group.go
@@ -50,11 +50,11 @@
 // Seize selects an idle circuit for an outgoing call and marks it outgoing. It skips the circuits in avoid,
 // on which the call has already lost a dual seizure. ok is false if no circuit is free.
 func (g *Group) Seize(call string, now time.Duration, avoid ...uint16) (cic uint16, ok bool) {
-	for _, cic := range g.cics {
-		circuit := g.circuits[cic]
-		if circuit.State == Idle && !circuit.Blocked && !slices.Contains(avoid, cic) {
+	for _, candidate := range g.cics {
+		circuit := g.circuits[candidate]
+		if circuit.State == Idle && !circuit.Blocked && !slices.Contains(avoid, candidate) {
 			g.setState(circuit, Outgoing, now, call)
-			return cic, true
+			return candidate, true
 		}
 	}
 	return 0, false
