--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -37,7 +37,7 @@
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(standin.Patience))
+	conn.SetDeadline(time.Now().Add(standin.WaitTimeout))
 	fmt.Fprintln(conn, line)
 	answer, _ := io.ReadAll(conn)
 	return string(answer)
@@ -56,7 +56,7 @@
 	done = make(chan error, 1)
 	go func() { done <- d.Run(ctx) }()
 	t.Cleanup(stop)
-	require.Eventually(t, func() bool { return consoleSucceeds(cfg.Console, "READY") }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return consoleSucceeds(cfg.Console, "READY") }, standin.WaitTimeout, time.Millisecond)
 	return d, stop, done
 }
 
@@ -97,7 +97,7 @@
 	cfg.Callers = fds[1]
 	startDaemon(t, cfg)
 	stop()
-	require.Eventually(t, func() bool { return !first.ready() }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !first.ready() }, standin.WaitTimeout, time.Millisecond)
 	for id := isup.CallID(0x20); id < 0x25; id++ {
 		late := standin.NewCaller(t, address)
 		late.SetUp(id, "voice", 5*time.Second, 0)
@@ -126,12 +126,12 @@
 	require.NoError(t, p.Apply())
 	cfg.Callers = fds[0]
 	first, stop, _ := startDaemon(t, cfg)
-	require.Eventually(t, func() bool { return first.api.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return first.api.address() != nil }, standin.WaitTimeout, time.Millisecond)
 	cfg.Callers = fds[1]
 	next, _, _ := startDaemon(t, cfg)
 	assert.Nil(t, next.api.address())
 	stop()
-	require.Eventually(t, func() bool { return next.api.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return next.api.address() != nil }, standin.WaitTimeout, time.Millisecond)
 }
 
 // TestInheritedSocket checks that a PROXY_FD that is not a listening socket's descriptor is refused.
@@ -154,7 +154,7 @@
 	c.SetUp(0x20, "voice", 5*time.Second, 0)
 	server.Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	c.Await(t, isup.Release, 0x20)
-	require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, standin.Patience, time.Millisecond, "a call is counted once its answer has been sent")
+	require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, standin.WaitTimeout, time.Millisecond, "a call is counted once its answer has been sent")
 	c.SetUp(0x10, "voice", 5*time.Second, 7) // no such server: failed
 	assert.Equal(t, `svc.calls.voice.success:1|c
 svc.calls.voice.busy:1|c
@@ -202,7 +202,7 @@
 			select {
 			case m := <-received:
 				return m
-			case g := <-server.Got:
+			case g := <-server.Received:
 				if g.Type == isup.SetUp {
 					g.Answer("room")
 				}
@@ -215,7 +215,7 @@
 		id++
 		m := outcome(id)
 		return m.Call == id && m.Type == isup.Release && m.Text(isup.RetryAfter) != ""
-	}, standin.Patience, 50*time.Millisecond, "then refused")
+	}, standin.WaitTimeout, 50*time.Millisecond, "then refused")
 	conns := server.Conns() // the set-up's own connection may have been replaced, as the answer came late
 	g.Conn = conns[len(conns)-1]
 	g.Release(isup.Normal, "")
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -56,7 +56,7 @@
 	select {
 	case w := <-m.watches:
 		return w
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("the control machine got no watch")
 	}
 	panic("unreached")
