--- a/callrpc/callrpc_test.go
+++ b/callrpc/callrpc_test.go
@@ -18,8 +18,8 @@
 )
 
 // startServer serves the API with a core that decides by the call's class.
-func startServer(t *testing.T) (*standin.Core, string, context.Context) {
-	c := standin.NewCore()
+func startServer(t *testing.T) (*standin.AgentStub, string, context.Context) {
+	c := standin.NewAgentStub()
 	f := callapi.New(connmgr.Config{}, c)
 	f.Configure(ws.Endpoint{Path: "/calls"}, 0)
 	c.Decide = func(call agent.Call) {
@@ -33,12 +33,12 @@
 			f.Refused(call, 1500*time.Millisecond)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), standin.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), standin.WaitTimeout)
 	t.Cleanup(cancel)
 	return c, "ws://" + standin.Serve(t, f) + "/calls", ctx
 }
 
-func dial(t *testing.T) (*standin.Core, *Client, context.Context) {
+func dial(t *testing.T) (*standin.AgentStub, *Client, context.Context) {
 	core, url, ctx := startServer(t)
 	c, err := Dial(ctx, url, Options{Token: "t"})
 	require.NoError(t, err)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -32,7 +32,7 @@
 
 func testConfigText(t testing.TB, b *standin.Bulletin) []byte {
 	text, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bulletin": b.Addr, "known": b.Known(0),
+		"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bulletin": b.Addr, "known": b.EventsAfter(0),
 		"settings": json.RawMessage(`{"nInstances":1,"rank":0,"resolution":1000,
 			"profiles":[{"name":"voice","goalTime":5000000,"deadline":9000000,"worth":1}],
 			"stats":{"fields":["spare","total","latency_ms"],"how":"piggyback"},
@@ -79,7 +79,7 @@
 	go func() { s.daemon.Serve(ctx, ln); close(done) }()
 	s.stop = func() { cancel(); <-done }
 	t.Cleanup(s.stop)
-	require.Eventually(t, func() bool { return s.daemon.api.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return s.daemon.api.address() != nil }, standin.WaitTimeout, time.Millisecond)
 	return s
 }
 
@@ -92,7 +92,7 @@
 	violations  []string
 }
 
-func (l *attemptChecker) recordSetUp(g standin.Got) {
+func (l *attemptChecker) recordSetUp(g standin.Received) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outstanding[g.Call]++; l.outstanding[g.Call] > 1 {
@@ -114,7 +114,7 @@
 
 // serve has a server act on each set-up by the last digit of its call.
 func (s *testSite) serve(server *standin.Server) {
-	for g := range server.Got {
+	for g := range server.Received {
 		if g.Type == isup.Release {
 			s.attempts.recordEnd(g.Call, true)
 		}
@@ -123,7 +123,7 @@
 		}
 		s.attempts.recordSetUp(g)
 		kind := g.Call % 8
-		again := s.servers[0].Seen(isup.SetUp, g.Call)+s.servers[1].Seen(isup.SetUp, g.Call) > 1
+		again := s.servers[0].Count(isup.SetUp, g.Call)+s.servers[1].Count(isup.SetUp, g.Call) > 1
 		if kind != 5 {
 			s.attempts.recordEnd(g.Call, kind == 3)
 		}
@@ -176,7 +176,7 @@
 }
 
 func (s *testSite) webSocketCaller(t *testing.T) (setUpFunc, *callrpc.Client) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*standin.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*standin.WaitTimeout)
 	t.Cleanup(cancel)
 	client, err := callrpc.Dial(ctx, "ws://"+s.daemon.api.address().String()+"/calls", callrpc.Options{})
 	require.NoError(t, err)
@@ -208,7 +208,7 @@
 	s := newTestSite(t)
 	for _, server := range s.servers {
 		go s.serve(server)
-		t.Cleanup(func() { close(server.Got) })
+		t.Cleanup(func() { close(server.Received) })
 	}
 	api, _ := s.webSocketCaller(t)
 	for _, round := range []struct {
@@ -235,9 +235,9 @@
 	}
 	assert.Empty(t, s.attempts.violations)
 	require.Eventually(t, func() bool { // what was silent was given up, whichever front it came by
-		return s.servers[0].Seen(isup.Release, 0x1005)+s.servers[1].Seen(isup.Release, 0x1005) > 0 &&
-			s.servers[0].Seen(isup.Release, 0x2005)+s.servers[1].Seen(isup.Release, 0x2005) > 0
-	}, standin.Patience, time.Millisecond)
+		return s.servers[0].Count(isup.Release, 0x1005)+s.servers[1].Count(isup.Release, 0x1005) > 0 &&
+			s.servers[0].Count(isup.Release, 0x2005)+s.servers[1].Count(isup.Release, 0x2005) > 0
+	}, standin.WaitTimeout, time.Millisecond)
 }
 
 // TestClientGoneMidSetUp: a WebSocket client that leaves has its set-up given up at the
@@ -253,7 +253,7 @@
 	assert.Equal(t, g.Call, s.servers[0].Await(t, isup.Release).Call)
 	g.Answer("late")
 	assert.Equal(t, g.Call, s.servers[0].Await(t, isup.Release).Call)
-	assert.Zero(t, s.servers[1].Seen(isup.SetUp, 0), "nobody waits for another attempt")
+	assert.Zero(t, s.servers[1].Count(isup.SetUp, 0), "nobody waits for another attempt")
 }
 
 // TestServerDrain: a server drains while calls of both fronts wait there. They go on elsewhere,
@@ -271,10 +271,10 @@
 	}
 	go func() { outcomes <- s.binaryCaller(t)(0x10, 9*time.Second) }()
 	go func() { outcomes <- api(0x20, 9*time.Second) }()
-	waiting := []standin.Got{s.servers[0].Await(t, isup.SetUp), s.servers[0].Await(t, isup.SetUp)}
+	waiting := []standin.Received{s.servers[0].Await(t, isup.SetUp), s.servers[0].Await(t, isup.SetUp)}
 	notified := time.Now()
-	s.bulletin.Tell(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
-	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond)
+	s.bulletin.AddEvent(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
+	require.Eventually(t, s.bulletin.AllFetched, standin.WaitTimeout, time.Millisecond)
 	require.Less(t, time.Since(notified), 2*time.Second)
 	for id := isup.CallID(0x100); id < 0x180; id += 0x20 { // first choice is the draining server
 		go s.binaryCaller(t)(id, 3*time.Second)
@@ -282,7 +282,7 @@
 		go api(id+0x10, 3*time.Second)
 		s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	}
-	before := s.servers[0].Seen(isup.SetUp, 0)
+	before := s.servers[0].Count(isup.SetUp, 0)
 	require.Equal(t, 10, before, "what came before the news")
 	broke := time.Now()
 	for _, g := range waiting {
@@ -297,7 +297,7 @@
 	for range waiting {
 		assert.Equal(t, "stands in room, completed", <-outcomes)
 	}
-	assert.Equal(t, before, s.servers[0].Seen(isup.SetUp, 0), "nothing more at the draining server")
+	assert.Equal(t, before, s.servers[0].Count(isup.SetUp, 0), "nothing more at the draining server")
 }
 
 // TestOneIDAtBothFronts: an id that is open by one front is not taken by the other, and
@@ -312,7 +312,7 @@
 	g.Answer("room")
 	g.Release(isup.Normal, "")
 	assert.Equal(t, "stands in room, completed", <-outcome)
-	assert.Equal(t, 1, s.servers[0].Seen(isup.SetUp, 0)+s.servers[1].Seen(isup.SetUp, 0))
+	assert.Equal(t, 1, s.servers[0].Count(isup.SetUp, 0)+s.servers[1].Count(isup.SetUp, 0))
 }
 
 // TestStop: after SIGTERM calls are still taken for a while, what is open is answered, and
@@ -367,7 +367,7 @@
 		_, err := client.SetUp(context.Background(), callrpc.Call{ID: "0000000000000030", Class: "none", DeadlineMs: 1})
 		_, answered := callrpc.AsError(err)
 		return err != nil && !answered
-	}, standin.Patience, time.Millisecond)
+	}, standin.WaitTimeout, time.Millisecond)
 	apply(func(f *plan.Front) { f.Enabled, f.Listen = true, "127.0.0.1:0" })
 	again, _ := s.webSocketCaller(t)
 	go again(0x20, 3*time.Second)
@@ -384,13 +384,13 @@
 		require.NoError(t, os.WriteFile(s.daemon.cfg.path, []byte(bad), 0o600))
 		s.daemon.Reload()
 	}
-	s.bulletin.Tell(false)
-	require.Eventually(t, s.bulletin.Taken, standin.Patience, time.Millisecond, "the former one is followed")
+	s.bulletin.AddEvent(false)
+	require.Eventually(t, s.bulletin.AllFetched, standin.WaitTimeout, time.Millisecond, "the former one is followed")
 	require.NoError(t, os.WriteFile(s.daemon.cfg.path, testConfigText(t, next), 0o600))
 	s.daemon.Reload()
-	next.Tell(false)
-	next.Tell(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
-	require.Eventually(t, next.Taken, standin.Patience, time.Millisecond)
+	next.AddEvent(false)
+	next.AddEvent(false, standin.Endpoint("s0", s.servers[0].Addr, 0, "draining"))
+	require.Eventually(t, next.AllFetched, standin.WaitTimeout, time.Millisecond)
 	go s.binaryCaller(t)(0x10, 3*time.Second) // first choice is the server that drains
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 }
@@ -456,7 +456,7 @@
 	assert.Equal(t, int64(1), s.daemon.reloads.refused.Load())
 	go s.binaryCaller(t)(0x20, 3*time.Second)
 	s.servers[1].Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
-	assert.Zero(t, s.servers[0].Seen(isup.SetUp, 0), "the former routes stay")
+	assert.Zero(t, s.servers[0].Count(isup.SetUp, 0), "the former routes stay")
 	cfg := testConfig(t, s.bulletin)
 	cfg.Routes = file
 	_, err := New(cfg, slog.New(slog.DiscardHandler))
--- a/internal/daemon/gone_test.go
+++ b/internal/daemon/gone_test.go
@@ -19,7 +19,7 @@
 // machine is.
 func (s *testSite) awaitSent(stays bool, want int, seen func(*testSite) int) {
 	if stays {
-		require.Eventually(s.t, func() bool { return seen(s) == want }, standin.Patience, time.Millisecond)
+		require.Eventually(s.t, func() bool { return seen(s) == want }, standin.WaitTimeout, time.Millisecond)
 	}
 }
 
@@ -58,7 +58,7 @@
 			}
 		}
 		seen := func(s *testSite) int {
-			return s.servers[0].Seen(isup.SetUp, waiting) + s.servers[1].Seen(isup.SetUp, waiting)
+			return s.servers[0].Count(isup.SetUp, waiting) + s.servers[1].Count(isup.SetUp, waiting)
 		}
 		t.Run(name+", after a broken attempt", func(t *testing.T) {
 			t.Parallel()
@@ -85,7 +85,7 @@
 			c.SetUp(2, "voice", 9*time.Second, 1)
 			second := s.servers[1].Await(t, isup.SetUp)
 			leaves := begin(t, s)
-			require.Eventually(t, func() bool { return s.daemon.core.InFlight() == 3 }, standin.Patience, time.Millisecond, "it has come")
+			require.Eventually(t, func() bool { return s.daemon.core.InFlight() == 3 }, standin.WaitTimeout, time.Millisecond, "it has come")
 			time.Sleep(abandonDelay) // and waits
 			assert.Zero(t, seen(s))
 			leaves()
@@ -117,12 +117,12 @@
 			}
 			c := standin.NewCaller(t, s.addr)
 			c.SetUp(99, "voice", 9*time.Second, 0)
-			var g standin.Got
+			var g standin.Received
 			for g.Call != 99 || g.Type != isup.SetUp { // at whichever has room
 				select {
-				case g = <-s.servers[0].Got:
-				case g = <-s.servers[1].Got:
-				case <-time.After(standin.Patience):
+				case g = <-s.servers[0].Received:
+				case g = <-s.servers[1].Received:
+				case <-time.After(standin.WaitTimeout):
 					t.Fatal("the call of a caller that stays is not sent on")
 				}
 			}
@@ -131,13 +131,13 @@
 			assert.Eventually(t, func() bool {
 				for id := range isup.CallID(20) {
 					for _, server := range s.servers {
-						if server.Seen(isup.SetUp, id+1) != server.Seen(isup.Release, id+1) {
+						if server.Count(isup.SetUp, id+1) != server.Count(isup.Release, id+1) {
 							return false
 						}
 					}
 				}
 				return true
-			}, standin.Patience, time.Millisecond)
+			}, standin.WaitTimeout, time.Millisecond)
 		})
 	}
 }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -37,7 +37,7 @@
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(standin.Patience))
+	conn.SetDeadline(time.Now().Add(standin.WaitTimeout))
 	fmt.Fprintln(conn, line)
 	answer, _ := io.ReadAll(conn)
 	return string(answer)
@@ -57,7 +57,7 @@
 	done = make(chan error, 1)
 	go func() { done <- d.Run(ctx) }()
 	t.Cleanup(stop)
-	require.Eventually(t, func() bool { return consoleSucceeds(cfg.Console, "READY") }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return consoleSucceeds(cfg.Console, "READY") }, standin.WaitTimeout, time.Millisecond)
 	return d, stop, done
 }
 
@@ -98,7 +98,7 @@
 	cfg.Callers = fds[1]
 	startDaemon(t, cfg)
 	stop()
-	require.Eventually(t, func() bool { return !first.ready() }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return !first.ready() }, standin.WaitTimeout, time.Millisecond)
 	for id := isup.CallID(0x20); id < 0x25; id++ {
 		late := standin.NewCaller(t, address)
 		late.SetUp(id, "voice", 5*time.Second, 0)
@@ -127,12 +127,12 @@
 	require.NoError(t, p.Apply())
 	cfg.Callers = fds[0]
 	first, stop, _ := startDaemon(t, cfg)
-	require.Eventually(t, func() bool { return first.api.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return first.api.address() != nil }, standin.WaitTimeout, time.Millisecond)
 	cfg.Callers = fds[1]
 	next, _, _ := startDaemon(t, cfg)
 	assert.Nil(t, next.api.address())
 	stop()
-	require.Eventually(t, func() bool { return next.api.address() != nil }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return next.api.address() != nil }, standin.WaitTimeout, time.Millisecond)
 }
 
 // TestInheritedSocket: what PROXY_FD names must be a listening socket.
@@ -155,7 +155,7 @@
 	c.SetUp(0x20, "voice", 5*time.Second, 0)
 	server.Await(t, isup.SetUp).Release(isup.UserBusy, "lines_busy")
 	c.Await(t, isup.Release, 0x20)
-	require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, standin.Patience, time.Millisecond, "counted once the answer has gone out")
+	require.Eventually(t, func() bool { return d.core.InFlight() == 1 }, standin.WaitTimeout, time.Millisecond, "counted once the answer has gone out")
 	c.SetUp(0x10, "voice", 5*time.Second, 7) // no such server: failed
 	assert.Equal(t, `svc.calls.voice.success:1|c
 svc.calls.voice.busy:1|c
@@ -203,7 +203,7 @@
 			select {
 			case m := <-received:
 				return m
-			case g := <-server.Got:
+			case g := <-server.Received:
 				if g.Type == isup.SetUp {
 					g.Answer("room")
 				}
@@ -216,7 +216,7 @@
 		id++
 		m := outcome(id)
 		return m.Call == id && m.Type == isup.Release && m.Text(isup.RetryAfter) != ""
-	}, standin.Patience, 50*time.Millisecond, "then refused")
+	}, standin.WaitTimeout, 50*time.Millisecond, "then refused")
 	conns := server.Conns() // the one that it was asked on may have been replaced: its answer waited for the drain
 	g.Conn = conns[len(conns)-1]
 	g.Release(isup.Normal, "")
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -89,7 +89,7 @@
 
 func (p *agentProcess) awaitLog(t *testing.T, line string) {
 	t.Helper()
-	require.Eventually(t, func() bool { return strings.Contains(p.Log(), line) }, standin.Patience, time.Millisecond, line)
+	require.Eventually(t, func() bool { return strings.Contains(p.Log(), line) }, standin.WaitTimeout, time.Millisecond, line)
 }
 
 // awaitExit waits for the process to end by itself, in order.
@@ -97,7 +97,7 @@
 	t.Helper()
 	select {
 	case <-p.Done():
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		require.Fail(t, "the process did not end", p.Log())
 	}
 	assert.Contains(t, p.Log(), "msg=stopped")
@@ -170,7 +170,7 @@
 	c.Write(setUp[:20])
 	p.Term()
 	c.SetReadDeadline(time.Now().Add(stopServePeriod + 200*time.Millisecond))
-	_, err := c.In.Peek(1)
+	_, err := c.Reader.Peek(1)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the connection stays")
 	c.Write(setUp[20:])
 	p.server.Await(t, isup.SetUp).Answer("there")
@@ -208,14 +208,14 @@
 	}
 	time.Sleep(300 * time.Millisecond) // a connection makes room when it was quiet for 250 ms
 	serve(1)
-	p.server.Die() // its connection is to come up again
+	p.server.Crash() // its connection is to come up again
 	p.server = standin.NewServer(t, p.server.Addr)
-	require.Eventually(t, func() bool { return len(p.server.Conns()) > 0 }, standin.Patience, time.Millisecond)
+	require.Eventually(t, func() bool { return len(p.server.Conns()) > 0 }, standin.WaitTimeout, time.Millisecond)
 	serve(2)
 	ln, err := net.Listen("tcp", down)
 	require.NoError(t, err)
 	defer ln.Close()
-	ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.Patience))
+	ln.(*net.TCPListener).SetDeadline(time.Now().Add(standin.WaitTimeout))
 	conn, err := ln.Accept()
 	require.NoError(t, err, "discovery is asked again")
 	conn.Close()
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -55,7 +55,7 @@
 	select {
 	case w := <-m.watches:
 		return w
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		t.Fatal("the control machine is not asked")
 	}
 	panic("unreached")
--- a/internal/faultnet/addr.go
+++ b/internal/faultnet/addr.go
@@ -16,8 +16,8 @@
 	lock net.Listener
 }
 
-// TakeOctet takes one that is free.
-func TakeOctet() (*Octet, error) {
+// ReserveOctet takes one that is free.
+func ReserveOctet() (*Octet, error) {
 	first := rand.IntN(200)
 	for i := range 200 {
 		n := byte(16 + (first+i)%200)
@@ -46,7 +46,7 @@
 	hosts.Lock()
 	defer hosts.Unlock()
 	if hosts.octet == nil {
-		o, err := TakeOctet()
+		o, err := ReserveOctet()
 		if err != nil {
 			return "", err
 		}
--- a/internal/faultnet/hub.go
+++ b/internal/faultnet/hub.go
@@ -11,21 +11,21 @@
 // proxy in front of each process instead of one for each pair: who sends is told by the address
 // that it sends from, which must be its own. So hundreds of processes fit.
 type Hub struct {
-	from func(net.Addr) int // the process that has an address; -1: none
+	processOf func(net.Addr) int // the process that has an address; -1: none
 
-	mu    sync.Mutex
-	side  map[int]bool    // cut off from those not in it, both ways
-	deaf  map[[2]int]bool // one-way cuts: from, to
-	delay time.Duration
-	conns map[net.Conn]bool
-	ends  []io.Closer
-	shut  bool
-	sent  int64 // bytes let through, datagrams and streams
+	mu          sync.Mutex
+	isolated    map[int]bool    // cut off from those not in it, both ways
+	blocked     map[[2]int]bool // one-way cuts: from, to
+	delay       time.Duration
+	conns       map[net.Conn]bool
+	listeners   []io.Closer
+	closed      bool
+	bytesPassed int64 // bytes let through, datagrams and streams
 }
 
 // NewHub returns a hub without processes.
 func NewHub(from func(net.Addr) int) *Hub {
-	return &Hub{from: from, side: map[int]bool{}, deaf: map[[2]int]bool{}, conns: map[net.Conn]bool{}}
+	return &Hub{processOf: from, isolated: map[int]bool{}, blocked: map[[2]int]bool{}, conns: map[net.Conn]bool{}}
 }
 
 // Add puts a proxy that listens at front before a process at target.
@@ -44,9 +44,9 @@
 		return err
 	}
 	h.mu.Lock()
-	h.ends = append(h.ends, ln, udp)
+	h.listeners = append(h.listeners, ln, udp)
 	h.mu.Unlock()
-	go h.carry(process, udp, to)
+	go h.forwardDatagrams(process, udp, to)
 	go h.accept(process, ln, target)
 	return nil
 }
@@ -54,18 +54,18 @@
 // Partition puts processes on a side of their own; with none, every link is whole.
 func (h *Hub) Partition(side ...int) {
 	h.mu.Lock()
-	h.side, h.deaf = map[int]bool{}, map[[2]int]bool{}
+	h.isolated, h.blocked = map[int]bool{}, map[[2]int]bool{}
 	for _, p := range side {
-		h.side[p] = true
+		h.isolated[p] = true
 	}
 	h.mu.Unlock()
-	h.reset()
+	h.closeStreams()
 }
 
-// Deafen cuts one direction between two processes until the next Partition.
-func (h *Hub) Deafen(from, to int) {
+// CutOneWay cuts one direction between two processes until the next Partition.
+func (h *Hub) CutOneWay(from, to int) {
 	h.mu.Lock()
-	h.deaf[[2]int{from, to}] = true
+	h.blocked[[2]int{from, to}] = true
 	h.mu.Unlock()
 }
 
@@ -80,27 +80,27 @@
 func (h *Hub) Bytes() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.sent
+	return h.bytesPassed
 }
 
-func (h *Hub) passes(from, to, bytes int) (bool, time.Duration) {
+func (h *Hub) admit(from, to, bytes int) (bool, time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.shut || h.side[from] != h.side[to] || h.deaf[[2]int{from, to}] {
+	if h.closed || h.isolated[from] != h.isolated[to] || h.blocked[[2]int{from, to}] {
 		return false, 0
 	}
-	h.sent += int64(bytes)
+	h.bytesPassed += int64(bytes)
 	return true, h.delay
 }
 
-func (h *Hub) carry(process int, udp net.PacketConn, to net.Addr) {
+func (h *Hub) forwardDatagrams(process int, udp net.PacketConn, to net.Addr) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, src, err := udp.ReadFrom(buf)
 		if err != nil {
 			return
 		}
-		ok, d := h.passes(h.from(src), process, n)
+		ok, d := h.admit(h.processOf(src), process, n)
 		switch {
 		case !ok:
 		case d == 0:
@@ -118,17 +118,17 @@
 		if err != nil {
 			return
 		}
-		go h.join(h.from(in.RemoteAddr()), process, in, target)
+		go h.forwardStream(h.processOf(in.RemoteAddr()), process, in, target)
 	}
 }
 
-// join leads a stream through; one across a cut is taken and answered by nobody.
-func (h *Hub) join(from, process int, in net.Conn, target string) {
+// forwardStream leads a stream through; one across a cut is taken and answered by nobody.
+func (h *Hub) forwardStream(from, process int, in net.Conn, target string) {
 	if !h.track(in) {
 		return
 	}
 	defer h.untrack(in)
-	if ok, _ := h.passes(from, process, 0); !ok {
+	if ok, _ := h.admit(from, process, 0); !ok {
 		io.Copy(io.Discard, in)
 		return
 	}
@@ -137,18 +137,18 @@
 		return
 	}
 	defer h.untrack(out)
-	go h.pump(process, from, out, in)
-	h.pump(from, process, in, out)
+	go h.copyDirection(process, from, out, in)
+	h.copyDirection(from, process, in, out)
 }
 
-func (h *Hub) pump(from, to int, in, out net.Conn) {
+func (h *Hub) copyDirection(from, to int, in, out net.Conn) {
 	defer in.Close()
 	defer out.Close()
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			ok, d := h.passes(from, to, n)
+			ok, d := h.admit(from, to, n)
 			if !ok {
 				return
 			}
@@ -166,7 +166,7 @@
 func (h *Hub) track(c net.Conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.shut {
+	if h.closed {
 		c.Close()
 		return false
 	}
@@ -181,8 +181,8 @@
 	c.Close()
 }
 
-// reset ends the streams: those across a new cut must not go on.
-func (h *Hub) reset() {
+// closeStreams ends the streams: those across a new cut must not go on.
+func (h *Hub) closeStreams() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for c := range h.conns {
@@ -193,11 +193,11 @@
 // Close ends all proxies.
 func (h *Hub) Close() {
 	h.mu.Lock()
-	h.shut = true
-	ends := h.ends
+	h.closed = true
+	ends := h.listeners
 	h.mu.Unlock()
 	for _, e := range ends {
 		e.Close()
 	}
-	h.reset()
+	h.closeStreams()
 }
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -37,11 +37,11 @@
 	Data string   // its data directory, for Wipe
 	Env  []string // nil: this process's
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
-	log  bytes.Buffer
-	life int
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	done   chan struct{}
+	log    bytes.Buffer
+	starts int
 }
 
 // Start starts a new life of the process; an error where it runs already.
@@ -51,11 +51,11 @@
 	if p.cmd != nil {
 		return fmt.Errorf("%s: runs already", p.Name)
 	}
-	p.life++
-	fmt.Fprintf(&p.log, "--- %s, life %d\n", p.Name, p.life)
+	p.starts++
+	fmt.Fprintf(&p.log, "--- %s, life %d\n", p.Name, p.starts)
 	cmd := exec.Command(p.Bin, p.Args...)
 	cmd.Env = p.Env
-	cmd.Stdout, cmd.Stderr = &locked{p}, &locked{p}
+	cmd.Stdout, cmd.Stderr = &lockedLog{p}, &lockedLog{p}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -73,12 +73,12 @@
 }
 
 // Kill ends the process with SIGKILL and waits for it; nothing of it is asked to stop well.
-func (p *Proc) Kill() { p.signal(syscall.SIGKILL) }
+func (p *Proc) Kill() { p.signalAndWait(syscall.SIGKILL) }
 
 // Stop ends the process with SIGTERM and waits for it.
-func (p *Proc) Stop() { p.signal(syscall.SIGTERM) }
+func (p *Proc) Stop() { p.signalAndWait(syscall.SIGTERM) }
 
-func (p *Proc) signal(s syscall.Signal) {
+func (p *Proc) signalAndWait(s syscall.Signal) {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
 	p.mu.Unlock()
@@ -89,20 +89,20 @@
 	<-done
 }
 
-// Stall stops the process where it stands (SIGSTOP): its sockets stay open and it says nothing,
+// Suspend stops the process where it stands (SIGSTOP): its sockets stay open and it says nothing,
 // until Resume. It does not wait.
-func (p *Proc) Stall() { p.tell(syscall.SIGSTOP) }
+func (p *Proc) Suspend() { p.sendSignal(syscall.SIGSTOP) }
 
 // Resume lets a stalled process go on (SIGCONT).
-func (p *Proc) Resume() { p.tell(syscall.SIGCONT) }
+func (p *Proc) Resume() { p.sendSignal(syscall.SIGCONT) }
 
 // HangUp has the process read its files anew (SIGHUP).
-func (p *Proc) HangUp() { p.tell(syscall.SIGHUP) }
+func (p *Proc) HangUp() { p.sendSignal(syscall.SIGHUP) }
 
 // Term asks the process to stop (SIGTERM) and does not wait; Done tells of its end.
-func (p *Proc) Term() { p.tell(syscall.SIGTERM) }
+func (p *Proc) Term() { p.sendSignal(syscall.SIGTERM) }
 
-func (p *Proc) tell(s syscall.Signal) {
+func (p *Proc) sendSignal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -134,8 +134,8 @@
 	return p.cmd.Process.Pid
 }
 
-// Wipe removes the data directory, as a lost disk; the process must not run.
-func (p *Proc) Wipe() error {
+// WipeData removes the data directory, as a lost disk; the process must not run.
+func (p *Proc) WipeData() error {
 	if p.Running() {
 		return fmt.Errorf("%s: wipe while it runs", p.Name)
 	}
@@ -149,10 +149,10 @@
 	return p.log.String()
 }
 
-type locked struct{ p *Proc }
+type lockedLog struct{ proc *Proc }
 
-func (l *locked) Write(b []byte) (int, error) {
-	l.p.mu.Lock()
-	defer l.p.mu.Unlock()
-	return l.p.log.Write(b)
+func (l *lockedLog) Write(b []byte) (int, error) {
+	l.proc.mu.Lock()
+	defer l.proc.mu.Unlock()
+	return l.proc.log.Write(b)
 }
--- a/internal/faultnet/proxy.go
+++ b/internal/faultnet/proxy.go
@@ -29,22 +29,22 @@
 	udp    net.PacketConn // nil: no datagrams
 	target string
 
-	mu     sync.Mutex
-	mode   Mode
-	delay  time.Duration
-	jitter time.Duration
-	rng    *rand.Rand
-	conns  map[net.Conn]bool
-	closed bool
-	taken  int64 // connections made to it,
-	passed int64 // and bytes that crossed, both ways
+	mu          sync.Mutex
+	mode        Mode
+	delay       time.Duration
+	jitter      time.Duration
+	rng         *rand.Rand
+	conns       map[net.Conn]bool
+	closed      bool
+	accepted    int64 // connections made to it,
+	bytesPassed int64 // and bytes that crossed, both ways
 }
 
 // Traffic is how many connections were made to the link, and the bytes that crossed it, both ways.
 func (l *Link) Traffic() (conns, bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.taken, l.passed
+	return l.accepted, l.bytesPassed
 }
 
 // NewLink listens on a free loopback port and forwards to target. seed draws its jitter.
@@ -100,19 +100,19 @@
 			return
 		}
 		l.mu.Lock()
-		l.taken++
+		l.accepted++
 		l.mu.Unlock()
-		go l.join(in)
+		go l.forward(in)
 	}
 }
 
-// join dials the target for a new connection; a dropped link takes the connection and
+// forward dials the target for a new connection; a dropped link takes the connection and
 // answers nothing, as a far end behind a cut does.
-func (l *Link) join(in net.Conn) {
+func (l *Link) forward(in net.Conn) {
 	if !l.track(in) {
 		return
 	}
-	if l.now() == Drop {
+	if l.currentMode() == Drop {
 		io.Copy(io.Discard, in)
 		l.untrack(in)
 		return
@@ -127,8 +127,8 @@
 		in.Close()
 		return
 	}
-	go l.pump(in, out)
-	l.pump(out, in)
+	go l.copyDirection(in, out)
+	l.copyDirection(out, in)
 }
 
 func (l *Link) track(c net.Conn) bool {
@@ -149,14 +149,14 @@
 	c.Close()
 }
 
-func (l *Link) now() Mode {
+func (l *Link) currentMode() Mode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mode
 }
 
-// wait is one chunk's delay, drawn under the lock so that a seed gives one sequence.
-func (l *Link) wait() (Mode, time.Duration) {
+// nextDelay is one chunk's delay, drawn under the lock so that a seed gives one sequence.
+func (l *Link) nextDelay() (Mode, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.delay
@@ -166,21 +166,21 @@
 	return l.mode, d
 }
 
-// pump copies one direction, chunk by chunk, each after its delay and in order; while the
+// copyDirection copies one direction, chunk by chunk, each after its delay and in order; while the
 // link drops, chunks are thrown away.
-func (l *Link) pump(from, to net.Conn) {
+func (l *Link) copyDirection(from, to net.Conn) {
 	defer l.untrack(from)
 	defer l.untrack(to)
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			mode, d := l.wait()
+			mode, d := l.nextDelay()
 			if mode == Drop {
 				continue
 			}
 			l.mu.Lock()
-			l.passed += int64(n)
+			l.bytesPassed += int64(n)
 			l.mu.Unlock()
 			if d > 0 {
 				time.Sleep(d) // the delay itself is the fault; order is kept as one goroutine writes
@@ -215,14 +215,14 @@
 			l.Close()
 			return nil, err
 		}
-		go l.carry(l.udp, to)
+		go l.forwardDatagrams(l.udp, to)
 		return l, nil
 	}
 	return nil, errors.New("faultnet: no port free for both connections and datagrams")
 }
 
-// carry forwards datagrams, each after its delay; the order may change, as on a real network.
-func (l *Link) carry(in net.PacketConn, to net.Conn) {
+// forwardDatagrams forwards datagrams, each after its delay; the order may change, as on a real network.
+func (l *Link) forwardDatagrams(in net.PacketConn, to net.Conn) {
 	defer to.Close()
 	buf := make([]byte, 64<<10)
 	for {
@@ -230,7 +230,7 @@
 		if err != nil {
 			return
 		}
-		mode, d := l.wait()
+		mode, d := l.nextDelay()
 		switch {
 		case mode == Drop:
 		case d == 0:
--- a/internal/fleet/members/many_test.go
+++ b/internal/fleet/members/many_test.go
@@ -369,7 +369,7 @@
 }
 
 func measureFleet(b *testing.B, sh shape, n int) {
-	octet, err := faultnet.TakeOctet()
+	octet, err := faultnet.ReserveOctet()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -47,7 +47,7 @@
 
 func testSplit(t *testing.T, seeds func(i int) []int) {
 	const agents = 8
-	octet, err := faultnet.TakeOctet()
+	octet, err := faultnet.ReserveOctet()
 	require.NoError(t, err)
 	defer octet.Release()
 	bind := func(i int) string { return octet.Host(i+1) + ":7946" }
--- a/internal/fleet/spreader/spreader_test.go
+++ b/internal/fleet/spreader/spreader_test.go
@@ -130,7 +130,7 @@
 
 // TestCompressed: a summary of a service's 27 servers goes in less than two thirds of its length.
 func TestCompressed(t *testing.T) {
-	octet, err := faultnet.TakeOctet()
+	octet, err := faultnet.ReserveOctet()
 	require.NoError(t, err)
 	defer octet.Release()
 	open := func(i int) *Spreader {
--- a/internal/front/callapi/callapi_test.go
+++ b/internal/front/callapi/callapi_test.go
@@ -20,8 +20,8 @@
 	"woodrouter/internal/standin"
 )
 
-func startFront(t *testing.T, cfg connmgr.Config) (*Front, *standin.Core, string) {
-	c := standin.NewCore()
+func startFront(t *testing.T, cfg connmgr.Config) (*Front, *standin.AgentStub, string) {
+	c := standin.NewAgentStub()
 	f := New(cfg, c)
 	f.Configure(ws.Endpoint{Path: "/calls"}, 4096)
 	return f, c, "ws://" + standin.Serve(t, f) + "/calls"
@@ -36,7 +36,7 @@
 
 func dial(t *testing.T, url string) client {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), standin.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), standin.WaitTimeout)
 	t.Cleanup(cancel)
 	conn, resp, err := websocket.Dial(ctx, url, &websocket.DialOptions{Subprotocols: []string{"woodrouter.call.v1"}})
 	require.NoError(t, err)
@@ -240,7 +240,7 @@
 	conn, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(url, "ws://"), "/calls"))
 	require.NoError(t, err)
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(standin.Patience))
+	conn.SetDeadline(time.Now().Add(standin.WaitTimeout))
 	_, err = conn.Write([]byte("GET /calls HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
 		"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n\x81\x02{}"))
 	require.NoError(t, err)
@@ -320,7 +320,7 @@
 		require.NoError(t, err)
 		defer conn.Close()
 		conn.Write([]byte(partial))
-		conn.SetReadDeadline(time.Now().Add(standin.Patience))
+		conn.SetReadDeadline(time.Now().Add(standin.WaitTimeout))
 		_, err = io.ReadAll(conn)
 		require.NoError(t, err, "closed by the agent, not by the test's deadline")
 	}
--- a/internal/front/isupfront/isupfront_test.go
+++ b/internal/front/isupfront/isupfront_test.go
@@ -16,8 +16,8 @@
 	"woodrouter/isup"
 )
 
-func startFront(t *testing.T, cfg connmgr.Config) (*Front, *standin.Core, string) {
-	c := standin.NewCore()
+func startFront(t *testing.T, cfg connmgr.Config) (*Front, *standin.AgentStub, string) {
+	c := standin.NewAgentStub()
 	f := New(cfg, c, func() bool { return true })
 	return f, c, standin.Serve(t, f)
 }
@@ -107,7 +107,7 @@
 	c := standin.NewCaller(t, addr)
 	c.Await(t, isup.Release, 7)
 	c.Send(isup.Message{Type: isup.Release, Call: 8}.WithCause(isup.Normal))
-	assert.Equal(t, "0000000000000008", standin.Next(t, core.Unknown))
+	assert.Equal(t, "0000000000000008", standin.Next(t, core.UnknownReleases))
 }
 
 // encodeSetUp encodes a set-up with the given time and figures, which may be invalid.
@@ -256,7 +256,7 @@
 // TestCloseCrossing checks that a set-up that crosses the close of its connection is not accepted and does
 // not reset the connection: its caller can read what was written before, and the end of the connection.
 func TestCloseCrossing(t *testing.T) {
-	f, core, addr := startFront(t, connmgr.Config{LingerTimeout: standin.Patience})
+	f, core, addr := startFront(t, connmgr.Config{LingerTimeout: standin.WaitTimeout})
 	c := standin.NewCaller(t, addr)
 	c.SetUp(1, "voice", 3*time.Second, 2)
 	f.Answered(standin.Next(t, core.Offered), []byte("there"))
--- a/internal/lab/chainlab/rig.go
+++ b/internal/lab/chainlab/rig.go
@@ -43,7 +43,7 @@
 func deployment() emulator.Deployment {
 	d := emulator.Campus()
 	d.Name, d.Tenants = "chain", nil
-	d.Classes = []emulator.Class{{Name: class, Share: 1, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 1, Late: 0.25}}
+	d.Classes = []emulator.Class{{Name: class, Share: 1, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25}}
 	return d
 }
 
@@ -63,7 +63,7 @@
 	if err := keepOwn(); err != nil {
 		return nil, err
 	}
-	o, err := faultnet.TakeOctet()
+	o, err := faultnet.ReserveOctet()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/crew/crew.go
+++ b/internal/lab/cluster/crew.go
@@ -1,7 +1,7 @@
-// Package crew starts call agents as processes of the program in a deployment of package
+// Package cluster starts call agents as processes of the program in a deployment of package
 // emulator: hundreds of them, each on a loopback address of its own, with faults between them.
 // Tests and cmd/woodlab use it. Loopback only.
-package crew
+package cluster
 
 import (
 	"bufio"
@@ -27,44 +27,44 @@
 	gossipPort  = 5072
 )
 
-// Plan is what a crew is started with.
-type Plan struct {
+// Config is what a crew is started with.
+type Config struct {
 	Bin, Dir   string
 	Deployment emulator.Deployment
 	Agents     int
 	Servers    int
 	Seed       uint64
 	// Env gives an agent further variables, such as an operators' file; nil: none.
-	Env      func(c *Crew, agent int) ([]string, error)
-	Gossip   bool // agents talk to one another, each behind a proxy
-	Parallel int  // agents started at once; 0: 8
+	Env        func(c *Cluster, agent int) ([]string, error)
+	WithGossip bool // agents talk to one another, each behind a proxy
+	Parallel   int  // agents started at once; 0: 8
 }
 
-// Crew is agents in a world.
-type Crew struct {
-	Plan
-	Net   *emulator.Net
+// Cluster is agents in a world.
+type Cluster struct {
+	Config
+	Net   *emulator.LoopbackNet
 	World *emulator.World
 	Procs []*faultnet.Proc
-	// Gossip is the links by which agents talk; nil where Plan.Gossip is not set.
-	Gossip *faultnet.Hub
+	// GossipHub is the links by which agents talk; nil where Plan.Gossip is not set.
+	GossipHub *faultnet.Hub
 }
 
 // Start starts the world and all agents, and waits until every agent takes calls.
-func Start(ctx context.Context, p Plan) (*Crew, error) {
-	c := &Crew{Plan: p}
+func Start(ctx context.Context, p Config) (*Cluster, error) {
+	c := &Cluster{Config: p}
 	var err error
-	if c.Net, err = emulator.NewNet(); err != nil {
+	if c.Net, err = emulator.NewLoopbackNet(); err != nil {
 		return nil, err
 	}
 	if c.World, err = emulator.NewWorld(p.Deployment, c.Net, p.Agents, p.Servers, p.Seed); err != nil {
 		c.Net.Release()
 		return nil, err
 	}
-	if p.Gossip {
-		c.Gossip = faultnet.NewHub(c.Net.Agent)
+	if p.WithGossip {
+		c.GossipHub = faultnet.NewHub(c.Net.AgentAt)
 		for i := range p.Agents {
-			if err := c.Gossip.Add(i, c.GossipFront(i), c.GossipBind(i)); err != nil {
+			if err := c.GossipHub.Add(i, c.GossipProxyAddr(i), c.GossipAddr(i)); err != nil {
 				c.Close()
 				return nil, err
 			}
@@ -74,15 +74,15 @@
 	for i := range c.Procs {
 		c.Procs[i] = &faultnet.Proc{Name: fmt.Sprintf("a%d", i), Bin: p.Bin, Data: filepath.Join(p.Dir, fmt.Sprintf("a%d.data", i))}
 	}
-	if err := c.each(func(i int) error { return errors.Join(c.Launch(i), c.Ready(ctx, i)) }); err != nil {
+	if err := c.forEachAgent(func(i int) error { return errors.Join(c.StartAgent(i), c.AwaitReady(ctx, i)) }); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// each does something for every agent, some at once.
-func (c *Crew) each(do func(i int) error) error {
+// forEachAgent does something for every agent, some at once.
+func (c *Cluster) forEachAgent(do func(i int) error) error {
 	next := make(chan int)
 	errs := make(chan error, len(c.Procs))
 	var work sync.WaitGroup
@@ -109,16 +109,18 @@
 }
 
 // Addr is where an agent's callers connect.
-func (c *Crew) Addr(i int) string { return fmt.Sprintf("%s:%d", c.Net.Host(i), callersPort) }
+func (c *Cluster) Addr(i int) string { return fmt.Sprintf("%s:%d", c.Net.Host(i), callersPort) }
 
-// GossipBind is where an agent listens for the others, GossipFront where they reach it.
-func (c *Crew) GossipBind(i int) string { return fmt.Sprintf("%s:%d", c.Net.Host(i), gossipPort) }
+// GossipAddr is where an agent listens for the others, GossipFront where they reach it.
+func (c *Cluster) GossipAddr(i int) string { return fmt.Sprintf("%s:%d", c.Net.Host(i), gossipPort) }
 
-// GossipFront is the address of the proxy in front of GossipBind.
-func (c *Crew) GossipFront(i int) string { return fmt.Sprintf("%s:%d", c.Net.Front(i), gossipPort) }
+// GossipProxyAddr is the address of the proxy in front of GossipBind.
+func (c *Cluster) GossipProxyAddr(i int) string {
+	return fmt.Sprintf("%s:%d", c.Net.ProxyHost(i), gossipPort)
+}
 
-// Launch writes an agent's configuration and starts a life of it.
-func (c *Crew) Launch(i int) error {
+// StartAgent writes an agent's configuration and starts a life of it.
+func (c *Cluster) StartAgent(i int) error {
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("a%d", i), "listen": c.Addr(i), "seed": fmt.Sprintf("%016x", c.Seed*1000+uint64(i)),
 		"console": fmt.Sprintf("%s:%d", c.Net.Host(i), consolePort),
 		"limits":  map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512}, "bulletin": c.World.Bulletin(), "known": c.World.Known(),
@@ -142,15 +144,15 @@
 	return p.Start()
 }
 
-// readyMost bounds an agent's start on a busy machine.
-const readyMost = 30 * time.Second
+// readyTimeout bounds an agent's start on a busy machine.
+const readyTimeout = 30 * time.Second
 
-// Ready waits until an agent passes a test, as the platform's front asks before it sends callers.
-func (c *Crew) Ready(ctx context.Context, i int) error {
-	ctx, cancel := context.WithTimeout(ctx, readyMost)
+// AwaitReady waits until an agent passes a test, as the platform's front asks before it sends callers.
+func (c *Cluster) AwaitReady(ctx context.Context, i int) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		ok, err := c.test(i)
+		ok, err := c.passesTest(i)
 		if ok {
 			return nil
 		}
@@ -165,7 +167,7 @@
 	}
 }
 
-func (c *Crew) test(i int) (bool, error) {
+func (c *Cluster) passesTest(i int) (bool, error) {
 	conn, err := net.DialTimeout("tcp", c.Addr(i), time.Second)
 	if err != nil {
 		return false, err
@@ -187,8 +189,8 @@
 	return m.Type == isup.TestResult && cause == isup.Passed, err
 }
 
-// Ask says a line to an agent's console and returns the answer; "" where nobody answers.
-func (c *Crew) Ask(i int, line string) string {
+// ConsoleCommand says a line to an agent's console and returns the answer; "" where nobody answers.
+func (c *Cluster) ConsoleCommand(i int, line string) string {
 	conn, err := net.DialTimeout("tcp", fmt.Sprintf("%s:%d", c.Net.Host(i), consolePort), time.Second)
 	if err != nil {
 		return ""
@@ -203,27 +205,27 @@
 	return said
 }
 
-// Call starts callers at all agents.
-func (c *Crew) Call(ctx context.Context, load emulator.Load) *emulator.Callers {
-	return c.World.Call(ctx, load, c.Addr)
+// StartCallers starts callers at all agents.
+func (c *Cluster) StartCallers(ctx context.Context, load emulator.Load) *emulator.Callers {
+	return c.World.StartCallers(ctx, load, c.Addr)
 }
 
 // Close kills every agent and ends the world.
-func (c *Crew) Close() {
+func (c *Cluster) Close() {
 	var down sync.WaitGroup
 	for _, p := range c.Procs {
 		down.Go(p.Kill)
 	}
 	down.Wait()
-	if c.Gossip != nil {
-		c.Gossip.Close()
+	if c.GossipHub != nil {
+		c.GossipHub.Close()
 	}
 	c.World.Close()
 	c.Net.Release()
 }
 
 // Logs is the log of the agents picked, for a failed run.
-func (c *Crew) Logs(agents ...int) (out string) {
+func (c *Cluster) Logs(agents ...int) (out string) {
 	for _, i := range agents {
 		out += c.Procs[i].Log()
 	}
--- a/internal/lab/crew/matrix_test.go
+++ b/internal/lab/cluster/matrix_test.go
@@ -1,4 +1,4 @@
-package crew
+package cluster
 
 import (
 	"context"
@@ -26,11 +26,11 @@
 			t.Parallel()
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			defer cancel()
-			c, err := Start(ctx, Plan{Bin: bin, Dir: t.TempDir(), Deployment: d, Agents: 4, Servers: 3, Seed: 7})
+			c, err := Start(ctx, Config{Bin: bin, Dir: t.TempDir(), Deployment: d, Agents: 4, Servers: 3, Seed: 7})
 			require.NoError(t, err)
 			defer c.Close()
-			calls := c.Call(ctx, emulator.Load{Rates: emulator.Uneven(4, 0.6*d.Total(3), 7), Seed: 7, Choice: 0.4, Shift: 5 * time.Second})
-			play(ctx, t, c, calls)
+			calls := c.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(4, 0.6*d.Total(3), 7), Seed: 7, ChoiceVariation: 0.4, ChoicePeriod: 5 * time.Second})
+			playFaults(ctx, t, c, calls)
 			calls.Wait()
 			sum, _ := calls.Tally()
 			require.NoError(t, c.World.Check.Err())
@@ -43,28 +43,28 @@
 	}
 }
 
-func play(ctx context.Context, t *testing.T, c *Crew, calls *emulator.Callers) {
-	lab.Pause(ctx, 2*time.Second)
+func playFaults(ctx context.Context, t *testing.T, c *Cluster, calls *emulator.Callers) {
+	lab.Sleep(ctx, 2*time.Second)
 	servers := c.World.Listed()
 	_, err := c.World.Replace(ctx, servers[0], 3*time.Second) // drains, and a cold one takes its place
 	require.NoError(t, err)
-	servers[1].Vanish()
-	lab.Pause(ctx, 2*time.Second)
-	require.NoError(t, c.World.Return(servers[1]))
+	servers[1].GoSilent()
+	lab.Sleep(ctx, 2*time.Second)
+	require.NoError(t, c.World.Restart(servers[1]))
 	c.Procs[1].Term() // what it took must be answered; callers come for a while yet
 	asked := time.Now()
-	lab.Pause(ctx, 300*time.Millisecond)
+	lab.Sleep(ctx, 300*time.Millisecond)
 	calls.Divert(1, true)
 	if time.Since(asked) > 600*time.Millisecond { // by the platform's pages nobody comes so late: this test was kept from its processor
-		calls.Trouble(1, true)
+		calls.MarkFaulty(1, true)
 	}
 	<-c.Procs[1].Done()
-	calls.Trouble(1, true)
-	require.NoError(t, c.Launch(1))
-	require.NoError(t, c.Ready(ctx, 1))
-	calls.Trouble(1, false)
+	calls.MarkFaulty(1, true)
+	require.NoError(t, c.StartAgent(1))
+	require.NoError(t, c.AwaitReady(ctx, 1))
+	calls.MarkFaulty(1, false)
 	calls.Divert(1, false)
-	lab.Pause(ctx, 3*time.Second)
+	lab.Sleep(ctx, 3*time.Second)
 }
 
 // TestColdFleet: thirty processes under load, then idle for a while, each with its part of a cold
@@ -76,27 +76,27 @@
 	defer cancel()
 	d := emulator.Campus()
 	d.FallMultiple, d.Cold = 1.1, time.Minute
-	c, err := Start(ctx, Plan{Bin: bin, Dir: t.TempDir(), Deployment: d, Agents: agents, Servers: 3, Seed: 7})
+	c, err := Start(ctx, Config{Bin: bin, Dir: t.TempDir(), Deployment: d, Agents: agents, Servers: 3, Seed: 7})
 	require.NoError(t, err)
 	defer c.Close()
-	calls := c.Call(ctx, emulator.Load{Rates: emulator.Uneven(agents, 4*d.Total(3), 7), Seed: 7, Choice: 0.4, Shift: 5 * time.Second})
+	calls := c.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(agents, 4*d.Total(3), 7), Seed: 7, ChoiceVariation: 0.4, ChoicePeriod: 5 * time.Second})
 	calls.Scale(0.2)
-	lab.Pause(ctx, 5*time.Second) // what a server takes is learned under load
+	lab.Sleep(ctx, 5*time.Second) // what a server takes is learned under load
 	calls.Scale(0.02)
 	_, err = c.World.Replace(ctx, c.World.Listed()[0], 3*time.Second)
 	require.NoError(t, err)
 	for i := 0; i < agents; i += 3 {
-		calls.Trouble(i, true)
+		calls.MarkFaulty(i, true)
 		c.Procs[i].Kill()
-		require.NoError(t, c.Launch(i))
+		require.NoError(t, c.StartAgent(i))
 	}
 	for i := 0; i < agents; i += 3 {
-		require.NoError(t, c.Ready(ctx, i))
-		calls.Trouble(i, false)
+		require.NoError(t, c.AwaitReady(ctx, i))
+		calls.MarkFaulty(i, false)
 	}
-	lab.Pause(ctx, 3*time.Second) // each part comes once in about that time
+	lab.Sleep(ctx, 3*time.Second) // each part comes once in about that time
 	calls.Scale(1)
-	lab.Pause(ctx, 2*time.Second)
+	lab.Sleep(ctx, 2*time.Second)
 	calls.Scale(0.02)
 	calls.Wait()
 	require.NoError(t, c.World.Check.Err())
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -16,13 +16,13 @@
 
 // ScheduleMost bounds a schedule's faults; ReadMost what reading every promise back takes.
 const (
-	ScheduleMost = 3 * time.Minute
-	ReadMost     = time.Minute
+	ScheduleTimeout = 3 * time.Minute
+	ReadBackTimeout = time.Minute
 )
 
-// Drawn is which of n faults a schedule's steps play, by its seed; a run long enough has each
+// DrawFaults is which of n faults a schedule's steps play, by its seed; a run long enough has each
 // once, in order, before it draws.
-func Drawn(seed uint64, steps, n int) (out []int) {
+func DrawFaults(seed uint64, steps, n int) (out []int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range steps {
 		f := rng.IntN(n)
@@ -34,43 +34,43 @@
 	return out
 }
 
-// StepMost bounds one step of a schedule: on a busy machine a step takes a few seconds.
-const StepMost = 45 * time.Second
+// StepTimeout bounds one step of a schedule: on a busy machine a step takes a few seconds.
+const StepTimeout = 45 * time.Second
 
-// Step plays one step within StepMost; what it waited for then is in its error.
-func Step(ctx context.Context, play func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, StepMost)
+// RunStep plays one step within StepMost; what it waited for then is in its error.
+func RunStep(ctx context.Context, play func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, StepTimeout)
 	defer cancel()
 	return play(ctx)
 }
 
-// Progress waits within StepMost until count has risen by n. An error says how far it came and
+// AwaitProgress waits within StepMost until count has risen by n. An error says how far it came and
 // what those it waits for say of themselves.
-func Progress(ctx context.Context, count func() int, n int, what string, states func() string) error {
-	return Step(ctx, func(ctx context.Context) error {
+func AwaitProgress(ctx context.Context, count func() int, n int, what string, states func() string) error {
+	return RunStep(ctx, func(ctx context.Context) error {
 		first := count()
 		for count() < first+n {
 			if ctx.Err() != nil {
 				return fmt.Errorf("waited for %d %s, got %d: %w: %s", n, what, count()-first, ctx.Err(), states())
 			}
-			Pause(ctx, 10*time.Millisecond)
+			Sleep(ctx, 10*time.Millisecond)
 		}
 		return nil
 	})
 }
 
-// Pause is a fault's own length.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep is a fault's own length.
+func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// Reserve holds a free port of a host (faultnet.NewHost) until release: a member's addresses
+// ReservePort holds a free port of a host (faultnet.NewHost) until release: a member's addresses
 // must outlive its lives, so port 0 alone can't serve. The host is one run's own, so that between
 // release and the member's start no proxy and no connection of a run beside it takes the port.
-func Reserve(host string, held *[]net.Listener) (string, error) {
+func ReservePort(host string, held *[]net.Listener) (string, error) {
 	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return "", err
@@ -87,13 +87,13 @@
 	"guarantees":{"answerSlack":20000,"drainGrace":2000000,"cold":14000000,"coldFrom":0.29,"fallMultiple":3,"tipAfter":1000000},
 	"domain":{"classHold":[8000000],"clearWait":300000,"repeat":800000,"poolsByClass":[[0]]}}`
 
-// PatientSettings are the same with callers who wait for 9 s.
-const PatientSettings = `{"nInstances":6,"rank":0,"resolution":1000,
+// LongDeadlineSettings are the same with callers who wait for 9 s.
+const LongDeadlineSettings = `{"nInstances":6,"rank":0,"resolution":1000,
 	"profiles":[{"name":"voice","goalTime":5000000,"deadline":9000000,"worth":1}],
 	"stats":{"fields":["spare","total","latency_ms"],"how":"piggyback"},
 	"limits":{"maxAttempts":5,"maxRetryAfter":2000000,"retryAfter":true,"cancel":true,"connectTimeout":500000},
 	"guarantees":{"answerSlack":20000,"drainGrace":2000000,"cold":14000000,"coldFrom":0.29,"fallMultiple":3,"tipAfter":1000000},
 	"domain":{"classHold":[8000000],"clearWait":300000,"repeat":800000,"poolsByClass":[[0]]}}`
 
-// Calm are a group's timers where a busy machine's pauses must not cost it its leader.
-var Calm = replica.TimingConfig{Heartbeat: "1s", Election: "1s", Lease: "800ms"}
+// SlowTiming are a group's timers where a busy machine's pauses must not cost it its leader.
+var SlowTiming = replica.TimingConfig{Heartbeat: "1s", Election: "1s", Lease: "800ms"}
--- a/internal/lab/emulator/bulletin.go
+++ b/internal/lab/emulator/bulletin.go
@@ -16,16 +16,16 @@
 	addr  string
 	srv   *http.Server
 
-	mu     sync.Mutex
-	items  []item
-	news   chan struct{}
-	silent bool // asks are taken and not answered
+	mu      sync.Mutex
+	events  []event
+	changed chan struct{}
+	silent  bool // asks are taken and not answered
 }
 
-type item struct {
-	at   time.Time // it was made
-	seen []time.Duration
-	body map[string]any
+type event struct {
+	madeAt time.Time // it was made
+	delays []time.Duration
+	body   map[string]any
 }
 
 func newBulletin(w *World) (*bulletin, error) {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bulletin{world: w, addr: ln.Addr().String(), news: make(chan struct{})}
+	b := &bulletin{world: w, addr: ln.Addr().String(), changed: make(chan struct{})}
 	b.srv = &http.Server{Handler: b}
 	go b.srv.Serve(ln)
 	return b, nil
@@ -41,18 +41,18 @@
 
 func (b *bulletin) close() { b.srv.Close() }
 
-// begin is the event of the start, known to all at once.
-func (b *bulletin) begin(servers []*Server) {
+// addInitial is the event of the start, known to all at once.
+func (b *bulletin) addInitial(servers []*Server) {
 	b.add(true, make([]time.Duration, b.world.Agents), servers)
 }
 
-// tell lists what has become of servers.
-func (b *bulletin) tell(servers ...*Server) {
+// announce lists what has become of servers.
+func (b *bulletin) announce(servers ...*Server) {
 	w := b.world
 	w.mu.Lock()
 	seen := make([]time.Duration, w.Agents)
 	for i := range seen {
-		seen[i] = w.Notice + time.Duration(w.rng.Float64()*float64(w.Spread))
+		seen[i] = w.BulletinDelay + time.Duration(w.rng.Float64()*float64(w.BulletinSpread))
 	}
 	w.mu.Unlock()
 	b.add(false, seen, servers)
@@ -63,46 +63,46 @@
 	var entries []map[string]any
 	for _, s := range servers {
 		entries = append(entries, s.entry())
-		s.told(now, seen)
+		s.recordAnnounced(now, seen)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	no := len(b.items) + 1
-	b.items = append(b.items, item{now, seen, map[string]any{"no": no,
+	no := len(b.events) + 1
+	b.events = append(b.events, event{now, seen, map[string]any{"no": no,
 		"roster": map[string]any{"index": no, "snapshot": whole, "endpoints": entries}}})
-	close(b.news)
-	b.news = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// known is the events past after that an agent can see; agent -1 sees all.
-func (b *bulletin) known(after, agent int) map[string]any {
+// eventsAfter is the events past after that an agent can see; agent -1 sees all.
+func (b *bulletin) eventsAfter(after, agent int) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := b.visible(agent)
+	n := b.visibleCount(agent)
 	items := []any{}
 	for i := min(after, n); i < n; i++ {
-		items = append(items, b.items[i].body)
+		items = append(items, b.events[i].body)
 	}
 	return map[string]any{"no": n, "items": items}
 }
 
-func (b *bulletin) visible(agent int) int {
+func (b *bulletin) visibleCount(agent int) int {
 	if agent < 0 {
-		return len(b.items)
+		return len(b.events)
 	}
-	for i, it := range b.items {
-		if time.Since(it.at) < it.seen[agent] {
+	for i, it := range b.events {
+		if time.Since(it.madeAt) < it.delays[agent] {
 			return i
 		}
 	}
-	return len(b.items)
+	return len(b.events)
 }
 
-// Silence has the bulletin take what is asked and answer nothing, until it is lifted.
-func (w *World) Silence(on bool) {
-	w.book.mu.Lock()
-	w.book.silent = on
-	w.book.mu.Unlock()
+// SilenceBulletin has the bulletin take what is asked and answer nothing, until it is lifted.
+func (w *World) SilenceBulletin(on bool) {
+	w.bulletin.mu.Lock()
+	w.bulletin.silent = on
+	w.bulletin.mu.Unlock()
 }
 
 func (b *bulletin) ServeHTTP(out http.ResponseWriter, r *http.Request) {
@@ -113,19 +113,19 @@
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
 	}
-	agent := min(b.world.net.Agent(from), b.world.Agents-1)
+	agent := min(b.world.net.AgentAt(from), b.world.Agents-1)
 	until := time.Now().Add(time.Duration(patience) * time.Millisecond)
 	for {
 		b.mu.Lock()
-		news, silent, ready := b.news, b.silent, b.visible(agent) > after
-		pending := len(b.items) > after && !ready
+		news, silent, ready := b.changed, b.silent, b.visibleCount(agent) > after
+		pending := len(b.events) > after && !ready
 		b.mu.Unlock()
 		switch {
 		case silent:
 			<-r.Context().Done()
 			return
 		case ready || !time.Now().Before(until):
-			json.NewEncoder(out).Encode(b.known(after, agent))
+			json.NewEncoder(out).Encode(b.eventsAfter(after, agent))
 			return
 		}
 		look := time.Until(until)
--- a/internal/lab/emulator/callers.go
+++ b/internal/lab/emulator/callers.go
@@ -18,14 +18,14 @@
 type Load struct {
 	Rates []float64 // calls a second that begin at each agent
 	Seed  uint64
-	// Choice is how unevenly calls name a setup server of first choice (a coefficient of
+	// ChoiceVariation is how unevenly calls name a setup server of first choice (a coefficient of
 	// variation over the groups, drawn anew every Shift); negative: they name none.
-	Choice float64
-	Shift  time.Duration
+	ChoiceVariation float64
+	ChoicePeriod    time.Duration
 }
 
-// Uneven shares a total out over agents: most near the mean, one in twenty several times it.
-func Uneven(agents int, total float64, seed uint64) []float64 {
+// UnevenRates shares a total out over agents: most near the mean, one in twenty several times it.
+func UnevenRates(agents int, total float64, seed uint64) []float64 {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	out := make([]float64, agents)
 	sum := 0.0
@@ -59,80 +59,80 @@
 
 // Callers call agents, open loop: a call comes when its time has come.
 type Callers struct {
-	world *World
-	load  Load
-	addr  func(agent int) string
-	lines []*line
-	next  atomic.Uint64
-	scale atomic.Uint64 // float bits
-	open  sync.WaitGroup
-	stop  context.CancelFunc
+	world     *World
+	load      Load
+	addr      func(agent int) string
+	conns     []*callerConn
+	nextID    atomic.Uint64
+	rateScale atomic.Uint64 // float bits
+	pending   sync.WaitGroup
+	stop      context.CancelFunc
 
-	mu      sync.Mutex
-	choices []float64 // cumulative weights of the groups
-	drawn   time.Time
-	sum     Outcome
-	waits   []time.Duration // of served calls, since the last Tally
+	mu            sync.Mutex
+	choiceWeights []float64 // cumulative weights of the groups
+	choicesDrawn  time.Time
+	outcome       Outcome
+	setUpTimes    []time.Duration // of served calls, since the last Tally
 }
 
-// line is the connection of an agent's callers.
-type line struct {
+// callerConn is the connection of an agent's callers.
+type callerConn struct {
 	agent int
 
-	mu        sync.Mutex
-	conn      net.Conn
-	calls     map[isup.CallID]*tried
-	away      bool      // callers go to other agents
-	disturbed time.Time // the agent was stalled, cut off or killed last
-	troubled  bool      // and still is
+	mu           sync.Mutex
+	conn         net.Conn
+	calls        map[isup.CallID]*callerTry
+	diverted     bool      // callers go to other agents
+	faultChanged time.Time // the agent was stalled, cut off or killed last
+	faulty       bool      // and still is
 }
 
-// tried is one try of a call.
-type tried struct {
+// callerTry is one try of a call.
+type callerTry struct {
 	id       isup.CallID
-	root     *root
-	n        int
-	at       time.Time
+	call     *callerCall
+	number   int
+	sentAt   time.Time
 	deadline time.Time
 	answered bool
 	over     bool
 	timer    *time.Timer
 }
 
-// root is a call with all its tries.
-type root struct {
+// callerCall is a call with all its tries.
+type callerCall struct {
 	class  Class
 	tenant string
 	number string
-	at     time.Time
+	begun  time.Time
 	earned float64
 }
 
-// Call starts callers at the agents' addresses. They stop with ctx, and Wait waits for the last.
-func (w *World) Call(ctx context.Context, load Load, addr func(agent int) string) *Callers {
+// StartCallers starts callers at the agents' addresses. They stop with ctx, and Wait waits for the last.
+func (w *World) StartCallers(ctx context.Context, load Load, addr func(agent int) string) *Callers {
 	c := &Callers{world: w, load: load, addr: addr}
-	c.sum.WorthByClass, c.sum.AskedFor = map[string]float64{}, map[string]float64{}
+	c.outcome.WorthByClass, c.outcome.AskedFor = map[string]float64{}, map[string]float64{}
 	c.Scale(1)
 	ctx, c.stop = context.WithCancel(ctx)
 	for i := range load.Rates {
-		c.lines = append(c.lines, &line{agent: i, calls: map[isup.CallID]*tried{}})
+		c.conns = append(c.conns, &callerConn{agent: i, calls: map[isup.CallID]*callerTry{}})
 	}
 	for i, rate := range load.Rates {
 		if rate > 0 {
-			c.open.Go(func() { c.arrivals(ctx, c.lines[i], rate) })
+			c.pending.Go(func() { c.arrivals(ctx, c.conns[i], rate) })
 		}
 	}
 	return c
 }
 
 // Scale has calls come so many times as often from now on.
-func (c *Callers) Scale(f float64) { c.scale.Store(math.Float64bits(f)) }
+func (c *Callers) Scale(f float64) { c.rateScale.Store(math.Float64bits(f)) }
 
 // Wait ends the arrivals and waits until every call has its answer or its time has passed.
 func (c *Callers) Wait() {
 	c.stop()
-	c.open.Wait()
-	for _, l := range c.lines {
+	c.pending.Wait()
+	for _, l := range c.conns {
 		l.mu.Lock()
 		if l.conn != nil {
 			l.conn.Close()
@@ -141,35 +141,35 @@
 	}
 }
 
-// Trouble tells that an agent is stalled, cut off or killed from now on (or, with false, no
+// MarkFaulty tells that an agent is stalled, cut off or killed from now on (or, with false, no
 // more): what is open there need not be answered.
-func (c *Callers) Trouble(agent int, on bool) {
-	l := c.lines[agent]
+func (c *Callers) MarkFaulty(agent int, on bool) {
+	l := c.conns[agent]
 	l.mu.Lock()
-	l.disturbed, l.troubled = time.Now(), on
+	l.faultChanged, l.faulty = time.Now(), on
 	l.mu.Unlock()
 }
 
 // Divert has new calls of an agent go to others, as the platform's front does once an agent
 // stops or is known to be dead; what is open there stays.
 func (c *Callers) Divert(agent int, on bool) {
-	l := c.lines[agent]
+	l := c.conns[agent]
 	l.mu.Lock()
-	l.away = on
+	l.diverted = on
 	l.mu.Unlock()
 }
 
-// to is the line that a new try takes: its own, or one after it that callers may go to. It looks
+// connFor is the line that a new try takes: its own, or one after it that callers may go to. It looks
 // eight on, so that the callers of neighbours spread, and where that comes round too soon, one on.
-func (c *Callers) to(l *line) *line {
-	for i := range 2 * len(c.lines) {
+func (c *Callers) connFor(l *callerConn) *callerConn {
+	for i := range 2 * len(c.conns) {
 		at := l.agent + 8*i
-		if i >= len(c.lines) {
+		if i >= len(c.conns) {
 			at = l.agent + i
 		}
-		o := c.lines[at%len(c.lines)]
+		o := c.conns[at%len(c.conns)]
 		o.mu.Lock()
-		away := o.away
+		away := o.diverted
 		o.mu.Unlock()
 		if !away {
 			return o
@@ -182,30 +182,30 @@
 func (c *Callers) Tally() (Outcome, []time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	waits := c.waits
-	c.waits = nil
-	return c.sum, waits
+	waits := c.setUpTimes
+	c.setUpTimes = nil
+	return c.outcome, waits
 }
 
-func (c *Callers) arrivals(ctx context.Context, l *line, rate float64) {
+func (c *Callers) arrivals(ctx context.Context, l *callerConn, rate float64) {
 	rng := rand.New(rand.NewPCG(c.load.Seed, uint64(1000+l.agent)))
 	next := time.Now()
 	for {
-		next = next.Add(time.Duration(rng.ExpFloat64() / rate / math.Float64frombits(c.scale.Load()) * float64(time.Second)))
-		wait(ctx, time.Until(next))
+		next = next.Add(time.Duration(rng.ExpFloat64() / rate / math.Float64frombits(c.rateScale.Load()) * float64(time.Second)))
+		sleep(ctx, time.Until(next))
 		if ctx.Err() != nil {
 			return
 		}
-		r := c.draw(rng)
-		c.open.Add(1)
-		go c.try(l, r, 0, c.first(rng))
+		r := c.drawCall(rng)
+		c.pending.Add(1)
+		go c.sendTry(l, r, 0, c.drawFirstChoice(rng))
 	}
 }
 
-// draw makes a call of a class and a tenant by their shares.
-func (c *Callers) draw(rng *rand.Rand) *root {
+// drawCall makes a call of a class and a tenant by their shares.
+func (c *Callers) drawCall(rng *rand.Rand) *callerCall {
 	d := c.world.Deployment
-	r := &root{class: d.Classes[len(d.Classes)-1], at: time.Now(), number: fmt.Sprintf("%016x", rng.Uint64())}
+	r := &callerCall{class: d.Classes[len(d.Classes)-1], begun: time.Now(), number: fmt.Sprintf("%016x", rng.Uint64())}
 	x := rng.Float64()
 	for _, k := range d.Classes {
 		if x -= k.Share; x < 0 {
@@ -221,52 +221,52 @@
 		}
 	}
 	c.mu.Lock()
-	c.sum.Calls++
-	c.sum.Offered += r.class.Worth
-	c.sum.AskedFor[r.class.Name] += r.class.Worth
+	c.outcome.Calls++
+	c.outcome.Offered += r.class.Worth
+	c.outcome.AskedFor[r.class.Name] += r.class.Worth
 	c.mu.Unlock()
 	return r
 }
 
-// first draws the group of first choice; -1: none.
-func (c *Callers) first(rng *rand.Rand) int {
-	if c.load.Choice < 0 {
+// drawFirstChoice draws the group of first choice; -1: none.
+func (c *Callers) drawFirstChoice(rng *rand.Rand) int {
+	if c.load.ChoiceVariation < 0 {
 		return -1
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.choices == nil || c.load.Shift > 0 && time.Since(c.drawn) > c.load.Shift {
-		c.drawn, c.choices = time.Now(), nil
-		sigma, sum := math.Sqrt(math.Log(1+c.load.Choice*c.load.Choice)), 0.0
+	if c.choiceWeights == nil || c.load.ChoicePeriod > 0 && time.Since(c.choicesDrawn) > c.load.ChoicePeriod {
+		c.choicesDrawn, c.choiceWeights = time.Now(), nil
+		sigma, sum := math.Sqrt(math.Log(1+c.load.ChoiceVariation*c.load.ChoiceVariation)), 0.0
 		for g := range c.world.groups {
 			sum += c.world.rate(g) * math.Exp(sigma*rng.NormFloat64())
-			c.choices = append(c.choices, sum)
+			c.choiceWeights = append(c.choiceWeights, sum)
 		}
 	}
-	x := rng.Float64() * c.choices[len(c.choices)-1]
-	for g, upTo := range c.choices {
+	x := rng.Float64() * c.choiceWeights[len(c.choiceWeights)-1]
+	for g, upTo := range c.choiceWeights {
 		if x < upTo {
 			return g
 		}
 	}
-	return len(c.choices) - 1
+	return len(c.choiceWeights) - 1
 }
 
-// try sends one try and waits for what comes of it.
-func (c *Callers) try(l *line, r *root, n, dest int) {
-	l = c.to(l)
+// sendTry sends one try and waits for what comes of it.
+func (c *Callers) sendTry(l *callerConn, r *callerCall, n, dest int) {
+	l = c.connFor(l)
 	now := time.Now()
-	whole := r.at.Add(r.class.Deadline)
+	whole := r.begun.Add(r.class.Deadline)
 	until := whole
-	if r.class.Try > 0 {
-		until = now.Add(time.Duration(r.class.Try * float64(r.class.Deadline)))
+	if r.class.TryShare > 0 {
+		until = now.Add(time.Duration(r.class.TryShare * float64(r.class.Deadline)))
 	}
 	if until.After(whole) {
 		until = whole
 	}
-	t := &tried{id: isup.CallID(c.next.Add(1)), root: r, n: n, at: now, deadline: until}
+	t := &callerTry{id: isup.CallID(c.nextID.Add(1)), call: r, number: n, sentAt: now, deadline: until}
 	c.mu.Lock()
-	c.sum.Tries++
+	c.outcome.Tries++
 	c.mu.Unlock()
 	left := until.Sub(now)
 	figures := "width:1;via:-1"
@@ -278,32 +278,32 @@
 	if r.tenant != "" {
 		m = m.WithText(isup.Tenant, r.tenant)
 	}
-	if n > 0 && c.world.MarkRetry {
+	if n > 0 && c.world.MarksRetry {
 		m = m.WithText(isup.Retry, "1")
 	}
-	c.world.Check.asked(t.id)
+	c.world.Check.addCall(t.id)
 	conn, err := c.connect(l)
 	if err == nil {
 		l.mu.Lock()
 		l.calls[t.id] = t
 		// A while after its time the answer is owed no more; later it is lost.
-		t.timer = time.AfterFunc(left+answerGrace, func() { c.finish(l, t, "unheard", 0, dest) })
+		t.timer = time.AfterFunc(left+answerGrace, func() { c.finishTry(l, t, "unheard", 0, dest) })
 		l.mu.Unlock()
 		b, _ := m.Append(nil)
 		_, err = conn.Write(b)
 	}
 	if err != nil { // no connection: it was never taken
 		l.mu.Lock()
-		t.at = time.Time{}
+		t.sentAt = time.Time{}
 		l.mu.Unlock()
-		c.finish(l, t, "untaken", 0, dest)
+		c.finishTry(l, t, "untaken", 0, dest)
 	}
 }
 
 // answerGrace is how long after its time a caller still hears an answer, which earns nothing.
 const answerGrace = 500 * time.Millisecond
 
-func (c *Callers) connect(l *line) (net.Conn, error) {
+func (c *Callers) connect(l *callerConn) (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
@@ -314,11 +314,11 @@
 		return nil, err
 	}
 	l.conn = conn
-	go c.read(l, conn)
+	go c.readAnswers(l, conn)
 	return conn, nil
 }
 
-func (c *Callers) read(l *line, conn net.Conn) {
+func (c *Callers) readAnswers(l *callerConn, conn net.Conn) {
 	for in := bufio.NewReaderSize(conn, 1<<10); ; {
 		m, err := isup.Read(in)
 		if err != nil {
@@ -326,9 +326,9 @@
 		}
 		switch m.Type {
 		case isup.Answer:
-			c.heard(l, m, m.Text(isup.Description))
+			c.receive(l, m, m.Text(isup.Description))
 		case isup.Release:
-			c.heard(l, m, "")
+			c.receive(l, m, "")
 		}
 	}
 	conn.Close()
@@ -336,7 +336,7 @@
 	if l.conn == conn {
 		l.conn = nil
 	}
-	var open []*tried
+	var open []*callerTry
 	for _, t := range l.calls {
 		if !t.answered {
 			open = append(open, t)
@@ -344,12 +344,12 @@
 	}
 	l.mu.Unlock()
 	for _, t := range open {
-		c.finish(l, t, "unheard", 0, -1)
+		c.finishTry(l, t, "unheard", 0, -1)
 	}
 }
 
-// heard takes an answer, or a release.
-func (c *Callers) heard(l *line, m isup.Message, room string) {
+// receive takes an answer, or a release.
+func (c *Callers) receive(l *callerConn, m isup.Message, room string) {
 	l.mu.Lock()
 	t := l.calls[m.Call]
 	answered := t != nil && t.answered
@@ -359,27 +359,27 @@
 	}
 	if answered {
 		if room != "" {
-			c.world.Check.answered(t.id, room, 0, true)
+			c.world.Check.checkAnswer(t.id, room, 0, true)
 			return
 		}
 		cause, _ := m.Cause()
-		c.ended(l, t, cause != isup.Normal)
+		c.recordEnd(l, t, cause != isup.Normal)
 		return
 	}
 	away, _ := m.Millis(isup.RetryAfter)
 	cause, _ := m.Cause()
 	switch {
 	case room != "":
-		c.world.Check.answered(t.id, room, time.Since(t.deadline)-answerGrace, false)
-		c.served(l, t)
+		c.world.Check.checkAnswer(t.id, room, time.Since(t.deadline)-answerGrace, false)
+		c.recordServed(l, t)
 	case cause == isup.NoCircuit || cause == isup.Congestion || cause == isup.TimerExpiry:
-		c.finish(l, t, "refused", away, -1)
+		c.finishTry(l, t, "refused", away, -1)
 	default:
-		c.finish(l, t, "failed", away, -1)
+		c.finishTry(l, t, "failed", away, -1)
 	}
 }
 
-func (c *Callers) served(l *line, t *tried) {
+func (c *Callers) recordServed(l *callerConn, t *callerTry) {
 	l.mu.Lock()
 	was := t.answered
 	t.answered = true
@@ -388,27 +388,27 @@
 	if was { // its caller had left just now
 		return
 	}
-	took := time.Since(t.root.at)
+	took := time.Since(t.call.begun)
 	c.mu.Lock()
-	c.waits = append(c.waits, took)
-	switch k := t.root.class; {
+	c.setUpTimes = append(c.setUpTimes, took)
+	switch k := t.call.class; {
 	case took <= k.Aim:
-		c.sum.Served++
-		t.root.earned = k.Worth
+		c.outcome.Served++
+		t.call.earned = k.Worth
 	case took <= k.Deadline:
-		c.sum.Late++
-		t.root.earned = k.Worth * k.Late
+		c.outcome.Late++
+		t.call.earned = k.Worth * k.LateShare
 	}
-	c.sum.Worth += t.root.earned
-	c.sum.WorthByClass[t.root.class.Name] += t.root.earned
+	c.outcome.Worth += t.call.earned
+	c.outcome.WorthByClass[t.call.class.Name] += t.call.earned
 	c.mu.Unlock()
-	c.open.Done()
+	c.pending.Done()
 	// Its end may come on any connection or, where its server died, not at all.
-	time.AfterFunc(10*c.world.hold(), func() { c.ended(l, t, false) })
+	time.AfterFunc(10*c.world.hold(), func() { c.recordEnd(l, t, false) })
 }
 
-// ended is the end of a call that stood; one that was cut has earned nothing.
-func (c *Callers) ended(l *line, t *tried, cut bool) {
+// recordEnd is the end of a call that stood; one that was cut has earned nothing.
+func (c *Callers) recordEnd(l *callerConn, t *callerTry, cut bool) {
 	l.mu.Lock()
 	was := t.over
 	t.over = true
@@ -417,33 +417,33 @@
 	if was {
 		return
 	}
-	time.AfterFunc(forgetAfter, func() { c.world.Check.forget(t.id) })
+	time.AfterFunc(forgetDelay, func() { c.world.Check.removeCall(t.id) })
 	if cut {
 		c.mu.Lock()
-		c.sum.Cut++
-		c.sum.Worth -= t.root.earned
-		c.sum.WorthByClass[t.root.class.Name] -= t.root.earned
+		c.outcome.Cut++
+		c.outcome.Worth -= t.call.earned
+		c.outcome.WorthByClass[t.call.class.Name] -= t.call.earned
 		c.mu.Unlock()
 	}
 }
 
-// forgetAfter is how long a call that is over is known to the checker.
-const forgetAfter = 30 * time.Second
+// forgetDelay is how long a call that is over is known to the checker.
+const forgetDelay = 30 * time.Second
 
-// finish is the end of a try that was not served; the caller may dial again.
-func (c *Callers) finish(l *line, t *tried, how string, away time.Duration, dest int) {
+// finishTry is the end of a try that was not served; the caller may dial again.
+func (c *Callers) finishTry(l *callerConn, t *callerTry, how string, away time.Duration, dest int) {
 	l.mu.Lock()
 	if t.answered || t.over {
 		l.mu.Unlock()
 		return
 	}
 	t.over, t.answered = true, true
-	asked := t.at
+	asked := t.sentAt
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	delete(l.calls, t.id)
-	excused := c.world.Check.Starved() || l.troubled || !l.disturbed.IsZero() && l.disturbed.After(asked.Add(-time.Second))
+	excused := c.world.Check.Starved() || l.faulty || !l.faultChanged.IsZero() && l.faultChanged.After(asked.Add(-time.Second))
 	conn := l.conn
 	l.mu.Unlock()
 	if how == "unheard" && conn != nil { // the caller leaves
@@ -454,32 +454,32 @@
 	c.mu.Lock()
 	switch how {
 	case "refused":
-		c.sum.Refused++
+		c.outcome.Refused++
 	case "failed":
-		c.sum.Failed++
+		c.outcome.Failed++
 	case "unheard":
 		if excused {
-			c.sum.Unheard++
+			c.outcome.Unheard++
 		} else {
-			c.sum.Lost++
+			c.outcome.Lost++
 		}
 	default:
-		c.sum.Unheard++
+		c.outcome.Unheard++
 	}
 	c.mu.Unlock()
 	if how == "unheard" && !excused {
-		c.world.Check.broke("no answer", "%v at agent %d, asked %v ago", t.id, l.agent, time.Since(asked).Round(time.Millisecond))
+		c.world.Check.recordBroken("no answer", "%v at agent %d, asked %v ago", t.id, l.agent, time.Since(asked).Round(time.Millisecond))
 	}
 	// A set-up may be on its way yet, held back by a link or at an agent that stands still.
-	time.AfterFunc(forgetAfter, func() { c.world.Check.forget(t.id) })
-	defer c.open.Done()
-	if t.n >= c.world.Redials {
+	time.AfterFunc(forgetDelay, func() { c.world.Check.removeCall(t.id) })
+	defer c.pending.Done()
+	if t.number >= c.world.MaxRedials {
 		return
 	}
-	back := max(time.Duration(float64(c.world.BackOff)*math.Pow(2, float64(t.n))*(0.75+rand.Float64()/2)), away)
-	if time.Now().Add(back + 100*time.Millisecond).After(t.root.at.Add(t.root.class.Deadline)) {
+	back := max(time.Duration(float64(c.world.RedialBackoff)*math.Pow(2, float64(t.number))*(0.75+rand.Float64()/2)), away)
+	if time.Now().Add(back + 100*time.Millisecond).After(t.call.begun.Add(t.call.class.Deadline)) {
 		return
 	}
-	c.open.Add(1)
-	time.AfterFunc(back, func() { c.try(l, t.root, t.n+1, dest) })
+	c.pending.Add(1)
+	time.AfterFunc(back, func() { c.sendTry(l, t.call, t.number+1, dest) })
 }
--- a/internal/lab/emulator/callers_test.go
+++ b/internal/lab/emulator/callers_test.go
@@ -12,16 +12,16 @@
 	for n := 1; n <= 32; n++ {
 		c := &Callers{}
 		for i := range n {
-			c.lines = append(c.lines, &line{agent: i})
+			c.conns = append(c.conns, &callerConn{agent: i})
 			c.Divert(i, true)
 		}
-		for left, l := range c.lines {
+		for left, l := range c.conns {
 			c.Divert(left, false)
-			for _, from := range c.lines {
-				require.Same(t, l, c.to(from), "%d agents, from %d", n, from.agent)
+			for _, from := range c.conns {
+				require.Same(t, l, c.connFor(from), "%d agents, from %d", n, from.agent)
 			}
 			c.Divert(left, true)
-			require.Same(t, l, c.to(l), "%d agents, none left", n)
+			require.Same(t, l, c.connFor(l), "%d agents, none left", n)
 		}
 	}
 }
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -18,33 +18,33 @@
 	Agents int
 	Check  *Checker
 
-	net  *Net
-	host string // of the setup servers: while one is dead, nobody else takes its port
-	book *bulletin
+	net      *LoopbackNet
+	host     string // of the setup servers: while one is dead, nobody else takes its port
+	bulletin *bulletin
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	servers []*Server // in the order of their starts
 	listed  []*Server // those on the list, up or draining
-	next    int       // number of the next server
+	nextID  int       // number of the next server
 	groups  int
 }
 
-// Net is the loopback addresses of a run: 127.B.h.l is agent 256h+l, 127.B.(128+h).l the proxy
+// LoopbackNet is the loopback addresses of a run: 127.B.h.l is agent 256h+l, 127.B.(128+h).l the proxy
 // in front of it, and no other run on this machine has the same B.
-type Net struct{ *faultnet.Octet }
+type LoopbackNet struct{ *faultnet.Octet }
 
-// NewNet takes a second octet that nobody else uses.
-func NewNet() (*Net, error) {
-	o, err := faultnet.TakeOctet()
-	return &Net{o}, err
+// NewLoopbackNet takes a second octet that nobody else uses.
+func NewLoopbackNet() (*LoopbackNet, error) {
+	o, err := faultnet.ReserveOctet()
+	return &LoopbackNet{o}, err
 }
 
-// Front is the address of the proxy in front of an agent, whose own is Host.
-func (n *Net) Front(agent int) string { return n.Host(agent | 128<<8) }
+// ProxyHost is the address of the proxy in front of an agent, whose own is Host.
+func (n *LoopbackNet) ProxyHost(agent int) string { return n.Host(agent | 128<<8) }
 
-// Agent is the agent that has an address; -1: none.
-func (n *Net) Agent(addr net.Addr) int {
+// AgentAt is the agent that has an address; -1: none.
+func (n *LoopbackNet) AgentAt(addr net.Addr) int {
 	var ip net.IP
 	switch a := addr.(type) {
 	case *net.TCPAddr:
@@ -59,53 +59,53 @@
 }
 
 // NewWorld starts the setup servers and the bulletin of a deployment for so many agents.
-func NewWorld(d Deployment, netw *Net, agents, servers int, seed uint64) (*World, error) {
+func NewWorld(d Deployment, netw *LoopbackNet, agents, servers int, seed uint64) (*World, error) {
 	w := &World{Deployment: d, Agents: agents, net: netw, rng: rand.New(rand.NewPCG(seed, 11)), groups: servers}
 	var err error
 	if w.host, err = faultnet.NewHost(); err != nil {
 		return nil, err
 	}
 	w.Check = newChecker(w)
-	if w.book, err = newBulletin(w); err != nil {
+	if w.bulletin, err = newBulletin(w); err != nil {
 		return nil, err
 	}
 	for i := range servers {
-		if _, err := w.start(i, time.Time{}); err != nil {
+		if _, err := w.startServer(i, time.Time{}); err != nil {
 			w.Close()
 			return nil, err
 		}
 	}
-	w.book.begin(w.listed)
+	w.bulletin.addInitial(w.listed)
 	return w, nil
 }
 
-// start adds a server of a group; born is the zero time for one that is warm.
-func (w *World) start(group int, born time.Time) (*Server, error) {
+// startServer adds a server of a group; born is the zero time for one that is warm.
+func (w *World) startServer(group int, born time.Time) (*Server, error) {
 	ln, err := net.Listen("tcp", w.host+":0")
 	if err != nil {
 		return nil, err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := &Server{total: w.lines(group), ID: fmt.Sprintf("s%d", w.next), Group: group, Zone: w.zone(group), Rate: w.rate(group), world: w, ln: ln,
-		addr: ln.Addr().String(), born: born, since: born, slow: 1, status: "up", links: make([]*faultnet.Gate, w.Agents),
-		conns: map[*peer]bool{}, calls: map[call]*setup{}, rng: rand.New(rand.NewPCG(uint64(w.next), w.rng.Uint64()))}
+	s := &Server{lineCount: w.lines(group), ID: fmt.Sprintf("s%d", w.nextID), Group: group, Zone: w.zone(group), Rate: w.rate(group), world: w, ln: ln,
+		addr: ln.Addr().String(), startedAt: born, listedSince: born, slowdown: 1, status: "up", links: make([]*faultnet.WrappedLink, w.Agents),
+		conns: map[*agentConn]bool{}, calls: map[callKey]*serverCall{}, rng: rand.New(rand.NewPCG(uint64(w.nextID), w.rng.Uint64()))}
 	for i := range s.links {
-		s.links[i] = faultnet.NewGate()
-		s.links[i].Delay(w.Delay)
+		s.links[i] = faultnet.NewWrappedLink()
+		s.links[i].Delay(w.LinkDelay)
 	}
-	w.next++
+	w.nextID++
 	w.servers, w.listed = append(w.servers, s), append(w.listed, s)
 	go s.accept(ln)
-	go s.tell()
+	go s.sendStates()
 	return s, nil
 }
 
 // Bulletin is the address at which agents ask for the list.
-func (w *World) Bulletin() string { return w.book.addr }
+func (w *World) Bulletin() string { return w.bulletin.addr }
 
 // Known is the events so far, in the form of the configuration's field known.
-func (w *World) Known() any { return w.book.known(0, -1) }
+func (w *World) Known() any { return w.bulletin.eventsAfter(0, -1) }
 
 // Listed are the servers on the list, up or draining.
 func (w *World) Listed() []*Server {
@@ -122,7 +122,7 @@
 }
 
 // Links are the links of one agent to all servers of the list.
-func (w *World) Links(agent int) (out []*faultnet.Gate) {
+func (w *World) Links(agent int) (out []*faultnet.WrappedLink) {
 	for _, s := range w.Listed() {
 		out = append(out, s.links[agent])
 	}
@@ -132,33 +132,33 @@
 // Replace has a new, cold processor take the place of a server: the old one drains for a while,
 // is taken off the list and stops. It waits until then, or until ctx ends.
 func (w *World) Replace(ctx context.Context, old *Server, drain time.Duration) (*Server, error) {
-	fresh, err := w.start(old.Group, time.Now())
+	fresh, err := w.startServer(old.Group, time.Now())
 	if err != nil {
 		return nil, err
 	}
-	old.list("draining")
-	w.book.tell(old, fresh)
-	wait(ctx, drain)
+	old.setStatus("draining")
+	w.bulletin.announce(old, fresh)
+	sleep(ctx, drain)
 	w.mu.Lock()
 	w.listed = slices.DeleteFunc(w.listed, func(s *Server) bool { return s == old })
 	w.mu.Unlock()
-	old.list("removed")
-	w.book.tell(old)
-	wait(ctx, w.Notice)
-	old.Die()
+	old.setStatus("removed")
+	w.bulletin.announce(old)
+	sleep(ctx, w.BulletinDelay)
+	old.Crash()
 	return fresh, nil
 }
 
-// Return brings a server that died or vanished back, cold, as itself.
-func (w *World) Return(s *Server) error {
-	if err := s.revive(); err != nil {
+// Restart brings a server that died or vanished back, cold, as itself.
+func (w *World) Restart(s *Server) error {
+	if err := s.restart(); err != nil {
 		return err
 	}
-	w.book.tell(s)
+	w.bulletin.announce(s)
 	return nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -168,7 +168,7 @@
 // Close ends everything.
 func (w *World) Close() {
 	close(w.Check.done)
-	w.book.close()
+	w.bulletin.close()
 	for _, s := range w.All() {
 		s.close()
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -25,15 +25,15 @@
 	"woodrouter/shard"
 )
 
-// Site is what a fleet's agents are told beside their own names and addresses.
-type Site struct {
+// FleetConfig is what a fleet's agents are told beside their own names and addresses.
+type FleetConfig struct {
 	// Bulletin is where agents of a zone hear of setup servers, and the events so far.
 	Bulletin func(zone string) (address string, known any)
-	// Agent, if given, is the same for one agent by its name, once.
-	Agent    func(name string) (address string, known any, err error)
-	Settings json.RawMessage // the platform's, without nInstances and rank
-	Zones    int             // agents lie in these zones in turn; 0: 3
-	Size     int             // of each group; 0: 3
+	// AgentBulletin, if given, is the same for one agent by its name, once.
+	AgentBulletin func(name string) (address string, known any, err error)
+	Settings      json.RawMessage // the platform's, without nInstances and rank
+	Zones         int             // agents lie in these zones in turn; 0: 3
+	GroupSize     int             // of each group; 0: 3
 	// Failover has the agents follow zones; each gets its own zone and membership address.
 	Failover *placer.Config
 	Timing   replica.TimingConfig // of the groups; zero: the defaults
@@ -43,31 +43,31 @@
 // Fleet is call agents, each its own process and a member of a group, with a fault proxy on
 // every link between two of them: the log's traffic and the calls of agents to members.
 type Fleet struct {
-	Dir    string
-	Ring   shard.Ring // with the members' real addresses
-	Agents map[string]*Agent
-	logs   faultnet.Mesh // between members
-	calls  faultnet.Mesh // from agents to members' client addresses
-	Gossip faultnet.Mesh // of the membership
-	site   Site
-	bin    string
+	Dir         string
+	Ring        shard.Ring // with the members' real addresses
+	Agents      map[string]*Agent
+	raftLinks   faultnet.Mesh // between members
+	callLinks   faultnet.Mesh // from agents to members' client addresses
+	GossipLinks faultnet.Mesh // of the membership
+	config      FleetConfig
+	bin         string
 }
 
 // Agent is one call agent of a fleet.
 type Agent struct {
 	*faultnet.Proc
 	Name, Listen, Console string
-	Gossip                string       // its membership address
+	GossipAddr            string       // its membership address
 	Member                shard.Member // its part in a group
-	Solo                  bool         // takes no part in a group any more
+	Ungrouped             bool         // takes no part in a group any more
 	bulletin              string       // where it hears of setup servers,
 	known                 any          // and what it knows at its start
-	joins                 string       // the group it is to be added to; "": one it began with
+	joinGroup             string       // the group it is to be added to; "": one it began with
 }
 
 // StartFleet starts n agents named a1..aN from bin under dir.
-func StartFleet(bin, dir string, n int, seed uint64, site Site) (*Fleet, error) {
-	f := &Fleet{Dir: dir, Agents: map[string]*Agent{}, site: site, bin: bin}
+func StartFleet(bin, dir string, n int, seed uint64, site FleetConfig) (*Fleet, error) {
+	f := &Fleet{Dir: dir, Agents: map[string]*Agent{}, config: site, bin: bin}
 	host, err := faultnet.NewHost()
 	if err != nil {
 		return nil, err
@@ -83,22 +83,22 @@
 		var at [5]string
 		for j := range at {
 			var err error
-			if at[j], err = Reserve(host, &held); err != nil {
+			if at[j], err = ReservePort(host, &held); err != nil {
 				release()
 				return nil, err
 			}
 		}
 		name := fmt.Sprintf("a%d", i+1)
 		m := shard.Member{ID: name, Zone: fmt.Sprint("z", i%cmp.Or(site.Zones, 3)+1), Raft: at[2], Client: at[3]}
-		f.Agents[name] = &Agent{Name: name, Listen: at[0], Console: at[1], Gossip: at[4], Member: m}
+		f.Agents[name] = &Agent{Name: name, Listen: at[0], Console: at[1], GossipAddr: at[4], Member: m}
 		members = append(members, m)
 	}
-	if f.Ring, _, err = shard.BuildRing(members, cmp.Or(site.Size, 3)); err == nil {
-		err = f.link(members, seed)
+	if f.Ring, _, err = shard.BuildRing(members, cmp.Or(site.GroupSize, 3)); err == nil {
+		err = f.connect(members, seed)
 	}
 	for name, a := range f.Agents {
-		if err == nil && site.Agent != nil { // what it listens on must not take the agents' ports
-			a.bulletin, a.known, err = site.Agent(name)
+		if err == nil && site.AgentBulletin != nil { // what it listens on must not take the agents' ports
+			a.bulletin, a.known, err = site.AgentBulletin(name)
 		}
 	}
 	release() // the agents take their ports from here
@@ -115,34 +115,34 @@
 	return f, nil
 }
 
-func (f *Fleet) link(members []shard.Member, seed uint64) (err error) {
+func (f *Fleet) connect(members []shard.Member, seed uint64) (err error) {
 	logs, calls := map[string]string{}, map[string]string{}
 	for _, m := range members {
 		logs[m.ID], calls[m.ID] = m.Raft, m.Client
 	}
-	if f.logs, err = faultnet.NewMesh(logs, seed); err != nil {
+	if f.raftLinks, err = faultnet.NewMesh(logs, seed); err != nil {
 		return err
 	}
-	if f.calls, err = faultnet.NewMesh(calls, seed+1000); err != nil || f.site.Failover == nil {
+	if f.callLinks, err = faultnet.NewMesh(calls, seed+1000); err != nil || f.config.Failover == nil {
 		return err
 	}
 	gossip := map[string]string{}
 	for name, a := range f.Agents {
-		gossip[name] = a.Gossip
+		gossip[name] = a.GossipAddr
 	}
-	f.Gossip, err = faultnet.NewGossipMesh(gossip, seed+2000)
+	f.GossipLinks, err = faultnet.NewGossipMesh(gossip, seed+2000)
 	return err
 }
 
-// failover is an agent's file of zone failover: the others' membership addresses lead through
+// failoverConfig is an agent's file of zone failover: the others' membership addresses lead through
 // the links' proxies.
-func (f *Fleet) failover(a *Agent) placer.Config {
-	c := *f.site.Failover
+func (f *Fleet) failoverConfig(a *Agent) placer.Config {
+	c := *f.config.Failover
 	c.Zone = a.Member.Zone
-	m := members.Config{Bind: a.Gossip, Links: map[string]string{}, Far: c.Members != nil && c.Members.Far}
-	for name, l := range f.Gossip[a.Name] {
-		m.Links[f.Agents[name].Gossip] = l.Addr()
-		m.Seeds = append(m.Seeds, f.Agents[name].Gossip)
+	m := members.Config{Bind: a.GossipAddr, Links: map[string]string{}, Far: c.Members != nil && c.Members.Far}
+	for name, l := range f.GossipLinks[a.Name] {
+		m.Links[f.Agents[name].GossipAddr] = l.Addr()
+		m.Seeds = append(m.Seeds, f.Agents[name].GossipAddr)
 	}
 	slices.Sort(m.Seeds)
 	c.Members = &m
@@ -153,11 +153,11 @@
 func (f *Fleet) Start(name string) error {
 	a := f.Agents[name]
 	config, promises := filepath.Join(f.Dir, name+".json"), filepath.Join(f.Dir, name+".yaml")
-	if f.site.Agent == nil {
-		a.bulletin, a.known = f.site.Bulletin(a.Member.Zone)
+	if f.config.AgentBulletin == nil {
+		a.bulletin, a.known = f.config.Bulletin(a.Member.Zone)
 	}
 	text, err := json.Marshal(map[string]any{"name": name, "listen": a.Listen, "console": a.Console,
-		"seed": "8c1f30d27a5be964", "bulletin": a.bulletin, "known": a.known, "settings": f.site.Settings})
+		"seed": "8c1f30d27a5be964", "bulletin": a.bulletin, "known": a.known, "settings": f.config.Settings})
 	if err != nil {
 		return err
 	}
@@ -167,13 +167,13 @@
 	if a.Proc == nil {
 		a.Proc = &faultnet.Proc{Name: name, Bin: f.bin, Data: filepath.Join(f.Dir, name)}
 	}
-	if err := write(promises, f.promises(a)); err != nil {
+	if err := writeYAML(promises, f.promisesConfig(a)); err != nil {
 		return err
 	}
 	a.Env = append(os.Environ(), "PROXY_CONFIG="+config, "WOODROUTER_PROMISES="+promises)
-	if f.site.Failover != nil {
+	if f.config.Failover != nil {
 		zones := filepath.Join(f.Dir, name+"-zones.yaml")
-		if err := write(zones, f.failover(a)); err != nil {
+		if err := writeYAML(zones, f.failoverConfig(a)); err != nil {
 			return err
 		}
 		a.Env = append(a.Env, "WOODROUTER_FAILOVER="+zones)
@@ -181,9 +181,9 @@
 	return a.Proc.Start()
 }
 
-// promises is an agent's file: the others' addresses lead through the links' proxies.
-func (f *Fleet) promises(a *Agent) promisestore.Config {
-	calls := !f.site.NoCalls
+// promisesConfig is an agent's file: the others' addresses lead through the links' proxies.
+func (f *Fleet) promisesConfig(a *Agent) promisestore.Config {
+	calls := !f.config.NoCalls
 	c := promisestore.Config{Calls: &calls, Ring: shard.Ring{Version: f.Ring.Version}}
 	for _, g := range f.Ring.Groups {
 		seen := shard.Group{ID: g.ID}
@@ -191,28 +191,28 @@
 		links, boot := map[string]string{}, []replica.Peer{}
 		for _, m := range g.Members {
 			boot = append(boot, replica.Peer{ID: m.ID, Raft: m.Raft})
-			if to := f.host(m); to == a.Name {
+			if to := f.agentOf(m); to == a.Name {
 				part = true
 			} else {
-				links[m.Raft] = f.logs[a.Name][to].Addr()
-				m.Client = f.calls[a.Name][to].Addr()
+				links[m.Raft] = f.raftLinks[a.Name][to].Addr()
+				m.Client = f.callLinks[a.Name][to].Addr()
 			}
 			seen.Members = append(seen.Members, m)
 		}
 		c.Ring.Groups = append(c.Ring.Groups, seen)
-		if a.joins == g.ID {
+		if a.joinGroup == g.ID {
 			part, boot = true, nil
 		}
-		if part && !a.Solo {
+		if part && !a.Ungrouped {
 			c.Member = &replica.Config{ID: a.Member.ID, Raft: a.Member.Raft, Client: a.Member.Client,
-				Data: a.Data, Bootstrap: boot, Links: links, Timing: f.site.Timing}
+				Data: a.Data, Bootstrap: boot, Links: links, Timing: f.config.Timing}
 		}
 	}
 	return c
 }
 
-// host is the name of the agent that a member is a part of: its address outlives its ids.
-func (f *Fleet) host(m shard.Member) string {
+// agentOf is the name of the agent that a member is a part of: its address outlives its ids.
+func (f *Fleet) agentOf(m shard.Member) string {
 	for name, a := range f.Agents {
 		if a.Member.Raft == m.Raft {
 			return name
@@ -221,16 +221,16 @@
 	return ""
 }
 
-// Lose ends an agent with SIGKILL and loses its disk. It may be started again as an agent that
+// KillAndWipe ends an agent with SIGKILL and loses its disk. It may be started again as an agent that
 // keeps nothing for others: a member without its disk must not come back under its id.
-func (f *Fleet) Lose(name string) error {
+func (f *Fleet) KillAndWipe(name string) error {
 	a := f.Agents[name]
 	a.Kill()
-	a.Solo = true
-	return a.Wipe()
+	a.Ungrouped = true
+	return a.WipeData()
 }
 
-func write(path string, v any) error {
+func writeYAML(path string, v any) error {
 	text, err := yaml.Marshal(v)
 	if err != nil {
 		return err
@@ -238,25 +238,25 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// Mend brings a lost agent back as a new member, by the operators' own command: it is started
+// ReplaceLost brings a lost agent back as a new member, by the operators' own command: it is started
 // under a new id with no bootstrap, and `woodrouter promises mend --apply` replaces the old id.
-func (f *Fleet) Mend(ctx context.Context, name string) error {
+func (f *Fleet) ReplaceLost(ctx context.Context, name string) error {
 	a := f.Agents[name]
 	lost := a.Member.ID
 	for _, g := range f.Ring.Groups {
 		if slices.ContainsFunc(g.Members, func(m shard.Member) bool { return m.ID == lost }) {
-			a.joins = g.ID
+			a.joinGroup = g.ID
 		}
 	}
-	a.Solo, a.Member.ID = false, lost+"-new"
+	a.Ungrouped, a.Member.ID = false, lost+"-new"
 	if err := f.Start(name); err != nil {
 		return err
 	}
 	file, spares := filepath.Join(f.Dir, "operator.yaml"), filepath.Join(f.Dir, "spares.yaml")
-	if err := write(file, promisestore.Config{Ring: f.Ring}); err != nil {
+	if err := writeYAML(file, promisestore.Config{Ring: f.Ring}); err != nil {
 		return err
 	}
-	if err := write(spares, []shard.Member{a.Member}); err != nil {
+	if err := writeYAML(spares, []shard.Member{a.Member}); err != nil {
 		return err
 	}
 	said, err := exec.CommandContext(ctx, f.bin, "promises", "mend", "--gone", lost, "--spares", spares, "--apply", file).CombinedOutput()
@@ -267,23 +267,23 @@
 	return nil
 }
 
-// Cut puts agents on a side of their own: nothing passes between them and the rest.
-func (f *Fleet) Cut(names ...string) {
-	f.logs.Partition(names...)
-	f.calls.Partition(names...)
-	f.Gossip.Partition(names...)
+// Partition puts agents on a side of their own: nothing passes between them and the rest.
+func (f *Fleet) Partition(names ...string) {
+	f.raftLinks.Partition(names...)
+	f.callLinks.Partition(names...)
+	f.GossipLinks.Partition(names...)
 }
 
-// Slow delays everything between agents whose zones are picked, each way.
-func (f *Fleet) Slow(d time.Duration, pick func(from, to string) bool) {
+// Delay delays everything between agents whose zones are picked, each way.
+func (f *Fleet) Delay(d time.Duration, pick func(from, to string) bool) {
 	zones := func(a, b string) bool { return pick(f.Agents[a].Member.Zone, f.Agents[b].Member.Zone) }
-	for _, m := range []faultnet.Mesh{f.logs, f.calls, f.Gossip} {
+	for _, m := range []faultnet.Mesh{f.raftLinks, f.callLinks, f.GossipLinks} {
 		m.DelayWhere(d, zones)
 	}
 }
 
-// Ask says a line to an agent's console and returns the answer; "" where nobody answers.
-func (f *Fleet) Ask(name, line string) string {
+// ConsoleCommand says a line to an agent's console and returns the answer; "" where nobody answers.
+func (f *Fleet) ConsoleCommand(name, line string) string {
 	conn, err := net.DialTimeout("tcp", f.Agents[name].Console, time.Second)
 	if err != nil {
 		return ""
@@ -298,10 +298,10 @@
 	return b.String()
 }
 
-// Await asks an agent's console until the answer holds a text.
-func (f *Fleet) Await(ctx context.Context, name, line, text string) error {
+// AwaitConsole asks an agent's console until the answer holds a text.
+func (f *Fleet) AwaitConsole(ctx context.Context, name, line, text string) error {
 	for {
-		said := f.Ask(name, line)
+		said := f.ConsoleCommand(name, line)
 		if strings.Contains(said, text) {
 			return nil
 		}
@@ -313,10 +313,10 @@
 	}
 }
 
-// Settled waits until every group has a leader, as an agent sees it.
-func (f *Fleet) Settled(ctx context.Context, name string) error {
+// AwaitLeaders waits until every group has a leader, as an agent sees it.
+func (f *Fleet) AwaitLeaders(ctx context.Context, name string) error {
 	for {
-		said := f.Ask(name, "PROMISES")
+		said := f.ConsoleCommand(name, "PROMISES")
 		if said != "" && !strings.Contains(said, "no leader") {
 			return nil
 		}
@@ -331,9 +331,9 @@
 // Names are the agents', in order.
 func (f *Fleet) Names() []string { return slices.Sorted(maps.Keys(f.Agents)) }
 
-// Listing is the event of a bulletin that lists these setup servers, one in each zone given,
+// ServerList is the event of a bulletin that lists these setup servers, one in each zone given,
 // all up: what an agent knows at its start.
-func Listing(servers ...map[string]any) any {
+func ServerList(servers ...map[string]any) any {
 	for i, s := range servers {
 		s["type"], s["group"], s["status"], s["weight"], s["since_ms"] = "std", i, "up", 1, 0
 	}
@@ -362,7 +362,7 @@
 			a.Kill()
 		}
 	}
-	f.logs.Close()
-	f.calls.Close()
-	f.Gossip.Close()
+	f.raftLinks.Close()
+	f.callLinks.Close()
+	f.GossipLinks.Close()
 }
--- a/internal/lab/fleetlab/faults.go
+++ b/internal/lab/fleetlab/faults.go
@@ -78,14 +78,14 @@
 	for _, a := range p.some(0.05) {
 		d := time.Second + time.Duration(p.rng.Int64N(int64(4*time.Second)))
 		work.Go(func() {
-			p.calls.Trouble(a, true)
+			p.calls.MarkFaulty(a, true)
 			p.calls.Divert(a, true)
-			p.c.Procs[a].Stall()
+			p.c.Procs[a].Suspend()
 			pause(ctx, d)
 			p.c.Procs[a].Resume()
 			pause(ctx, time.Second)
 			p.calls.Divert(a, false)
-			p.calls.Trouble(a, false)
+			p.calls.MarkFaulty(a, false)
 		})
 	}
 	work.Wait()
@@ -103,14 +103,14 @@
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			p.calls.Trouble(a, true)
+			p.calls.MarkFaulty(a, true)
 			p.calls.Divert(a, true)
 			p.c.Procs[a].Kill()
 			gate <- true
 			defer func() { <-gate }()
-			if p.c.Launch(a) == nil && p.c.Ready(ctx, a) == nil {
+			if p.c.StartAgent(a) == nil && p.c.AwaitReady(ctx, a) == nil {
 				p.calls.Divert(a, false)
-				p.calls.Trouble(a, false)
+				p.calls.MarkFaulty(a, false)
 			}
 		}()
 	}
@@ -120,13 +120,13 @@
 
 // cutGossip puts four in ten agents on a side of their own for 5 s.
 func (p *player) cutGossip(ctx context.Context) error {
-	if p.c.Gossip == nil {
+	if p.c.GossipHub == nil {
 		return nil
 	}
 	side := p.some(0.4)
-	p.c.Gossip.Partition(side...)
+	p.c.GossipHub.Partition(side...)
 	pause(ctx, 5*time.Second)
-	p.c.Gossip.Partition()
+	p.c.GossipHub.Partition()
 	return nil
 }
 
@@ -134,9 +134,9 @@
 func (p *player) slow(ctx context.Context) error {
 	servers := p.c.World.Listed()
 	s := servers[p.rng.IntN(len(servers))]
-	s.Slow(4)
+	s.SlowDown(4)
 	pause(ctx, p.Calm*2/3)
-	s.Slow(1)
+	s.SlowDown(1)
 	return nil
 }
 
@@ -144,9 +144,9 @@
 func (p *player) vanish(ctx context.Context) error {
 	servers := p.c.World.Listed()
 	s := servers[p.rng.IntN(len(servers))]
-	s.Vanish()
+	s.GoSilent()
 	pause(ctx, p.Calm/2)
-	return p.c.World.Return(s)
+	return p.c.World.Restart(s)
 }
 
 // replace puts new, cold processors in the place of six in ten servers within 7 s.
--- a/internal/lab/fleetlab/reference.go
+++ b/internal/lab/fleetlab/reference.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"woodrouter/internal/lab/crew"
+	"woodrouter/internal/lab/cluster"
 	"woodrouter/internal/lab/emulator"
 	"woodrouter/isup"
 )
@@ -22,7 +22,7 @@
 
 // reference is all agents in one: a listener for each, and one connection to each server.
 type reference struct {
-	c      *crew.Crew
+	c      *cluster.Cluster
 	policy string
 	lns    []net.Listener
 
@@ -47,10 +47,10 @@
 	stands   bool
 }
 
-func startReference(r Run, d emulator.Deployment) (*crew.Crew, error) {
-	c := &crew.Crew{Plan: crew.Plan{Deployment: d, Agents: r.Agents, Servers: r.Servers, Seed: r.Seed}}
+func startReference(r Run, d emulator.Deployment) (*cluster.Cluster, error) {
+	c := &cluster.Cluster{Config: cluster.Config{Deployment: d, Agents: r.Agents, Servers: r.Servers, Seed: r.Seed}}
 	var err error
-	if c.Net, err = emulator.NewNet(); err != nil {
+	if c.Net, err = emulator.NewLoopbackNet(); err != nil {
 		return nil, err
 	}
 	if c.World, err = emulator.NewWorld(d, c.Net, r.Agents, r.Servers, r.Seed); err != nil {
@@ -118,7 +118,7 @@
 
 // send gives a call to a server, or refuses it.
 func (f *reference) send(id isup.CallID, k *refCall) {
-	for k.attempts < min(f.c.Deployment.Attempts, 3) {
+	for k.attempts < min(f.c.Deployment.MaxAttempts, 3) {
 		s := f.pick(k)
 		if s == nil {
 			break
@@ -162,7 +162,7 @@
 				}
 			}
 		case Dispatcher:
-			done, ok := s.Expects()
+			done, ok := s.ExpectedAnswer()
 			if ok && (best == nil || done.Seconds() < least) {
 				best, least = s, done.Seconds()
 			}
--- a/internal/lab/fleetlab/report.go
+++ b/internal/lab/fleetlab/report.go
@@ -14,7 +14,7 @@
 
 	"woodrouter/internal/fleet/members"
 	"woodrouter/internal/fleet/spreader"
-	"woodrouter/internal/lab/crew"
+	"woodrouter/internal/lab/cluster"
 )
 
 // Pause waits for d, or until ctx ends.
@@ -30,11 +30,11 @@
 }
 
 // common writes an agent's file of spreading load: the others are behind the proxies.
-func common(c *crew.Crew, agent int) ([]string, error) {
-	file := spreader.Config{Mode: "common", Members: &members.Config{Bind: c.GossipBind(agent), Advertise: c.GossipFront(agent),
+func common(c *cluster.Cluster, agent int) ([]string, error) {
+	file := spreader.Config{Mode: "common", Members: &members.Config{Bind: c.GossipAddr(agent), Advertise: c.GossipProxyAddr(agent),
 		Far: c.Agents >= 100}} // so many on one machine are as slow as far ones
 	for i := range min(c.Agents, 3) { // some others to join by
-		file.Members.Seeds = append(file.Members.Seeds, c.GossipFront(i))
+		file.Members.Seeds = append(file.Members.Seeds, c.GossipProxyAddr(i))
 	}
 	text, err := yaml.Marshal(file)
 	if err != nil {
--- a/internal/lab/fleetlab/run.go
+++ b/internal/lab/fleetlab/run.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"woodrouter/internal/lab/crew"
+	"woodrouter/internal/lab/cluster"
 	"woodrouter/internal/lab/emulator"
 )
 
@@ -35,7 +35,7 @@
 	Faults   []string      // by name, in order; nil: all
 	Burst    float64       // load in the burst, as a multiple
 	Policy   string        // Agent, or a reference
-	Env      func(c *crew.Crew, agent int) ([]string, error)
+	Env      func(c *cluster.Cluster, agent int) ([]string, error)
 	Gossip   bool // agents talk: the gossip can be cut
 }
 
@@ -45,14 +45,14 @@
 // Deployment is the fleet's: one campus of servers that differ in capacity by four to one.
 func Deployment(servers int) emulator.Deployment {
 	d := emulator.Campus()
-	d.Name, d.Fields, d.Cold, d.Repeat = "fleet", []string{"util", "queue"}, 8*time.Second, 0
+	d.Name, d.ReportFields, d.Cold, d.Repeat = "fleet", []string{"util", "queue"}, 8*time.Second, 0
 	d.Capacity = nil
 	rng := rand.New(rand.NewPCG(99, 1))
 	for i := range servers {
 		d.Capacity = append(d.Capacity, []float64{8, 12, 16, 24, 32}[i%5]*(0.9+0.2*rng.Float64()))
 	}
-	d.Classes = []emulator.Class{{Name: "call", Share: 1, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 1, Late: 0.25, Try: 0.35}}
-	d.Tenants, d.Hold, d.HandshakeP, d.ProbeP = nil, 4*time.Second, 0.02, 0.004
+	d.Classes = []emulator.Class{{Name: "call", Share: 1, Aim: 1500 * time.Millisecond, Deadline: 9 * time.Second, Worth: 1, LateShare: 0.25, TryShare: 0.35}}
+	d.Tenants, d.Hold, d.HandshakePrice, d.ProbePrice = nil, 4*time.Second, 0.02, 0.004
 	d.Keepalive, d.Lines = 0, 0
 	return d
 }
@@ -98,10 +98,10 @@
 	out := Report{Run: r}
 	d := Deployment(r.Servers)
 	agents := r.Agents
-	c := &crew.Crew{}
+	c := &cluster.Cluster{}
 	var err error
 	if r.Policy == Agent || r.Policy == "" {
-		c, err = crew.Start(ctx, crew.Plan{Bin: r.Bin, Dir: r.Dir, Deployment: d, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, Gossip: r.Gossip})
+		c, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: d, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
 	} else {
 		c, err = startReference(r, d)
 	}
@@ -117,7 +117,7 @@
 	p := &player{Run: r, c: c, rng: rand.New(rand.NewPCG(r.Seed, 31)), began: time.Now()}
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	p.calls = c.Call(loadCtx, emulator.Load{Rates: emulator.Uneven(agents, r.Load*d.Total(r.Servers), r.Seed), Seed: r.Seed, Choice: r.Choice, Shift: 12 * time.Second})
+	p.calls = c.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*d.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
 	frames := make(chan []Frame)
 	seen, done := context.WithCancel(ctx)
 	go func() { frames <- p.watch(seen) }()
@@ -128,7 +128,7 @@
 	out.Sum, _ = p.calls.Tally()
 	out.Broken, out.Err = c.World.Check.Broken(), c.World.Check.Err()
 	if len(c.Procs) > 0 {
-		out.Said = c.Ask(0, "SPREAD")
+		out.Said = c.ConsoleCommand(0, "SPREAD")
 	}
 	return out, err
 }
@@ -139,11 +139,11 @@
 var heardLine = regexp.MustCompile(`(\d+) agents heard`)
 
 // settled waits until an agent hears of nearly all that load is spread in common.
-func settled(ctx context.Context, c *crew.Crew) error {
+func settled(ctx context.Context, c *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, settleMost)
 	defer cancel()
 	for {
-		said := c.Ask(c.Agents-1, "SPREAD")
+		said := c.ConsoleCommand(c.Agents-1, "SPREAD")
 		if m := heardLine.FindStringSubmatch(said); m != nil {
 			if n, _ := strconv.Atoi(m[1]); n >= c.Agents*95/100 {
 				return nil
@@ -158,7 +158,7 @@
 // player is a run under way.
 type player struct {
 	Run
-	c     *crew.Crew
+	c     *cluster.Cluster
 	calls *emulator.Callers
 	rng   *rand.Rand
 	began time.Time
@@ -193,7 +193,7 @@
 			return frames
 		case now := <-tick.C:
 			for _, s := range p.c.World.Listed() {
-				if n := s.Counts(); s.Healthy(3*time.Second) && !n.Last.IsZero() && now.Sub(n.Last) > idleMost || s.Healthy(3*time.Second) && n.Last.IsZero() && now.Sub(p.began) > idleMost {
+				if n := s.Counts(); s.Healthy(3*time.Second) && !n.LastSetUp.IsZero() && now.Sub(n.LastSetUp) > idleMost || s.Healthy(3*time.Second) && n.LastSetUp.IsZero() && now.Sub(p.began) > idleMost {
 					idle += 0.1
 				}
 			}
@@ -219,7 +219,7 @@
 	for s, now := range b.servers {
 		was := a.servers[s]
 		n += float64(now.SetUps - was.SetUps)
-		full += float64(now.Full - was.Full)
+		full += float64(now.TurnedAway - was.TurnedAway)
 		capacity += now.Capacity - was.Capacity
 		f.Handshakes += now.Handshakes - was.Handshakes
 		f.Probes += now.Probes - was.Probes
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"woodrouter/internal/lab/crew"
+	"woodrouter/internal/lab/cluster"
 	"woodrouter/internal/lab/emulator"
 	"woodrouter/internal/lab/fleetlab"
 )
@@ -33,13 +33,13 @@
 	d := emulator.Campus()
 	ctx, cancel := context.WithTimeout(ctx, c.For+time.Minute)
 	defer cancel()
-	k, err := crew.Start(ctx, crew.Plan{Bin: bin, Dir: dir, Deployment: d, Agents: 2, Servers: 3, Seed: 1})
+	k, err := cluster.Start(ctx, cluster.Config{Bin: bin, Dir: dir, Deployment: d, Agents: 2, Servers: 3, Seed: 1})
 	if err != nil {
 		return err
 	}
 	defer k.Close()
 	fmt.Fprintf(out, "two call agents at %s and %s, three setup servers, %.0f calls a second\n", k.Addr(0), k.Addr(1), 0.6*d.Total(3))
-	calls := k.Call(ctx, emulator.Load{Rates: emulator.Uneven(2, 0.6*d.Total(3), 1), Seed: 1, Choice: 0.3, Shift: 5 * time.Second})
+	calls := k.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(2, 0.6*d.Total(3), 1), Seed: 1, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
 	fleetlab.Pause(ctx, c.For)
 	calls.Wait()
 	sum, _ := calls.Tally()
@@ -47,7 +47,7 @@
 		sum.Calls, sum.Served, sum.Late, sum.Refused, sum.Failed, 100*sum.Share())
 	for _, s := range k.World.Listed() {
 		n := s.Counts()
-		fmt.Fprintf(out, "setup server %s: %d set-ups, %d stood, %d turned away\n", s.ID, n.SetUps, n.Stood, n.Full)
+		fmt.Fprintf(out, "setup server %s: %d set-ups, %d stood, %d turned away\n", s.ID, n.SetUps, n.Stood, n.TurnedAway)
 	}
 	return k.World.Check.Err()
 }
@@ -56,7 +56,7 @@
 func (c fleetCommand) run(ctx context.Context, bin, dir string, out io.Writer) error {
 	broken := 0
 	for _, policy := range c.Policy {
-		r, err := c.plan(policy, bin, dir)
+		r, err := c.newRun(policy, bin, dir)
 		if err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 			return err
 		}
 		report.Tell(out, policy, c.Windows)
-		if report.Err != nil && !reference(policy) {
+		if report.Err != nil && !isReference(policy) {
 			broken++
 		}
 	}
@@ -75,11 +75,11 @@
 	return nil
 }
 
-func reference(policy string) bool {
+func isReference(policy string) bool {
 	return policy == fleetlab.Random || policy == fleetlab.Least || policy == fleetlab.Dispatcher
 }
 
-func (c fleetCommand) plan(policy, bin, dir string) (fleetlab.Run, error) {
+func (c fleetCommand) newRun(policy, bin, dir string) (fleetlab.Run, error) {
 	r := fleetlab.Run{Bin: bin, Dir: dir, Seed: c.Seed, Agents: c.Agents, Servers: c.Servers, Load: c.Load, Choice: c.Choice, Calm: c.Calm, Faults: c.Faults}
 	if len(c.Faults) == 1 && c.Faults[0] == "none" {
 		r.Faults = []string{}
@@ -90,7 +90,7 @@
 	case policy == "alone" || policy == "common":
 		r.Policy = fleetlab.Agent
 		return r, r.Mode(policy)
-	case reference(policy):
+	case isReference(policy):
 		r.Policy = policy
 	default:
 		return r, fmt.Errorf("--policy %s: agent, alone, common, %s", policy, strings.Join([]string{fleetlab.Random, fleetlab.Least, fleetlab.Dispatcher}, ", "))
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -118,7 +118,7 @@
 	}
 	defer os.RemoveAll(dir)
 	if cli.Bin == "" && !slices.Contains([]string{"zones model", "zones cost"}, parsed.Command()) {
-		cli.Bin, err = program(dir)
+		cli.Bin, err = findProgram(dir)
 	}
 	if err == nil {
 		switch parsed.Command() {
@@ -156,8 +156,8 @@
 	return 0
 }
 
-// program is the one built beside this one, or else built from this module into dir.
-func program(dir string) (string, error) {
+// findProgram is the one built beside this one, or else built from this module into dir.
+func findProgram(dir string) (string, error) {
 	if self, err := os.Executable(); err == nil {
 		beside := filepath.Join(filepath.Dir(self), "woodrouter")
 		if _, err := os.Stat(beside); err == nil {
@@ -167,8 +167,8 @@
 	return faultnet.Build(dir)
 }
 
-// seeds plays one schedule for each seed, some at once, each in a directory of its own.
-func seeds(ctx context.Context, first uint64, count, parallel int, dir string, play func(seed uint64, dir string)) {
+// playSeeds plays one schedule for each seed, some at once, each in a directory of its own.
+func playSeeds(ctx context.Context, first uint64, count, parallel int, dir string, play func(seed uint64, dir string)) {
 	var work sync.WaitGroup
 	next := make(chan uint64)
 	for range max(parallel, 1) {
@@ -202,9 +202,9 @@
 		defer f.Close()
 		report = json.NewEncoder(f)
 	}
-	t := tally{out: out}
+	t := scheduleSummary{out: out}
 	operations, promised, lost := 0, 0, 0
-	seeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
+	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
 		r, err := promiselab.Schedule{Seed: seed, Members: c.Members, Steps: c.Steps, Clients: c.Clients}.Play(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(err, r.Err()), func() string {
 			operations, promised, lost = operations+r.Operations, promised+r.Promised, lost+len(r.Lost)
@@ -214,28 +214,28 @@
 			return fmt.Sprintf("%d operations, %d refused, %d promised, %d lost", r.Operations, r.Refused, r.Promised, len(r.Lost))
 		})
 	})
-	return t.tell(fmt.Sprintf("%d operations, %d promises read back, %d lost", operations, promised, lost))
+	return t.print(fmt.Sprintf("%d operations, %d promises read back, %d lost", operations, promised, lost))
 }
 
 // run plays the schedules against call agents.
 func (c agentsCommand) run(ctx context.Context, bin, dir string, out io.Writer) error {
-	t := tally{out: out}
+	t := scheduleSummary{out: out}
 	asked, kept := 0, 0
-	seeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
+	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
 		r, err := promiselab.AgentSchedule{Seed: seed, Agents: c.Agents, Steps: c.Steps, Callers: c.Callers}.Play(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(err, r.Err()), func() string {
 			asked, kept = asked+r.Asked, kept+r.Calls
 			return fmt.Sprintf("%d asked, %d served, %d turned away, %d unheard, %d calls read back", r.Asked, r.Served, r.Turned, r.Unheard, r.Calls)
 		})
 	})
-	return t.tell(fmt.Sprintf("%d set-ups asked for, %d served calls read back", asked, kept))
+	return t.print(fmt.Sprintf("%d set-ups asked for, %d served calls read back", asked, kept))
 }
 
 // run plays the schedules against agents in zones.
 func (c zonesSchedulesCommand) run(ctx context.Context, bin, dir string, out io.Writer) error {
-	t := tally{out: out}
+	t := scheduleSummary{out: out}
 	calls, moved, back := 0, hdrhistogram.New(1, 60_000, 3), hdrhistogram.New(1, 60_000, 3) // ms
-	seeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
+	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
 		r, err := zonelab.ZoneSchedule{Seed: seed, Agents: c.Agents, Steps: c.Steps}.Play(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(err, r.Err()), func() string {
 			calls += r.Calls
@@ -250,11 +250,11 @@
 	})
 	fmt.Fprintf(out, "a lost zone's calls moved at all agents after p50 %d ms, longest %d ms; all local again after p50 %d ms, longest %d ms\n",
 		moved.ValueAtQuantile(50), moved.Max(), back.ValueAtQuantile(50), back.Max())
-	return t.tell(fmt.Sprintf("%d calls", calls))
+	return t.print(fmt.Sprintf("%d calls", calls))
 }
 
-// tally adds schedules up as they end, whichever kind they are.
-type tally struct {
+// scheduleSummary adds schedules up as they end, whichever kind they are.
+type scheduleSummary struct {
 	out            io.Writer
 	mu             sync.Mutex
 	played, failed int
@@ -263,7 +263,7 @@
 
 // add tells of a schedule that ended. found is what it broke, or why it did not end; figures
 // words its own figures, and may add them up: one schedule at a time is in it.
-func (t *tally) add(seed uint64, faults []string, took time.Duration, found error, figures func() string) {
+func (t *scheduleSummary) add(seed uint64, faults []string, took time.Duration, found error, figures func() string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
@@ -281,8 +281,8 @@
 	fmt.Fprintf(t.out, "seed %d: %s, %v: %s\n", seed, figures(), took.Round(time.Millisecond), verdict)
 }
 
-// tell tells of all schedules, their own figures added up in sum.
-func (t *tally) tell(sum string) error {
+// print tells of all schedules, their own figures added up in sum.
+func (t *scheduleSummary) print(sum string) error {
 	for _, f := range slices.Sorted(maps.Keys(t.faults)) {
 		fmt.Fprintf(t.out, "%5d x %s\n", t.faults[f], f)
 	}
--- a/internal/lab/labcli/rollout.go
+++ b/internal/lab/labcli/rollout.go
@@ -46,9 +46,9 @@
 
 // run plays the schedules.
 func (c rolloutSchedulesCommand) run(ctx context.Context, bin, dir string, out io.Writer) error {
-	t := tally{out: out}
+	t := scheduleSummary{out: out}
 	stood, all := 0, hdrhistogram.New(1, 300_000, 3) // ms
-	seeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
+	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
 		r, err := rolloutlab.Schedule{Seed: seed, Hollow: c.Agents, Real: c.Real, Steps: c.Steps, Hour: c.Hour, Only: c.Only}.Play(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(r.Err(), err), func() string {
 			stood += r.Puts[rolloutlab.Stood]
@@ -65,5 +65,5 @@
 	})
 	fmt.Fprintf(out, "a change was at every agent within reach after p50 %d ms, p99 %d ms, longest %d ms\n",
 		all.ValueAtQuantile(50), all.ValueAtQuantile(99), all.Max())
-	return t.tell(fmt.Sprintf("%d changes that stood", stood))
+	return t.print(fmt.Sprintf("%d changes that stood", stood))
 }
--- a/internal/lab/labcli/scale.go
+++ b/internal/lab/labcli/scale.go
@@ -77,7 +77,7 @@
 	default:
 		return errors.New("--delay: the least and the most")
 	}
-	head(out)
+	printHeader(out)
 	var sizes []scalelab.Size
 	var failed error
 	for _, n := range c.Agents {
@@ -95,24 +95,24 @@
 		s.Tell(out)
 		sizes = append(sizes, s)
 		if c.JSON != "" { // after each size: a run may be ended from outside
-			text, err := json.MarshalIndent(figures{Sizes: sizes, Fits: scalelab.Fits(sizes, c.Target)}, "", " ")
+			text, err := json.MarshalIndent(runFigures{Sizes: sizes, Fits: scalelab.Fits(sizes, c.Target)}, "", " ")
 			if err == nil {
 				err = os.WriteFile(c.JSON, text, 0o644)
 			}
 			failed = errors.Join(failed, err)
 		}
 	}
-	tellFits(out, sizes, c.Target)
+	printFits(out, sizes, c.Target)
 	return failed
 }
 
-// figures are a run's, as --json writes them.
-type figures struct {
+// runFigures are a run's, as --json writes them.
+type runFigures struct {
 	Sizes []scalelab.Size `json:"sizes"`
 	Fits  []scalelab.Fit  `json:"fits"`
 }
 
-func tellFits(out io.Writer, sizes []scalelab.Size, target int) {
+func printFits(out io.Writer, sizes []scalelab.Size, target int) {
 	fits := scalelab.Fits(sizes, target)
 	if len(fits) == 0 {
 		return
@@ -131,7 +131,7 @@
 		if err != nil {
 			return err
 		}
-		var f figures
+		var f runFigures
 		if err := json.Unmarshal(text, &f); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
@@ -142,12 +142,12 @@
 			sizes = append(sizes, s)
 		}
 	}
-	tellFits(out, sizes, c.Target)
+	printFits(out, sizes, c.Target)
 	return nil
 }
 
-// head tells what was run, of which commit where the build knows it, and where.
-func head(out io.Writer) {
+// printHeader tells what was run, of which commit where the build knows it, and where.
+func printHeader(out io.Writer) {
 	fmt.Fprintf(out, "# woodlab %s\n", strings.Join(os.Args[1:], " "))
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -12,44 +12,44 @@
 	"woodrouter/isup"
 )
 
-// Office is a setup server that notes which agent sent it what: each agent knows it under an
+// SetupServer is a setup server that notes which agent sent it what: each agent knows it under an
 // address of its own. It answers most set-ups at once, some late, turns some away as full and
 // says nothing to others; a steady one answers all at once.
-type Office struct {
+type SetupServer struct {
 	Steady bool
 	host   string
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	lns   map[string]net.Listener // by agent
-	conns map[net.Conn]bool
-	sent  map[isup.CallID]map[string]int // set-ups of a call, by agent
-	rooms int                            // answers given: each has a description of its own
+	mu        sync.Mutex
+	rng       *rand.Rand
+	listeners map[string]net.Listener // by agent
+	conns     map[net.Conn]bool
+	sent      map[isup.CallID]map[string]int // set-ups of a call, by agent
+	answers   int                            // answers given: each has a description of its own
 }
 
-func NewOffice(seed uint64) *Office {
-	return &Office{rng: rand.New(rand.NewPCG(seed, 3)), lns: map[string]net.Listener{}, conns: map[net.Conn]bool{}, sent: map[isup.CallID]map[string]int{}}
+func NewSetupServer(seed uint64) *SetupServer {
+	return &SetupServer{rng: rand.New(rand.NewPCG(seed, 3)), listeners: map[string]net.Listener{}, conns: map[net.Conn]bool{}, sent: map[isup.CallID]map[string]int{}}
 }
 
-// Open is the address for one agent, on a host of the office's own: while it is dead, nobody else
+// ListenFor is the address for one agent, on a host of the office's own: while it is dead, nobody else
 // takes its ports.
-func (o *Office) Open(agent string) (string, error) {
+func (o *SetupServer) ListenFor(agent string) (string, error) {
 	if o.host == "" {
 		var err error
 		if o.host, err = faultnet.NewHost(); err != nil {
 			return "", err
 		}
 	}
-	return o.listen(agent, o.host+":0")
+	return o.listenAt(agent, o.host+":0")
 }
 
-func (o *Office) listen(agent, addr string) (string, error) {
+func (o *SetupServer) listenAt(agent, addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
 	o.mu.Lock()
-	o.lns[agent] = ln
+	o.listeners[agent] = ln
 	o.mu.Unlock()
 	go func() {
 		for {
@@ -63,11 +63,11 @@
 	return ln.Addr().String(), nil
 }
 
-// Die ends the process, as it were: its connections are reset and nobody listens.
-func (o *Office) Die() {
+// Crash ends the process, as it were: its connections are reset and nobody listens.
+func (o *SetupServer) Crash() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, ln := range o.lns {
+	for _, ln := range o.listeners {
 		ln.Close()
 	}
 	for conn := range o.conns {
@@ -78,32 +78,32 @@
 	}
 }
 
-// Revive has it listen again where it did.
-func (o *Office) Revive() error {
+// Restart has it listen again where it did.
+func (o *SetupServer) Restart() error {
 	o.mu.Lock()
 	at := map[string]string{}
-	for agent, ln := range o.lns {
+	for agent, ln := range o.listeners {
 		at[agent] = ln.Addr().String()
 	}
 	o.mu.Unlock()
 	for agent, addr := range at {
-		if _, err := o.listen(agent, addr); err != nil {
+		if _, err := o.listenAt(agent, addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (o *Office) Close() { o.Die() }
+func (o *SetupServer) Close() { o.Crash() }
 
-// Got tells whether a call's set-up came here.
-func (o *Office) Got(id isup.CallID) bool {
+// Received tells whether a call's set-up came here.
+func (o *SetupServer) Received(id isup.CallID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.sent[id]) > 0
 }
 
-func (o *Office) serve(agent string, conn net.Conn) {
+func (o *SetupServer) serve(agent string, conn net.Conn) {
 	o.mu.Lock()
 	o.conns[conn] = true
 	o.mu.Unlock()
@@ -136,7 +136,7 @@
 }
 
 // decide notes a set-up and draws what comes of it.
-func (o *Office) decide(agent string, id isup.CallID) (reply isup.Message, after time.Duration, ok bool) {
+func (o *SetupServer) decide(agent string, id isup.CallID) (reply isup.Message, after time.Duration, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.sent[id] == nil {
@@ -156,12 +156,12 @@
 	case n >= 94:
 		return isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithText(isup.Note, "overload"), after, true
 	}
-	o.rooms++
-	return isup.Message{Type: isup.Answer, Call: id}.WithText(isup.Description, fmt.Sprintf("room %d of %v", o.rooms, id)), after, true
+	o.answers++
+	return isup.Message{Type: isup.Answer, Call: id}.WithText(isup.Description, fmt.Sprintf("room %d of %v", o.answers, id)), after, true
 }
 
-// Twice are the calls that more than one agent sent on.
-func (o *Office) Twice() (out []string) {
+// SentByTwoAgents are the calls that more than one agent sent on.
+func (o *SetupServer) SentByTwoAgents() (out []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, by := range o.sent {
@@ -172,8 +172,8 @@
 	return out
 }
 
-// Heard is what a caller was told of a call.
-type Heard struct {
+// CallResult is what a caller was told of a call.
+type CallResult struct {
 	Served string // the description; "": not served
 	Away   time.Duration
 	Err    error // no answer
@@ -181,37 +181,37 @@
 
 // askTime bounds one set-up of a caller, and dialMost its way to the agent.
 const (
-	askTime = 3 * time.Second
-	askDial = 500 * time.Millisecond
+	callTimeout = 3 * time.Second
+	dialTimeout = 500 * time.Millisecond
 )
 
-// Ask has an agent set a call up, on a connection of its own.
-func Ask(addr string, id isup.CallID) Heard {
-	conn, err := net.DialTimeout("tcp", addr, askDial)
+// SetUpCall has an agent set a call up, on a connection of its own.
+func SetUpCall(addr string, id isup.CallID) CallResult {
+	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
-		return Heard{Err: err}
+		return CallResult{Err: err}
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(askTime + time.Second))
-	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.TimeLeft, askTime).
+	conn.SetDeadline(time.Now().Add(callTimeout + time.Second))
+	b, err := isup.Message{Type: isup.SetUp, Call: id}.WithText(isup.Class, "voice").WithMillis(isup.TimeLeft, callTimeout).
 		WithText(isup.Number, id.String()).WithText(isup.Figures, "dest:0;width:1;via:-1").WithText(isup.Description, "offer").Append(nil)
 	if err != nil {
-		return Heard{Err: err}
+		return CallResult{Err: err}
 	}
 	if _, err := conn.Write(b); err != nil {
-		return Heard{Err: err}
+		return CallResult{Err: err}
 	}
 	for in := bufio.NewReader(conn); ; {
 		m, err := isup.Read(in)
 		switch {
 		case err != nil:
-			return Heard{Err: err}
+			return CallResult{Err: err}
 		case m.Call != id:
 		case m.Type == isup.Answer:
-			return Heard{Served: m.Text(isup.Description)}
+			return CallResult{Served: m.Text(isup.Description)}
 		case m.Type == isup.Release:
 			away, _ := m.Millis(isup.RetryAfter)
-			return Heard{Away: away}
+			return CallResult{Away: away}
 		}
 	}
 }
--- a/internal/lab/promiselab/agents.go
+++ b/internal/lab/promiselab/agents.go
@@ -51,7 +51,7 @@
 // town is the agents, the setup server, and what callers heard.
 type town struct {
 	*lab.Fleet
-	office *lab.Office
+	office *lab.SetupServer
 	rng    *rand.Rand
 
 	mu     sync.Mutex
@@ -76,14 +76,14 @@
 // served call again when all is healed.
 func (s AgentSchedule) Play(ctx context.Context, bin, dir string) (AgentReport, error) {
 	began := time.Now()
-	o := lab.NewOffice(s.Seed)
+	o := lab.NewSetupServer(s.Seed)
 	defer o.Close()
 	r := AgentReport{AgentSchedule: s}
-	f, err := lab.StartFleet(bin, dir, s.Agents, s.Seed, lab.Site{Settings: json.RawMessage(lab.AgentSettings),
+	f, err := lab.StartFleet(bin, dir, s.Agents, s.Seed, lab.FleetConfig{Settings: json.RawMessage(lab.AgentSettings),
 		Timing: replica.TimingConfig{Heartbeat: "500ms", Election: "500ms", Lease: "300ms"},
-		Agent: func(name string) (string, any, error) {
-			addr, err := o.Open(name)
-			return lab.NoBulletin, lab.Listing(map[string]any{"name": "s0", "address": addr, "zone": "z"}), err
+		AgentBulletin: func(name string) (string, any, error) {
+			addr, err := o.ListenFor(name)
+			return lab.NoBulletin, lab.ServerList(map[string]any{"name": "s0", "address": addr, "zone": "z"}), err
 		}})
 	if err != nil {
 		return r, err
@@ -98,7 +98,7 @@
 }
 
 func (t *town) play(whole context.Context, s AgentSchedule) error {
-	ctx, cancel := context.WithTimeout(whole, lab.ScheduleMost)
+	ctx, cancel := context.WithTimeout(whole, lab.ScheduleTimeout)
 	defer cancel()
 	if err := t.settle(ctx); err != nil {
 		return err
@@ -114,23 +114,23 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel = context.WithTimeout(whole, lab.ReadMost)
+	ctx, cancel = context.WithTimeout(whole, lab.ReadBackTimeout)
 	defer cancel()
-	t.Cut()
+	t.Partition()
 	if err := t.restart(ctx); err != nil { // fresh tables: an agent ends a connection that asks for a call it has open
 		return err
 	}
-	t.report.Calls, t.report.Twice, t.report.Lost = len(t.served), t.office.Twice(), t.readBack(ctx)
+	t.report.Calls, t.report.Twice, t.report.Lost = len(t.served), t.office.SentByTwoAgents(), t.readBack(ctx)
 	return nil
 }
 
 func (t *town) faults(ctx context.Context, s AgentSchedule) error {
-	for _, i := range lab.Drawn(s.Seed, s.Steps, len(agentFaults)) {
+	for _, i := range lab.DrawFaults(s.Seed, s.Steps, len(agentFaults)) {
 		f := agentFaults[i]
 		if err := t.progress(ctx, 20); err != nil {
 			return err
 		}
-		if err := lab.Step(ctx, func(ctx context.Context) error { return f.play(t, ctx) }); err != nil {
+		if err := lab.RunStep(ctx, func(ctx context.Context) error { return f.play(t, ctx) }); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		t.report.Faults = append(t.report.Faults, f.name)
@@ -149,12 +149,12 @@
 		default:
 		}
 		id := isup.CallID(1 + i/2 + rng.IntN(4)) // callers move on through the calls together
-		t.note(id, lab.Ask(t.Agents[fmt.Sprintf("a%d", 1+rng.IntN(s.Agents))].Listen, id))
+		t.note(id, lab.SetUpCall(t.Agents[fmt.Sprintf("a%d", 1+rng.IntN(s.Agents))].Listen, id))
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
 }
 
-func (t *town) note(id isup.CallID, h lab.Heard) {
+func (t *town) note(id isup.CallID, h lab.CallResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report.Asked++
@@ -177,9 +177,9 @@
 func (t *town) readBack(ctx context.Context) (lost []string) {
 	names := t.Names()
 	for id, want := range t.served {
-		var h lab.Heard
+		var h lab.CallResult
 		for i := 0; i < 3*len(names) && ctx.Err() == nil; i++ {
-			if h = lab.Ask(t.Agents[names[(int(id)+i)%len(names)]].Listen, id); h.Served != "" {
+			if h = lab.SetUpCall(t.Agents[names[(int(id)+i)%len(names)]].Listen, id); h.Served != "" {
 				break
 			}
 			time.Sleep(min(h.Away, 200*time.Millisecond))
@@ -197,7 +197,7 @@
 func (t *town) settle(ctx context.Context) error {
 	for _, name := range t.Names() {
 		if t.Agents[name].Running() {
-			if err := t.Settled(ctx, name); err != nil {
+			if err := t.AwaitLeaders(ctx, name); err != nil {
 				return err
 			}
 		}
@@ -207,13 +207,13 @@
 
 // progress waits until n more calls were served; an error says who is waited for.
 func (t *town) progress(ctx context.Context, n int) error {
-	return lab.Progress(ctx, func() int {
+	return lab.AwaitProgress(ctx, func() int {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		return t.report.Served
 	}, n, "calls served", func() (said string) {
 		for _, name := range t.Names() {
-			said += fmt.Sprintf("%s runs %v: %s", name, t.Agents[name].Running(), t.Ask(name, "PROMISES"))
+			said += fmt.Sprintf("%s runs %v: %s", name, t.Agents[name].Running(), t.ConsoleCommand(name, "PROMISES"))
 		}
 		return said
 	})
@@ -234,7 +234,7 @@
 // lose is an agent's machine gone with its disk; the operators' command brings it back.
 func (t *town) lose(ctx context.Context) error {
 	name := t.any()
-	if err := t.Lose(name); err != nil {
+	if err := t.KillAndWipe(name); err != nil {
 		return err
 	}
 	if err := t.progress(ctx, 10); err != nil {
@@ -243,7 +243,7 @@
 	if err := t.settle(ctx); err != nil {
 		return err
 	}
-	if err := t.Mend(ctx, name); err != nil {
+	if err := t.ReplaceLost(ctx, name); err != nil {
 		return err
 	}
 	return t.settle(ctx)
@@ -254,11 +254,11 @@
 func (t *town) cutTwo(ctx context.Context) error { return t.cut(ctx, t.any(), t.any()) }
 
 func (t *town) cut(ctx context.Context, names ...string) error {
-	t.Cut(names...)
+	t.Partition(names...)
 	if err := t.progress(ctx, 10); err != nil {
 		return err
 	}
-	t.Cut()
+	t.Partition()
 	return t.settle(ctx)
 }
 
@@ -291,10 +291,10 @@
 
 func (t *town) slow(ctx context.Context) error {
 	all := func(string, string) bool { return true }
-	t.Slow(25*time.Millisecond, all)
+	t.Delay(25*time.Millisecond, all)
 	if err := t.progress(ctx, 10); err != nil {
 		return err
 	}
-	t.Slow(0, all)
+	t.Delay(0, all)
 	return t.settle(ctx)
 }
--- a/internal/lab/promiselab/fleet_test.go
+++ b/internal/lab/promiselab/fleet_test.go
@@ -29,8 +29,8 @@
 func TestAgents(t *testing.T) {
 	server := standin.NewServer(t, "")
 	bulletin := standin.NewBulletin(t, standin.Endpoint("s0", server.Addr, 0, "up"))
-	f, err := lab.StartFleet(bin, t.TempDir(), 6, 7, lab.Site{Settings: json.RawMessage(lab.PatientSettings), Timing: lab.Calm,
-		Bulletin: func(string) (string, any) { return bulletin.Addr, bulletin.Known(0) }})
+	f, err := lab.StartFleet(bin, t.TempDir(), 6, 7, lab.FleetConfig{Settings: json.RawMessage(lab.LongDeadlineSettings), Timing: lab.SlowTiming,
+		Bulletin: func(string) (string, any) { return bulletin.Addr, bulletin.EventsAfter(0) }})
 	require.NoError(t, err)
 	defer f.Close()
 	defer func() {
@@ -41,10 +41,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	for name := range f.Agents {
-		require.NoError(t, f.Settled(ctx, name))
+		require.NoError(t, f.AwaitLeaders(ctx, name))
 	}
 	go func() { // calls under 1000 stand at once; others are never answered
-		for g := range server.Got {
+		for g := range server.Received {
 			if g.Type == isup.SetUp && g.Call < 1000 {
 				g.Answer(fmt.Sprint("room of ", g.Call))
 			}
@@ -63,22 +63,22 @@
 		d := m.Text(isup.Description)
 		require.Equal(t, isup.Answer, m.Type, "%s, call %v", agent, id)
 		require.Equal(t, fmt.Sprint("room of ", id), d)
-		require.Equal(t, 1, server.Seen(isup.SetUp, id))
+		require.Equal(t, 1, server.Count(isup.SetUp, id))
 	}
 	refused := func(agent string, id isup.CallID, sent int) {
 		m := ask(agent, id)
 		away, err := m.Millis(isup.RetryAfter)
 		require.Equal(t, isup.Release, m.Type, "%s, call %v", agent, id)
 		require.True(t, err == nil && away > 0, "%s, call %v: stay away %v", agent, id, away)
-		require.Equal(t, sent, server.Seen(isup.SetUp, id))
+		require.Equal(t, sent, server.Count(isup.SetUp, id))
 	}
 
 	for id := isup.CallID(1); id <= 20; id++ {
 		served("a1", id)
 	}
-	require.NoError(t, f.Lose("a1"))
+	require.NoError(t, f.KillAndWipe("a1"))
 	for i := 2; i <= 6; i++ {
-		require.NoError(t, f.Settled(ctx, fmt.Sprint("a", i)))
+		require.NoError(t, f.AwaitLeaders(ctx, fmt.Sprint("a", i)))
 	}
 	for id := isup.CallID(1); id <= 20; id++ { // the same answer from others, and no second copy
 		served(fmt.Sprint("a", 2+int(id%5)), id)
@@ -93,45 +93,45 @@
 		dying.SetUp(id, "voice", 9*time.Second, 0)
 	}
 	for _, id := range open {
-		require.Eventually(t, func() bool { return server.Seen(isup.SetUp, id) > 0 }, standin.Patience, time.Millisecond)
+		require.Eventually(t, func() bool { return server.Count(isup.SetUp, id) > 0 }, standin.WaitTimeout, time.Millisecond)
 	}
 	f.Agents["a4"].Kill()
 	for _, id := range open { // sent on, its end not known: closed, never sent again
-		sent[id] = server.Seen(isup.SetUp, id)
+		sent[id] = server.Count(isup.SetUp, id)
 	}
-	require.NoError(t, f.Settled(ctx, "a2"))
+	require.NoError(t, f.AwaitLeaders(ctx, "a2"))
 	for _, id := range open {
 		refused("a2", id, sent[id])
 		refused("a3", id, sent[id])
 	}
 	require.NoError(t, f.Start("a4"))
 	require.NoError(t, f.Start("a1"))
-	require.NoError(t, f.Await(ctx, "a1", "READY", "SUCCESS"))
+	require.NoError(t, f.AwaitConsole(ctx, "a1", "READY", "SUCCESS"))
 	served("a1", 5) // as a client of the groups, it hears what it promised itself
 
 	f.Agents["a1"].Kill() // it keeps for others again under a new id, and its group bears another loss
-	require.NoError(t, f.Mend(ctx, "a1"))
+	require.NoError(t, f.ReplaceLost(ctx, "a1"))
 	f.Agents["a2"].Kill()
-	require.NoError(t, f.Settled(ctx, "a3"))
+	require.NoError(t, f.AwaitLeaders(ctx, "a3"))
 	served("a3", 4)
 	served("a3", 40)
 	require.NoError(t, f.Start("a2"))
 
-	require.NoError(t, f.Await(ctx, "a5", "DRAIN", "SUCCESS"))
+	require.NoError(t, f.AwaitConsole(ctx, "a5", "DRAIN", "SUCCESS"))
 	f.Agents["a5"].Kill()
 	require.NoError(t, f.Start("a5"))
-	require.NoError(t, f.Await(ctx, "a5", "READY", "FAILURE"))
-	require.NoError(t, f.Await(ctx, "a5", "UNDRAIN", "SUCCESS"))
-	require.NoError(t, f.Await(ctx, "a5", "READY", "SUCCESS"))
+	require.NoError(t, f.AwaitConsole(ctx, "a5", "READY", "FAILURE"))
+	require.NoError(t, f.AwaitConsole(ctx, "a5", "UNDRAIN", "SUCCESS"))
+	require.NoError(t, f.AwaitConsole(ctx, "a5", "READY", "SUCCESS"))
 
-	f.Cut("a6")
+	f.Partition("a6")
 	began := time.Now()
 	refused("a6", 900, 0)
 	require.Less(t, time.Since(began), 5*time.Second) // at once, but for a slow machine
-	require.Contains(t, f.Ask("a6", "DRAIN"), "nothing changed here")
-	require.NoError(t, f.Settled(ctx, "a2"))
+	require.Contains(t, f.ConsoleCommand("a6", "DRAIN"), "nothing changed here")
+	require.NoError(t, f.AwaitLeaders(ctx, "a2"))
 	served("a2", 901)
-	f.Cut()
-	require.NoError(t, f.Settled(ctx, "a6"))
+	f.Partition()
+	require.NoError(t, f.AwaitLeaders(ctx, "a6"))
 	served("a6", 902)
 }
--- a/internal/lab/promiselab/group.go
+++ b/internal/lab/promiselab/group.go
@@ -52,12 +52,12 @@
 	}
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprintf("n%d", i)
-		r, err := lab.Reserve(host, &held)
+		r, err := lab.ReservePort(host, &held)
 		if err != nil {
 			release()
 			return nil, err
 		}
-		c, err := lab.Reserve(host, &held)
+		c, err := lab.ReservePort(host, &held)
 		if err != nil {
 			release()
 			return nil, err
@@ -107,7 +107,7 @@
 func (g *Group) Replace(ctx context.Context, name, newID string) error {
 	old := g.configs[name]
 	g.Procs[name].Kill()
-	if err := g.Procs[name].Wipe(); err != nil {
+	if err := g.Procs[name].WipeData(); err != nil {
 		return err
 	}
 	if _, err := g.Leader(ctx); err != nil { // the member may have led: wait for the next
--- a/internal/lab/promiselab/schedule.go
+++ b/internal/lab/promiselab/schedule.go
@@ -96,7 +96,7 @@
 }
 
 func (s Schedule) play(whole context.Context, g *Group, r *Report) error {
-	ctx, cancel := context.WithTimeout(whole, lab.ScheduleMost)
+	ctx, cancel := context.WithTimeout(whole, lab.ScheduleTimeout)
 	defer cancel()
 	if _, err := g.Leader(ctx); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel = context.WithTimeout(whole, lab.ReadMost)
+	ctx, cancel = context.WithTimeout(whole, lab.ReadBackTimeout)
 	defer cancel()
 	g.Mesh.Heal()
 	if _, err := g.Leader(ctx); err != nil {
@@ -143,12 +143,12 @@
 func (s *scene) playAll(ctx context.Context, order []int, r *Report) error {
 	for _, i := range order {
 		if ctx.Err() != nil {
-			return fmt.Errorf("not done in %v (after %v)", lab.ScheduleMost, r.Faults)
+			return fmt.Errorf("not done in %v (after %v)", lab.ScheduleTimeout, r.Faults)
 		}
 		if err := s.progress(ctx, 50); err != nil { // clients at work before each fault
 			return err
 		}
-		if err := lab.Step(ctx, func(ctx context.Context) error { return faults[i].play(s, ctx) }); err != nil {
+		if err := lab.RunStep(ctx, func(ctx context.Context) error { return faults[i].play(s, ctx) }); err != nil {
 			return fmt.Errorf("%s (after %v): %w", faults[i].name, r.Faults, err)
 		}
 		r.Faults = append(r.Faults, faults[i].name)
@@ -158,7 +158,7 @@
 
 // progress waits until a quorum has answered n more operations; an error says who is waited for.
 func (s *scene) progress(ctx context.Context, n int) error {
-	return lab.Progress(ctx, s.h.count, n, "operations answered by a quorum", s.states)
+	return lab.AwaitProgress(ctx, s.h.count, n, "operations answered by a quorum", s.states)
 }
 
 // settled waits until the members agree on a leader.
--- a/internal/lab/rolloutlab/agents.go
+++ b/internal/lab/rolloutlab/agents.go
@@ -177,8 +177,8 @@
 // follow reads what a real agent says of itself until ctx ends.
 func (w *World) follow(ctx context.Context, i int) {
 	name := realAgent(i).Name
-	for ; ctx.Err() == nil; lab.Pause(ctx, pollEvery) {
-		said := w.crew.Ask(i, "ROLLOUT")
+	for ; ctx.Err() == nil; lab.Sleep(ctx, pollEvery) {
+		said := w.crew.ConsoleCommand(i, "ROLLOUT")
 		for _, s := range read(said) {
 			s.Agent, s.At = name, w.History.Now()
 			w.History.Sight(s)
@@ -223,14 +223,14 @@
 
 // restart ends a real agent with SIGKILL and starts it again; its callers know.
 func (w *World) restart(ctx context.Context, i int) error {
-	w.calls.Trouble(i, true)
+	w.calls.MarkFaulty(i, true)
 	w.crew.Procs[i].Kill()
 	w.reach()
-	if err := w.crew.Launch(i); err != nil {
+	if err := w.crew.StartAgent(i); err != nil {
 		return err
 	}
-	err := w.crew.Ready(ctx, i)
-	w.calls.Trouble(i, false)
+	err := w.crew.AwaitReady(ctx, i)
+	w.calls.MarkFaulty(i, false)
 	w.reach()
 	return err
 }
--- a/internal/lab/rolloutlab/authors.go
+++ b/internal/lab/rolloutlab/authors.go
@@ -108,7 +108,7 @@
 		if ctx.Err() != nil {
 			return done, fmt.Errorf("%s by %s does not stand: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.world.states())
 		}
-		lab.Pause(ctx, 50*time.Millisecond)
+		lab.Sleep(ctx, 50*time.Millisecond)
 	}
 }
 
--- a/internal/lab/rolloutlab/schedule.go
+++ b/internal/lab/rolloutlab/schedule.go
@@ -160,7 +160,7 @@
 		out = append(out, faults[i])
 	}
 	if s.Only == nil {
-		for _, i := range lab.Drawn(s.Seed, s.Steps, len(faults)) {
+		for _, i := range lab.DrawFaults(s.Seed, s.Steps, len(faults)) {
 			out = append(out, faults[i])
 		}
 	}
@@ -194,7 +194,7 @@
 		defer close(done)
 		c.atWork(ctx, rng, i, stop)
 	}()
-	most, cancel := context.WithTimeout(ctx, lab.StepMost+c.Hour)
+	most, cancel := context.WithTimeout(ctx, lab.StepTimeout+c.Hour)
 	err := f.play(c, most)
 	cancel()
 	close(stop)
@@ -235,8 +235,8 @@
 		defer close(under)
 		c.bob.put(ctx, Put{Name: everyone, Base: base, Text: c.bob.next()})
 	}()
-	lab.Pause(ctx, time.Duration(c.rng.IntN(40))*time.Millisecond)
-	c.machines[leader].Stall()
+	lab.Sleep(ctx, time.Duration(c.rng.IntN(40))*time.Millisecond)
+	c.machines[leader].Suspend()
 	c.alive(leader, false)
 	defer func() {
 		c.machines[leader].Resume()
@@ -334,7 +334,7 @@
 			if ctx.Err() != nil {
 				return fmt.Errorf("%s did not come level with %s: %w: %s", id, leader, ctx.Err(), c.states())
 			}
-			lab.Pause(ctx, 20*time.Millisecond)
+			lab.Sleep(ctx, 20*time.Millisecond)
 		}
 	}
 	return nil
@@ -345,7 +345,7 @@
 	if err := c.change(ctx); err != nil {
 		return err
 	}
-	lab.Pause(ctx, time.Duration(c.rng.IntN(1500))*time.Millisecond)
+	lab.Sleep(ctx, time.Duration(c.rng.IntN(1500))*time.Millisecond)
 	var picked []*hollow
 	for _, i := range c.rng.Perm(len(c.hollow))[:(len(c.hollow)+9)/10] {
 		picked = append(picked, c.hollow[i])
@@ -457,7 +457,7 @@
 	if err := c.Settled(ctx, everyone); err != nil { // those within reach
 		return err
 	}
-	lab.Pause(ctx, c.Hour)
+	lab.Sleep(ctx, c.Hour)
 	_, err := west.change(ctx, Put{Name: everyone})
 	return err
 }
@@ -473,7 +473,7 @@
 					c.look(ctx, leader)
 				}
 				a.put(ctx, Put{Name: everyone, Base: c.head(everyone), Text: a.next()})
-				lab.Pause(ctx, 200*time.Millisecond-time.Since(began))
+				lab.Sleep(ctx, 200*time.Millisecond-time.Since(began))
 			}
 		})
 	}
@@ -535,7 +535,7 @@
 	}
 	for _, a := range picked {
 		for err == nil && !a.saved() {
-			if lab.Pause(ctx, 50*time.Millisecond); ctx.Err() != nil {
+			if lab.Sleep(ctx, 50*time.Millisecond); ctx.Err() != nil {
 				err = fmt.Errorf("%s has not saved since its disk is back: %s", a.Name, a.watch.Status())
 			}
 		}
--- a/internal/lab/rolloutlab/spread_test.go
+++ b/internal/lab/rolloutlab/spread_test.go
@@ -21,7 +21,7 @@
 
 // told is whom an agent tells of its load, how old its view is, and whether it follows one.
 func (w *World) told(i int) (steward string, old time.Duration, follows bool) {
-	said := w.crew.Ask(i, "SPREAD")
+	said := w.crew.ConsoleCommand(i, "SPREAD")
 	m := stewardLine.FindStringSubmatch(said)
 	if m == nil {
 		return "", never, false
@@ -54,7 +54,7 @@
 			t.Logf("%s: after %v:%s", what, time.Since(began).Round(time.Millisecond), states)
 			return steward
 		}
-		lab.Pause(ctx, 50*time.Millisecond)
+		lab.Sleep(ctx, 50*time.Millisecond)
 		require.NoError(t, ctx.Err(), "%s:%s\n%s", what, states, w.crew.Logs(0))
 	}
 }
@@ -72,7 +72,7 @@
 	w.machines[first].Kill()
 	w.alive(first, false)
 	second := w.spreads(ctx, t, first+" killed", false, first)
-	w.machines[second].Stall()
+	w.machines[second].Suspend()
 	w.alive(second, false)
 	third := w.spreads(ctx, t, second+" stopped", false, first, second)
 	w.Cut(func(a, b string) bool { return a == third })
--- a/internal/lab/rolloutlab/world.go
+++ b/internal/lab/rolloutlab/world.go
@@ -24,7 +24,7 @@
 	"woodrouter/internal/fleet/control"
 	"woodrouter/internal/fleet/watcher"
 	"woodrouter/internal/lab"
-	"woodrouter/internal/lab/crew"
+	"woodrouter/internal/lab/cluster"
 	"woodrouter/internal/lab/emulator"
 	"woodrouter/rollout"
 )
@@ -65,7 +65,7 @@
 	peers    faultnet.Mesh                        // between machines: reports
 	links    map[string]map[string]*faultnet.Link // from a zone's agents to a machine
 	hollow   []*hollow
-	crew     *crew.Crew
+	crew     *cluster.Cluster
 	calls    *emulator.Callers
 	ops      *control.Client
 	stop     context.CancelFunc
@@ -134,7 +134,7 @@
 	for _, id := range machineNames {
 		w.work.Go(func() { w.observe(run, id) })
 	}
-	first, done := context.WithTimeout(ctx, lab.StepMost)
+	first, done := context.WithTimeout(ctx, lab.StepTimeout)
 	defer done()
 	if _, err := w.Leader(first); err != nil {
 		return err
@@ -189,7 +189,7 @@
 	for _, id := range machineNames {
 		var at [3]string
 		for i := range at {
-			if at[i], err = lab.Reserve(host, &held); err != nil {
+			if at[i], err = lab.ReservePort(host, &held); err != nil {
 				release()
 				return err
 			}
@@ -222,7 +222,7 @@
 }
 
 // calm are timers with which a busy machine's pauses don't cost the group its leader, as lab.Calm.
-var calm = map[string]string{"heartbeat": lab.Calm.Heartbeat, "election": lab.Calm.Election, "lease": lab.Calm.Lease}
+var calm = map[string]string{"heartbeat": lab.SlowTiming.Heartbeat, "election": lab.SlowTiming.Election, "lease": lab.SlowTiming.Lease}
 
 // launch writes a machine's file and starts it.
 func (w *World) launch(m *machine) error {
@@ -267,11 +267,11 @@
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
-	w.crew, err = crew.Start(ctx, crew.Plan{Bin: w.Bin, Dir: dir, Deployment: d, Agents: w.Real, Servers: 3, Seed: w.Seed, Env: w.file})
+	w.crew, err = cluster.Start(ctx, cluster.Config{Bin: w.Bin, Dir: dir, Deployment: d, Agents: w.Real, Servers: 3, Seed: w.Seed, Env: w.file})
 	if err != nil {
 		return err
 	}
-	w.calls = w.crew.Call(run, emulator.Load{Rates: emulator.Uneven(w.Real, 0.5*d.Total(3), w.Seed), Seed: w.Seed, Choice: 0.3, Shift: 5 * time.Second})
+	w.calls = w.crew.StartCallers(run, emulator.Load{Rates: emulator.UnevenRates(w.Real, 0.5*d.Total(3), w.Seed), Seed: w.Seed, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
 	for i := range w.Real {
 		w.work.Go(func() { w.follow(run, i) })
 	}
@@ -279,7 +279,7 @@
 }
 
 // file writes a real agent's file of the rollout.
-func (w *World) file(c *crew.Crew, i int) ([]string, error) {
+func (w *World) file(c *cluster.Cluster, i int) ([]string, error) {
 	a := realAgent(i)
 	text, err := yaml.Marshal(map[string]any{"service": a.Service, "zone": a.Zone, "region": a.Region,
 		"data": filepath.Join(c.Dir, a.Name+".rollout"), "machines": w.machinesFor(a.Zone)})
@@ -405,7 +405,7 @@
 func (w *World) observe(ctx context.Context, id string) {
 	for ctx.Err() == nil {
 		w.look(ctx, id)
-		lab.Pause(ctx, lookEvery)
+		lab.Sleep(ctx, lookEvery)
 	}
 }
 
--- a/internal/lab/scalelab/config_test.go
+++ b/internal/lab/scalelab/config_test.go
@@ -122,7 +122,7 @@
 				}
 			}
 			return true
-		}, standin.Patience, time.Millisecond)
+		}, standin.WaitTimeout, time.Millisecond)
 		for _, w := range all {
 			s, r := w.Traffic()
 			sent, received = append(sent, s), append(received, r)
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -343,7 +343,7 @@
 	if slices.Contains(control, h.i) {
 		var err error
 		if h.node, err = replica.Open(replica.Config{ID: h.Name, Raft: d.addr(h.i, raftPort), Client: d.addr(h.i, clientPort),
-			Data: filepath.Join(d.Dir, h.Name), Bootstrap: boot, Timing: lab.Calm}, h.log); err != nil {
+			Data: filepath.Join(d.Dir, h.Name), Bootstrap: boot, Timing: lab.SlowTiming}, h.log); err != nil {
 			return err
 		}
 		h.ctrl.node = h.node
--- a/internal/lab/scalelab/list.go
+++ b/internal/lab/scalelab/list.go
@@ -39,7 +39,7 @@
 
 // NewList listens on a host. gate tells the delay between an agent and the list, by its host; nil:
 // there is none.
-func NewList(host string, gate func(host string) *faultnet.Gate) (*List, error) {
+func NewList(host string, gate func(host string) *faultnet.WrappedLink) (*List, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 type counting struct {
 	net.Listener
 	list *List
-	gate func(host string) *faultnet.Gate
+	gate func(host string) *faultnet.WrappedLink
 }
 
 func (c *counting) Accept() (net.Conn, error) {
--- a/internal/lab/scalelab/run.go
+++ b/internal/lab/scalelab/run.go
@@ -83,25 +83,25 @@
 // set starts everything but the agents.
 func (r *Run) set(ctx context.Context) (err error) {
 	r.places, r.dead = r.Plan.places(), map[int]bool{}
-	if r.octet, err = faultnet.TakeOctet(); err != nil {
+	if r.octet, err = faultnet.ReserveOctet(); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	delay := func() time.Duration { return r.Delay[0] + time.Duration(rng.Int64N(int64(r.Delay[1]-r.Delay[0])+1)) }
 	r.deal = Deal{Plan: r.Plan, Places: r.places, Via: map[string]string{}, Dir: r.Dir}
-	gates := map[string]*faultnet.Gate{}
+	gates := map[string]*faultnet.WrappedLink{}
 	for i, a := range r.places {
 		host := r.octet.Host(i + 10)
 		r.deal.Hosts = append(r.deal.Hosts, host)
 		if r.Delay[1] > 0 && a.Region != regionOf(zoneNames[0]) { // the list and the control machines stand in the first region
-			gates[host] = faultnet.NewGate()
+			gates[host] = faultnet.NewWrappedLink()
 			gates[host].Delay(delay())
 		}
 	}
 	if err := r.setServers(); err != nil {
 		return err
 	}
-	if r.list, err = NewList(r.octet.Host(1), func(host string) *faultnet.Gate { return gates[host] }); err != nil {
+	if r.list, err = NewList(r.octet.Host(1), func(host string) *faultnet.WrappedLink { return gates[host] }); err != nil {
 		return err
 	}
 	r.list.Tell(true, r.known)
--- a/internal/lab/scalelab/scale_test.go
+++ b/internal/lab/scalelab/scale_test.go
@@ -45,7 +45,7 @@
 func TestDiscoveryMessages(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const agents = 8
-	octet, err := faultnet.TakeOctet()
+	octet, err := faultnet.ReserveOctet()
 	require.NoError(t, err)
 	defer octet.Release()
 	list, err := NewList(octet.Host(1), nil)
@@ -72,7 +72,7 @@
 				ok = ok && one.Asked == asked && one.Answered == answered && one.InFlight == 1 && cores[i].n.Load() == int64(events)
 			}
 			return ok
-		}, standin.Patience, time.Millisecond)
+		}, standin.WaitTimeout, time.Millisecond)
 		return w
 	}
 	const watchMost, idleMost, changeMost, wholeMost = 96, 192, 384, 4096 // bytes
@@ -117,7 +117,7 @@
 	// A probe, three asked to probe in its place, and for others the same answered and relayed: 10;
 	// gossip to three others at five ticks: 15.
 	const most = 25
-	octet, err := faultnet.TakeOctet()
+	octet, err := faultnet.ReserveOctet()
 	require.NoError(t, err)
 	defer octet.Release()
 	var all []*members.Members
@@ -136,7 +136,7 @@
 		require.NoError(t, err)
 	}
 	for _, m := range all {
-		require.Eventually(t, func() bool { return m.Size() == agents }, standin.Patience, time.Millisecond)
+		require.Eventually(t, func() bool { return m.Size() == agents }, standin.WaitTimeout, time.Millisecond)
 	}
 	began := time.Now()
 	before := make([]int64, agents)
--- a/internal/lab/slopes/main.go
+++ b/internal/lab/slopes/main.go
@@ -23,11 +23,11 @@
 
 // series is one unit of one benchmark: by size, the figures of its runs.
 type series struct {
-	name, unit, what string
-	runs             map[float64][]float64
+	name, unit, parameter string
+	runs                  map[float64][]float64
 }
 
-var sized = regexp.MustCompile(`^Benchmark(\S+)/(\w+)=(\d+)(-\d+)?$`)
+var benchmarkName = regexp.MustCompile(`^Benchmark(\S+)/(\w+)=(\d+)(-\d+)?$`)
 
 func main() {
 	var all []*series
@@ -54,7 +54,7 @@
 		if len(f) < 4 {
 			continue
 		}
-		m := sized.FindStringSubmatch(f[0])
+		m := benchmarkName.FindStringSubmatch(f[0])
 		if m == nil {
 			continue
 		}
@@ -65,7 +65,7 @@
 				break
 			}
 			name := pkg + " " + m[1]
-			at := slices.IndexFunc(all, func(s *series) bool { return s.name == name && s.unit == f[i+1] && s.what == m[2] })
+			at := slices.IndexFunc(all, func(s *series) bool { return s.name == name && s.unit == f[i+1] && s.parameter == m[2] })
 			if at < 0 {
 				at, all = len(all), append(all, &series{name, f[i+1], m[2], map[float64][]float64{}})
 			}
@@ -118,7 +118,7 @@
 			medians = append(medians, fmt.Sprintf("%.0f: %.4g", x[i], y[i]))
 		}
 		at0, slope, residual, power := fit(x, y)
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %.4g | %.4g | %.1f %% | %.2f |\n", s.name, s.unit, s.what,
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %.4g | %.4g | %.1f %% | %.2f |\n", s.name, s.unit, s.parameter,
 			strings.Join(medians, ", "), slope, at0, 100*residual, power)
 	}
 }
--- a/internal/lab/zonelab/schedule.go
+++ b/internal/lab/zonelab/schedule.go
@@ -67,7 +67,7 @@
 // county is the agents, the zones' setup servers, and the links between them.
 type county struct {
 	*lab.Fleet
-	offices map[string]*lab.Office
+	offices map[string]*lab.SetupServer
 	links   map[string]map[string]*faultnet.Link // by agent, then server's zone
 	rng     *rand.Rand
 	report  *ZoneReport
@@ -93,12 +93,12 @@
 // all must be local again in one epoch, with every call at home.
 func (s ZoneSchedule) Play(ctx context.Context, bin, dir string) (ZoneReport, error) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, lab.ScheduleMost)
+	ctx, cancel := context.WithTimeout(ctx, lab.ScheduleTimeout)
 	defer cancel()
 	r := ZoneReport{ZoneSchedule: s}
-	c := &county{offices: map[string]*lab.Office{}, links: map[string]map[string]*faultnet.Link{}, rng: rand.New(rand.NewPCG(s.Seed, 2)), report: &r}
+	c := &county{offices: map[string]*lab.SetupServer{}, links: map[string]map[string]*faultnet.Link{}, rng: rand.New(rand.NewPCG(s.Seed, 2)), report: &r}
 	for _, z := range zoneNames {
-		c.offices[z] = lab.NewOffice(s.Seed)
+		c.offices[z] = lab.NewSetupServer(s.Seed)
 		c.offices[z].Steady = true
 	}
 	defer c.close()
@@ -113,14 +113,14 @@
 	return r, nil
 }
 
-func (c *county) site() lab.Site {
+func (c *county) site() lab.FleetConfig {
 	share := func(v float64) *float64 { return &v }
 	var zones []failover.Zone
 	for _, z := range zoneNames {
 		zones = append(zones, failover.Zone{Name: z, Region: zoneRegion(z)})
 	}
-	return lab.Site{Zones: len(zoneNames), NoCalls: true, Settings: json.RawMessage(strings.Replace(lab.AgentSettings, "[[0]]", "[[0,1,2,3]]", 1)),
-		Timing: replica.TimingConfig{Heartbeat: "1s", Election: "1s", Lease: "800ms"}, Agent: c.known,
+	return lab.FleetConfig{Zones: len(zoneNames), NoCalls: true, Settings: json.RawMessage(strings.Replace(lab.AgentSettings, "[[0]]", "[[0,1,2,3]]", 1)),
+		Timing: replica.TimingConfig{Heartbeat: "1s", Election: "1s", Lease: "800ms"}, AgentBulletin: c.known,
 		Failover: &placer.Config{Mode: "common", Every: "300ms", Fresh: "2s", Topology: failover.Topology{Zones: zones},
 			Settings: placer.SettingsConfig{Dwell: "1500ms", Ramp: "1s", RampFrom: share(0.9)}}}
 }
@@ -130,7 +130,7 @@
 	c.links[agent] = map[string]*faultnet.Link{}
 	var list []map[string]any
 	for i, z := range zoneNames {
-		addr, err := c.offices[z].Open(agent)
+		addr, err := c.offices[z].ListenFor(agent)
 		if err != nil {
 			return "", nil, err
 		}
@@ -141,7 +141,7 @@
 		c.links[agent][z] = l
 		list = append(list, map[string]any{"name": "s-" + z, "address": l.Addr(), "zone": z})
 	}
-	return lab.NoBulletin, lab.Listing(list...), nil
+	return lab.NoBulletin, lab.ServerList(list...), nil
 }
 
 func (c *county) close() {
@@ -162,11 +162,11 @@
 	if err := c.calm(ctx); err != nil {
 		return err
 	}
-	for _, i := range lab.Drawn(s.Seed, s.Steps, len(zoneFaults)) {
+	for _, i := range lab.DrawFaults(s.Seed, s.Steps, len(zoneFaults)) {
 		f := zoneFaults[i]
 		stop, done := make(chan struct{}), make(chan struct{})
 		go func() { c.callers(stop); close(done) }()
-		err := lab.Step(ctx, func(ctx context.Context) error { return f.play(c, ctx) })
+		err := lab.RunStep(ctx, func(ctx context.Context) error { return f.play(c, ctx) })
 		healed := time.Now()
 		if err == nil {
 			err = c.local(ctx)
@@ -209,7 +209,7 @@
 	c.next++
 	id := c.next
 	c.mu.Unlock()
-	h := lab.Ask(c.Agents[agent].Listen, id)
+	h := lab.SetUpCall(c.Agents[agent].Listen, id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Calls++
@@ -239,7 +239,7 @@
 // zonesOf are the zones whose server got a call's set-up.
 func (c *county) zonesOf(id isup.CallID) (out []string) {
 	for _, z := range zoneNames {
-		if c.offices[z].Got(id) {
+		if c.offices[z].Received(id) {
 			out = append(out, z)
 		}
 	}
@@ -285,7 +285,7 @@
 	for {
 		epochs, all, last := map[string]bool{}, true, ""
 		for _, name := range agents {
-			said := c.Ask(name, "ZONES")
+			said := c.ConsoleCommand(name, "ZONES")
 			m := epochLine.FindString(said)
 			epochs[m] = true
 			if m == "" || !ok(said) {
@@ -309,22 +309,22 @@
 
 func (c *county) lose(ctx context.Context) error {
 	z := c.anyZone()
-	c.offices[z].Die()
+	c.offices[z].Crash()
 	if err := c.moved(ctx, z, c.Names()); err != nil {
 		return err
 	}
-	return c.offices[z].Revive()
+	return c.offices[z].Restart()
 }
 
 // loseWithDecider kills whoever decided last at the moment a zone is lost.
 func (c *county) loseWithDecider(ctx context.Context) error {
 	z, decider := c.anyZone(), ""
-	if m := epochLine.FindStringSubmatch(c.Ask(c.Names()[0], "ZONES")); m != nil && c.Agents[m[2]] != nil {
+	if m := epochLine.FindStringSubmatch(c.ConsoleCommand(c.Names()[0], "ZONES")); m != nil && c.Agents[m[2]] != nil {
 		decider = m[2]
 	} else {
 		return errors.New("no agent tells of a decider")
 	}
-	c.offices[z].Die()
+	c.offices[z].Crash()
 	c.Agents[decider].Kill()
 	rest := slices.DeleteFunc(c.Names(), func(n string) bool { return n == decider })
 	if err := c.moved(ctx, z, rest); err != nil {
@@ -333,7 +333,7 @@
 	if err := c.Start(decider); err != nil {
 		return err
 	}
-	return c.offices[z].Revive()
+	return c.offices[z].Restart()
 }
 
 // cutOff puts a zone, its agents and its server, on a side of their own.
@@ -348,7 +348,7 @@
 			rest = append(rest, name)
 		}
 	}
-	c.Cut(agents...)
+	c.Partition(agents...)
 	c.each(func(name, to string, l *faultnet.Link) {
 		if inside(name) != (to == z) {
 			l.Set(faultnet.Drop, 0, 0)
@@ -356,7 +356,7 @@
 		}
 	})
 	err := c.moved(ctx, z, rest)
-	c.Cut()
+	c.Partition()
 	c.each(func(_, _ string, l *faultnet.Link) {
 		l.Set(faultnet.Pass, 0, 0)
 		l.Reset()
@@ -376,12 +376,12 @@
 func (c *county) flaps(ctx context.Context) error {
 	z := c.anyZone()
 	for range 4 {
-		c.offices[z].Die()
-		lab.Pause(ctx, 400*time.Millisecond)
-		if err := c.offices[z].Revive(); err != nil {
+		c.offices[z].Crash()
+		lab.Sleep(ctx, 400*time.Millisecond)
+		if err := c.offices[z].Restart(); err != nil {
 			return err
 		}
-		lab.Pause(ctx, 400*time.Millisecond)
+		lab.Sleep(ctx, 400*time.Millisecond)
 	}
 	return nil
 }
@@ -389,15 +389,15 @@
 func (c *county) killAgent(ctx context.Context) error {
 	name := c.anyAgent()
 	c.Agents[name].Kill()
-	lab.Pause(ctx, time.Second)
+	lab.Sleep(ctx, time.Second)
 	return c.Start(name)
 }
 
 func (c *county) slow(ctx context.Context) error {
 	across := func(from, to string) bool { return zoneRegion(from) != zoneRegion(to) }
-	c.Slow(50*time.Millisecond, across)
-	lab.Pause(ctx, 2*time.Second)
-	c.Slow(0, across)
+	c.Delay(50*time.Millisecond, across)
+	lab.Sleep(ctx, 2*time.Second)
+	c.Delay(0, across)
 	return nil
 }
 
@@ -405,10 +405,10 @@
 func (c *county) deaf(ctx context.Context) error {
 	a := c.anyAgent()
 	rest := slices.DeleteFunc(c.Names(), func(n string) bool { return n == a })
-	l := c.Gossip[a][rest[c.rng.IntN(len(rest))]]
+	l := c.GossipLinks[a][rest[c.rng.IntN(len(rest))]]
 	l.Set(faultnet.Drop, 0, 0)
 	l.Reset()
-	lab.Pause(ctx, 2*time.Second)
+	lab.Sleep(ctx, 2*time.Second)
 	l.Set(faultnet.Pass, 0, 0)
 	return nil
 }
--- a/internal/lab/zonelab/zones_test.go
+++ b/internal/lab/zonelab/zones_test.go
@@ -66,10 +66,10 @@
 	}
 	share := func(v float64) *float64 { return &v }
 	var err error
-	w.f, err = lab.StartFleet(bin, t.TempDir(), 6, 11, lab.Site{Zones: 4, NoCalls: true,
-		Settings: json.RawMessage(strings.Replace(lab.PatientSettings, "[[0]]", "[[0,1,2,3]]", 1)),
-		Bulletin: func(z string) (string, any) { return bulletins[z].Addr, bulletins[z].Known(0) },
-		Timing:   lab.Calm,
+	w.f, err = lab.StartFleet(bin, t.TempDir(), 6, 11, lab.FleetConfig{Zones: 4, NoCalls: true,
+		Settings: json.RawMessage(strings.Replace(lab.LongDeadlineSettings, "[[0]]", "[[0,1,2,3]]", 1)),
+		Bulletin: func(z string) (string, any) { return bulletins[z].Addr, bulletins[z].EventsAfter(0) },
+		Timing:   lab.SlowTiming,
 		Failover: &placer.Config{Mode: "common", Every: "300ms", Fresh: "2s",
 			Topology: failover.Topology{Zones: []failover.Zone{{Name: "z1", Region: "r1"}, {Name: "z2", Region: "r1"}, {Name: "z3", Region: "r2"}, {Name: "z4", Region: "r2"}}},
 			Settings: placer.SettingsConfig{Dwell: "1500ms", Ramp: "1s", RampFrom: share(0.9), Margin: share(0.1)}}})
@@ -87,7 +87,7 @@
 func (w *world) serve(zone string, s *standin.Server) {
 	w.servers[zone] = s
 	go func() {
-		for g := range s.Got {
+		for g := range s.Received {
 			if g.Type == isup.SetUp {
 				w.mu.Lock()
 				w.wire[g.Call] = append(w.wire[g.Call], zone)
@@ -140,7 +140,7 @@
 		if z, ok := where[want]; ok {
 			want = z
 		}
-		require.NoError(w.t, w.f.Settled(ctx, name))
+		require.NoError(w.t, w.f.AwaitLeaders(ctx, name))
 		home, away := w.reported(name)
 		stood, got := w.calls(name, n)
 		require.Equal(w.t, map[string]int{want: n}, got, "set-ups of %s", name)
@@ -163,7 +163,7 @@
 	defer cancel()
 	for name := range w.f.Agents {
 		if !strings.Contains(fmt.Sprint(but), name) {
-			require.NoError(w.t, w.f.Await(ctx, name, "ZONES", fmt.Sprintf("zone %s: %s ", zone, mode)))
+			require.NoError(w.t, w.f.AwaitConsole(ctx, name, "ZONES", fmt.Sprintf("zone %s: %s ", zone, mode)))
 		}
 	}
 	return time.Since(began)
@@ -173,7 +173,7 @@
 
 // reported is what an agent says of its set-ups so far.
 func (w *world) reported(agent string) (home, away int) {
-	m := spoken.FindStringSubmatch(w.f.Ask(agent, "ZONES"))
+	m := spoken.FindStringSubmatch(w.f.ConsoleCommand(agent, "ZONES"))
 	require.NotNil(w.t, m, agent)
 	home, _ = strconv.Atoi(m[1])
 	away, _ = strconv.Atoi(m[2])
@@ -191,16 +191,16 @@
 	w.all(10, nil)
 
 	across := func(from, to string) bool { return region(from) != region(to) }
-	w.f.Slow(150*time.Millisecond, across) // 300 ms there and back
+	w.f.Delay(150*time.Millisecond, across) // 300 ms there and back
 	w.all(2, nil)
 
 	began := time.Now()
-	w.servers["z1"].Die()
+	w.servers["z1"].Crash()
 	stood, _ := w.calls("a1", 1) // what is lost is what meets the dead zone before it is seen
 	w.await("z1", "evacuate")
 	t.Logf("z1 lost: new epoch everywhere after %v, %d of 1 call lost", time.Since(began), 1-stood)
 	w.all(2, map[string]string{"z1": "z2"})
-	w.f.Slow(0, across)
+	w.f.Delay(0, across)
 
 	w.serve("z1", standin.NewServer(t, w.servers["z1"].Addr)) // back, cold
 	t.Logf("z1 back: local everywhere after %v", w.await("z1", "local"))
@@ -208,7 +208,7 @@
 
 	decider := w.decider()
 	began = time.Now()
-	w.servers["z2"].Die()
+	w.servers["z2"].Crash()
 	w.f.Agents[decider].Kill()
 	w.calls(map[bool]string{true: "a2", false: "a6"}[decider != "a2"], 1)
 	w.await("z2", "evacuate", decider)
@@ -219,17 +219,17 @@
 	w.await("z2", "local")
 
 	for range 4 { // a link that flaps between two regions
-		w.f.Cut("a3")
-		w.f.Cut()
+		w.f.Partition("a3")
+		w.f.Partition()
 	}
 	w.all(5, nil)
 
 	w.cut("z3", "a3")
 	epoch := w.epoch("a3")
 	t.Logf("z3 cut off: new epoch after %v", w.await("z3", "evacuate", "a3"))
-	before := w.servers["z3"].Seen(isup.SetUp, 0)
+	before := w.servers["z3"].Count(isup.SetUp, 0)
 	w.all(5, nil, "a3")
-	require.Equal(t, before, w.servers["z3"].Seen(isup.SetUp, 0), "somebody sent to the zone cut off")
+	require.Equal(t, before, w.servers["z3"].Count(isup.SetUp, 0), "somebody sent to the zone cut off")
 	require.Equal(t, epoch, w.epoch("a3"), "the minority decided")
 	stood, got := w.calls("a3", 5) // it serves its own callers on, at home
 	require.Equal(t, 5, stood)
@@ -248,7 +248,7 @@
 // decider is who made the epoch in force.
 func (w *world) decider() string {
 	for name := range w.f.Agents {
-		if m := regexp.MustCompile(`epoch \d+ by (a\d)`).FindStringSubmatch(w.f.Ask(name, "ZONES")); m != nil {
+		if m := regexp.MustCompile(`epoch \d+ by (a\d)`).FindStringSubmatch(w.f.ConsoleCommand(name, "ZONES")); m != nil {
 			return m[1]
 		}
 	}
@@ -257,13 +257,13 @@
 }
 
 func (w *world) epoch(agent string) string {
-	first, _, _ := strings.Cut(w.f.Ask(agent, "ZONES"), "\n")
+	first, _, _ := strings.Cut(w.f.ConsoleCommand(agent, "ZONES"), "\n")
 	return first
 }
 
 // cut puts a zone with its agents and server on a side of its own.
 func (w *world) cut(zone string, agents ...string) {
-	w.f.Cut(agents...)
+	w.f.Partition(agents...)
 	for from, tos := range w.links {
 		for to, l := range tos {
 			if (from == zone) != (to == zone) {
@@ -275,7 +275,7 @@
 }
 
 func (w *world) heal() {
-	w.f.Cut()
+	w.f.Partition()
 	for _, tos := range w.links {
 		for _, l := range tos {
 			l.Set(faultnet.Pass, 0, 0)
--- a/internal/servers/bulletin/bulletin_test.go
+++ b/internal/servers/bulletin/bulletin_test.go
@@ -69,7 +69,7 @@
 	select {
 	case s := <-c:
 		return s
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		require.FailNow(t, "no update of the list")
 		return ""
 	}
@@ -81,8 +81,8 @@
 	b := standin.NewBulletin(t, standin.Endpoint("a", "x:1", 0, "up"))
 	c, _ := startFollower(t, b.Addr)
 	assert.Contains(t, c.nextUpdate(t), "true [{{a 0 0 0s} x:1 z}]")
-	b.Tell(false, standin.Endpoint("a", "x:1", 0, "odd"))
-	b.Tell(false, standin.Endpoint("a", "x:1", 0, "draining"))
+	b.AddEvent(false, standin.Endpoint("a", "x:1", 0, "odd"))
+	b.AddEvent(false, standin.Endpoint("a", "x:1", 0, "draining"))
 	assert.Contains(t, c.nextUpdate(t), "false [{{a 0 1 0s} x:1 z}]")
 	assert.Empty(t, c)
 }
@@ -126,8 +126,8 @@
 	go func() { f.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
 	c.nextUpdate(t)
-	require.Eventually(t, old.Taken, standin.Patience, time.Millisecond)
-	next.Tell(false, standin.Endpoint("a", "x:1", 0, "draining"))
+	require.Eventually(t, old.AllFetched, standin.WaitTimeout, time.Millisecond)
+	next.AddEvent(false, standin.Endpoint("a", "x:1", 0, "draining"))
 	f.SetAddress(next.Addr)
 	assert.Contains(t, c.nextUpdate(t), "false [{{a 0 1 0s} x:1 z}]", "the first event is not applied twice")
 	assert.Empty(t, c)
--- a/internal/servers/trunk/slots_test.go
+++ b/internal/servers/trunk/slots_test.go
@@ -101,7 +101,7 @@
 	require.Eventually(t, func() bool {
 		servers, _ := w.dialled()
 		return servers >= n && int(w.connCount.Load()) >= n
-	}, standin.Patience, ms)
+	}, standin.WaitTimeout, ms)
 	for _, s := range w.list {
 		w.mu.Lock()
 		dialled := w.dials[s.ID] > 0
@@ -125,7 +125,7 @@
 }
 
 // standCall sets up a call at a server and waits until it stands.
-func (w *cluster) standCall(t *testing.T, server string, n int) standin.Got {
+func (w *cluster) standCall(t *testing.T, server string, n int) standin.Received {
 	t.Helper()
 	id := w.call(server, n)
 	g := w.servers[server].Await(t, isup.SetUp)
@@ -155,7 +155,7 @@
 	const servers = 60
 	for name, limit := range map[string]int{"no bound": 0, "256 descriptors": 96, "all but full": 69} {
 		t.Run(name, func(t *testing.T) {
-			w := newCluster(t, servers, Config{MaxConns: limit, ExtraConnLimit: 64, Jitter: 50 * ms, SilenceTimeout: time.Hour, StallTimeout: time.Second, FirstMessageTimeout: standin.Patience})
+			w := newCluster(t, servers, Config{MaxConns: limit, ExtraConnLimit: 64, Jitter: 50 * ms, SilenceTimeout: time.Hour, StallTimeout: time.Second, FirstMessageTimeout: standin.WaitTimeout})
 			w.Servers(w.list, true)
 			connected, _ := w.awaitDialled(t, servers)
 			counts := func(dials, randomDelays int) {
@@ -164,7 +164,7 @@
 				assert.Equal(t, []int{dials, randomDelays}, []int{n, int(w.randomDelays.Load())}, "dials, random delays")
 			}
 			counts(servers, servers)
-			var first standin.Got
+			var first standin.Received
 			for i, id := range connected {
 				if g := w.standCall(t, id, i+1); i == 0 {
 					first = g
@@ -174,10 +174,10 @@
 			w.runOnActor(connected[0], func(*serverActor) {})
 			counts(servers, servers)
 			first.Conn.Close()
-			require.Eventually(t, func() bool { return len(w.servers[connected[0]].Conns()) == 2 }, standin.Patience, ms)
+			require.Eventually(t, func() bool { return len(w.servers[connected[0]].Conns()) == 2 }, standin.WaitTimeout, ms)
 			counts(servers+1, servers)
 			w.call(connected[1], 100) // unanswered: the connection is presumed stalled
-			require.Eventually(t, func() bool { return len(w.servers[connected[1]].Conns()) == 2 }, standin.Patience, ms)
+			require.Eventually(t, func() bool { return len(w.servers[connected[1]].Conns()) == 2 }, standin.WaitTimeout, ms)
 			counts(servers+2, servers)
 			assert.Empty(t, w.hasSlot)
 			assert.True(t, w.Serves())
@@ -193,8 +193,8 @@
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour}) // seven slots
 	w.Servers(w.list, true)
 	connected, others := w.awaitDialled(t, 3)
-	require.Eventually(t, w.Serves, standin.Patience, ms)
-	var last standin.Got
+	require.Eventually(t, w.Serves, standin.WaitTimeout, ms)
+	var last standin.Received
 	for i, id := range others[:4] {
 		last = w.standCall(t, id, i+1)
 	}
@@ -228,7 +228,7 @@
 // server with the idle slot, a server without a slot, a channel on which the test can block the actor of the
 // idle one, and a function that closes this channel.
 func fillSlots(t *testing.T, cfg Config) (w *cluster, idle, other string, hold <-chan struct{}, free func()) {
-	cfg.MaxConns, cfg.Jitter, cfg.SilenceTimeout, cfg.Linger, cfg.ConnectTimeout = 8, ms, time.Hour, 50*ms, standin.Patience
+	cfg.MaxConns, cfg.Jitter, cfg.SilenceTimeout, cfg.Linger, cfg.ConnectTimeout = 8, ms, time.Hour, 50*ms, standin.WaitTimeout
 	w = newCluster(t, 20, cfg)
 	w.Servers(w.list, true)
 	_, others := w.awaitDialled(t, 3)
@@ -250,17 +250,17 @@
 // mailbox. Sent on the connection that is about to end, the set-up might be lost. So it must fail as not
 // sent, and the other set-up must be served.
 func TestSlotTakenWhileQueued(t *testing.T) {
-	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.Patience})
+	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.WaitTimeout})
 	w.actors[idle].post(func() { <-held })
 	late := w.call(idle, 50)
 	w.call(other, 51)
-	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.WaitTimeout, ms)
 	free()
 	end := w.core.awaitEnd(t, agent.Unwritten, policy.NotSent)
 	assert.Equal(t, late, end.id)
 	w.servers[other].Await(t, isup.SetUp).Answer("")
 	require.True(t, w.core.awaitEvent(t).stands)
-	assert.Equal(t, 1, w.servers[idle].Seen(isup.SetUp, 0), "only the earlier set-up")
+	assert.Equal(t, 1, w.servers[idle].Count(isup.SetUp, 0), "only the earlier set-up")
 	assert.LessOrEqual(t, w.maxOpen, 7)
 }
 
@@ -281,7 +281,7 @@
 // release might be lost on the connection that is about to end, and the call would stand for ever. So it must
 // be sent on a new connection, once there is a slot.
 func TestReleaseAfterSlotTaken(t *testing.T) {
-	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.Patience, RedialInterval: 100 * ms})
+	w, idle, other, held, free := fillSlots(t, Config{yieldTimeout: standin.WaitTimeout, RedialInterval: 100 * ms})
 	id := w.call(idle, 50)
 	g := w.servers[idle].Await(t, isup.SetUp)
 	w.GiveUp(idle, id, 0, policy.TimedOut)
@@ -292,7 +292,7 @@
 	g.Answer("late")
 	time.Sleep(300 * ms) // until the answer waits in the mailbox
 	w.call(other, 51)
-	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return w.slots.has(w.actors[other]) }, standin.WaitTimeout, ms)
 	free()
 	s := w.servers[other].Await(t, isup.SetUp)
 	s.Answer("")
@@ -311,17 +311,17 @@
 	w := newCluster(t, 20, Config{MaxConns: 8, Jitter: ms, Linger: 50 * ms, SilenceTimeout: time.Hour, RedialInterval: 20 * ms})
 	w.Servers(w.list, true)
 	connected, _ := w.awaitDialled(t, 3)
-	w.servers[connected[0]].Die()
-	require.Eventually(t, func() bool { n, _ := w.dialled(); return n == 4 && w.connCount.Load() >= 3 }, standin.Patience, ms)
+	w.servers[connected[0]].Crash()
+	require.Eventually(t, func() bool { n, _ := w.dialled(); return n == 4 && w.connCount.Load() >= 3 }, standin.WaitTimeout, ms)
 	assert.True(t, w.Serves())
 	for _, s := range w.servers {
-		s.Die()
+		s.Crash()
 	}
-	require.Eventually(t, func() bool { return !w.Serves() }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return !w.Serves() }, standin.WaitTimeout, ms)
 	for _, s := range w.list[:2] {
 		w.servers[s.ID] = standin.NewServer(t, s.Address)
 	}
-	require.Eventually(t, w.Serves, standin.Patience, ms)
+	require.Eventually(t, w.Serves, standin.WaitTimeout, ms)
 }
 
 // TestListGrowsAndShrinks checks that a list that grows past the number of slots ends no connection and loses
@@ -345,7 +345,7 @@
 			}
 		}
 		return w.connCount.Load() == 5
-	}, standin.Patience, 5*ms)
+	}, standin.WaitTimeout, 5*ms)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.list[10:15] {
--- a/internal/servers/trunk/trunk_test.go
+++ b/internal/servers/trunk/trunk_test.go
@@ -56,7 +56,7 @@
 	select {
 	case v := <-c.events:
 		return v
-	case <-time.After(standin.Patience):
+	case <-time.After(standin.WaitTimeout):
 		require.FailNow(t, "no outcome was reported to the core")
 		return coreEvent{}
 	}
@@ -100,7 +100,7 @@
 }
 
 // standCall sets up a call, waits until it stands, and returns its set-up.
-func standCall(t *testing.T, p *Pool, c *fakeCore, s *standin.Server, id string) standin.Got {
+func standCall(t *testing.T, p *Pool, c *fakeCore, s *standin.Server, id string) standin.Received {
 	t.Helper()
 	p.SetUp(newAttempt(id, 3*time.Second))
 	g := s.Await(t, isup.SetUp)
@@ -161,7 +161,7 @@
 func TestConnectionRefused(t *testing.T) {
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
-	s.Die()
+	s.Crash()
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	p.SetUp(newAttempt(firstCall, 3*time.Second))
 	c.awaitEnd(t, agent.Unconnected, policy.Unreachable)
@@ -181,7 +181,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s, dial := standin.NewServer(t, ""), make(chan struct{})
-			p, c := startPool(t, Config{ConnectTimeout: standin.Patience,
+			p, c := startPool(t, Config{ConnectTimeout: standin.WaitTimeout,
 				Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 					<-dial
 					return net.Dial("tcp", addr)
@@ -192,7 +192,7 @@
 			c.awaitEnd(t, agent.Unwritten, tc.result)
 			close(dial)
 			p.Close()
-			assert.Zero(t, s.Seen(isup.SetUp, 0), "nothing may be written after that")
+			assert.Zero(t, s.Count(isup.SetUp, 0), "nothing may be written after that")
 		})
 	}
 	t.Run("deadline", func(t *testing.T) {
@@ -238,7 +238,7 @@
 // TestConnectionReset checks a connection that breaks. Its unanswered set-ups may have run at the server.
 // Calls that stand outlive it, and their ends come on the next connection.
 func TestConnectionReset(t *testing.T) {
-	p, c := startPool(t, Config{StallTimeout: standin.Patience}) // not replaced, however late the answer is
+	p, c := startPool(t, Config{StallTimeout: standin.WaitTimeout}) // not replaced, however late the answer is
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	standCall(t, p, c, s, firstCall)
@@ -246,7 +246,7 @@
 	g := s.Await(t, isup.SetUp)
 	g.Conn.Close()
 	require.Equal(t, secondCall, c.awaitEnd(t, agent.Written, policy.Cut).id)
-	require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.WaitTimeout, ms)
 	s.Conns()[1].Send(isup.Message{Type: isup.Release, Call: 1}.WithCause(isup.Normal))
 	v := c.awaitEvent(t)
 	require.Equal(t, firstCall, v.id)
@@ -258,7 +258,7 @@
 // else would end the call that stands.
 func TestReleaseOutlivesConnection(t *testing.T) {
 	var hold sync.Mutex
-	p, c := startPool(t, Config{StallTimeout: standin.Patience, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	p, c := startPool(t, Config{StallTimeout: standin.WaitTimeout, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		hold.Lock()
 		defer hold.Unlock()
 		return net.Dial("tcp", addr)
@@ -284,7 +284,7 @@
 // TestTruncatedMessage covers an answer that stops half-way on a connection that stays open. The connection
 // is useless then: it must be closed, its set-ups must end, and the server must be used on another one.
 func TestTruncatedMessage(t *testing.T) {
-	p, c := startPool(t, Config{Aim: 400 * ms, FirstMessageTimeout: standin.Patience})
+	p, c := startPool(t, Config{Aim: 400 * ms, FirstMessageTimeout: standin.WaitTimeout})
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	p.SetUp(newAttempt(firstCall, 30*time.Second))
@@ -307,12 +307,12 @@
 		{"\x00\x0d\x0c\x00\x00\x00\x00\x00\x00\x00\x02", false}, // of another call
 		{"\x00\x0d\x09\x00\x00\x00\x00\x00\x00\x00\x01", false}, // not a release
 	} {
-		p, c := startPool(t, Config{Aim: 400 * ms, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour})
+		p, c := startPool(t, Config{Aim: 400 * ms, FirstMessageTimeout: standin.WaitTimeout, SilenceTimeout: time.Hour})
 		s := standin.NewServer(t, "")
 		p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 		g := standCall(t, p, c, s, firstCall)
 		g.Conn.Write([]byte(tc.said))
-		require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.Patience, ms, "%q", tc.said)
+		require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.WaitTimeout, ms, "%q", tc.said)
 		if tc.over {
 			assert.ErrorIs(t, c.awaitEnd(t, agent.Stood, policy.Cut).err, errTruncated)
 			assert.Equal(t, firstCall, s.Await(t, isup.Release).Call.String(), "the call is released at the server too")
@@ -341,7 +341,7 @@
 func TestStalledConnection(t *testing.T) {
 	var dials atomic.Int32
 	dialReturns := make(chan struct{}) // closed to let the second dial return
-	p, c := startPool(t, Config{Aim: 400 * ms, ConnectTimeout: standin.Patience, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour,
+	p, c := startPool(t, Config{Aim: 400 * ms, ConnectTimeout: standin.WaitTimeout, FirstMessageTimeout: standin.WaitTimeout, SilenceTimeout: time.Hour,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := net.Dial("tcp", addr)
 			if dials.Add(1) == 2 {
@@ -357,7 +357,7 @@
 	p.SetUp(newAttempt(firstCall, 30*time.Second))
 	g := s.Await(t, isup.SetUp)
 	standin.Next(t, c.reports) // group state on the first connection
-	require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return len(s.Conns()) == 2 }, standin.WaitTimeout, ms)
 	p.SetUp(newAttempt(secondCall, 30*time.Second))
 	crossed := s.Await(t, isup.SetUp)
 	assert.Same(t, g.Conn, crossed.Conn, "the server has accepted the second connection, but the actor does not have it yet")
@@ -376,7 +376,7 @@
 	require.Eventually(t, func() bool {
 		_, err := g.Conn.Write([]byte("\x00\x09\x06\x00\x00\x00\x00\x00\x00\x00\x01")) // a message without effect
 		return err != nil
-	}, standin.Patience, ms, "the old connection ends after its last answer")
+	}, standin.WaitTimeout, ms, "the old connection ends after its last answer")
 	// The server must not see the connection end before it knows that its answer has arrived.
 	assert.GreaterOrEqual(t, time.Since(answered), p.cfg.Linger)
 }
@@ -385,14 +385,14 @@
 // refused connection, a later start or the removal from the list must end them.
 func TestServerDeath(t *testing.T) {
 	for name, die := range map[string]func(p *Pool, s *standin.Server){
-		"refused": func(p *Pool, s *standin.Server) { s.Die() },
+		"refused": func(p *Pool, s *standin.Server) { s.Crash() },
 		"restarted": func(p *Pool, s *standin.Server) {
 			p.update(listedServer(s.Addr, policy.Up, time.Now().Add(time.Second)))
 		},
 		"removed":  func(p *Pool, s *standin.Server) { p.update(listedServer(s.Addr, policy.Gone, time.Time{})) },
 		"left out": func(p *Pool, s *standin.Server) { p.Servers(nil, true) },
 		"moved": func(p *Pool, s *standin.Server) {
-			s.Refuse()
+			s.StopListening()
 			p.update(listedServer(s.Addr+"0", policy.Up, time.Now().Add(time.Second)))
 		},
 	} {
@@ -414,12 +414,12 @@
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	p.update(listedServer(s.Addr, policy.Gone, time.Time{}))
-	require.Eventually(t, p.actors["s"].finished.Load, standin.Patience, ms)
+	require.Eventually(t, p.actors["s"].finished.Load, standin.WaitTimeout, ms)
 	p.update(listedServer(s.Addr, policy.Up, time.Now()))
 	standCall(t, p, c, s, firstCall)
 	p.update(listedServer(s.Addr, policy.Gone, time.Time{}))
 	c.awaitEnd(t, agent.Stood, policy.Cut) // reported while the actor is still at work
-	require.Eventually(t, p.actors["s"].finished.Load, standin.Patience, ms)
+	require.Eventually(t, p.actors["s"].finished.Load, standin.WaitTimeout, ms)
 	p.update()
 	assert.Empty(t, p.actors, "the actor is dropped when the server is gone for good")
 }
@@ -457,7 +457,7 @@
 				c.awaitEnd(t, agent.Stood, policy.Cut)
 				return
 			}
-			require.Eventually(t, func() bool { return len(s.Conns()) >= 3 }, standin.Patience, ms)
+			require.Eventually(t, func() bool { return len(s.Conns()) >= 3 }, standin.WaitTimeout, ms)
 			assert.Empty(t, c.events, "the call stands")
 		})
 	}
@@ -468,7 +468,7 @@
 func TestDrainingRefuses(t *testing.T) {
 	var dials atomic.Int32
 	refused := make(chan struct{}) // closed once the server no longer listens; dials wait until then
-	p, c := startPool(t, Config{SilenceTimeout: 100 * ms, ConnectTimeout: standin.Patience, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	p, c := startPool(t, Config{SilenceTimeout: 100 * ms, ConnectTimeout: standin.WaitTimeout, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		if dials.Add(1) > 1 {
 			select {
 			case <-refused:
@@ -480,12 +480,12 @@
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	standCall(t, p, c, s, firstCall)
-	s.Refuse()
+	s.StopListening()
 	close(refused)
 	p.update(listedServer(s.Addr, policy.Draining, time.Time{}))
-	require.Eventually(t, func() bool { return dials.Load() >= 5 }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return dials.Load() >= 5 }, standin.WaitTimeout, ms)
 	assert.Empty(t, c.events, "the call stands")
-	s.Die()
+	s.Crash()
 	c.awaitEnd(t, agent.Stood, policy.Cut)
 }
 
@@ -494,7 +494,7 @@
 // lost then, and must end.
 func TestStalledConnectionClosed(t *testing.T) {
 	for _, probes := range []bool{false, true} {
-		p, c := startPool(t, Config{StallTimeout: 2 * time.Second, FirstMessageTimeout: standin.Patience, SilenceTimeout: time.Hour, Probes: probes, ProbeTimeout: standin.Patience})
+		p, c := startPool(t, Config{StallTimeout: 2 * time.Second, FirstMessageTimeout: standin.WaitTimeout, SilenceTimeout: time.Hour, Probes: probes, ProbeTimeout: standin.WaitTimeout})
 		s := standin.NewServer(t, "")
 		p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 		p.SetUp(newAttempt(firstCall, 30*time.Second))
@@ -527,8 +527,8 @@
 	p.GiveUp("s", secondCall, 0, policy.Cancelled)
 	c.awaitEnd(t, agent.Written, policy.Cancelled)
 	late.Answer("")
-	require.Eventually(t, func() bool { return s.Seen(isup.Release, late.Call) == 2 }, standin.Patience, ms)
-	assert.Equal(t, 2, s.Seen(isup.Release, 0), "no other call was released")
+	require.Eventually(t, func() bool { return s.Count(isup.Release, late.Call) == 2 }, standin.WaitTimeout, ms)
+	assert.Equal(t, 2, s.Count(isup.Release, 0), "no other call was released")
 	g.Release(isup.Normal, "")
 	assert.Nil(t, c.awaitEvent(t).err, "the call stood until its normal end")
 }
@@ -561,7 +561,7 @@
 	p, c := startPool(t, Config{})
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
-	require.Eventually(t, func() bool { return len(s.Conns()) == 1 }, standin.Patience, ms)
+	require.Eventually(t, func() bool { return len(s.Conns()) == 1 }, standin.WaitTimeout, ms)
 	s.Conns()[0].Send(isup.Message{Type: isup.Release, Call: 1}.WithCause(isup.Normal))
 	assert.Equal(t, firstCall, <-c.unknown)
 	p.ReleaseUnknown(secondCall) // the other way round: the caller's release reaches the server
--- a/internal/servers/trunk/wanted_test.go
+++ b/internal/servers/trunk/wanted_test.go
@@ -66,7 +66,7 @@
 				end = c.awaitEvent(t)
 			}
 			assert.Equal(t, agent.Unwritten, end.err.Stage, end.err)
-			assert.Zero(t, s.Seen(isup.SetUp, 2))
+			assert.Zero(t, s.Count(isup.SetUp, 2))
 		})
 	}
 }
@@ -75,7 +75,7 @@
 // process dials after a random delay. A set-up that comes before then is sent at once.
 func TestDialJitter(t *testing.T) {
 	dials := make(chan string, 10)
-	p, c := startPool(t, Config{Jitter: time.Hour, StallTimeout: standin.Patience, Dial: func(_ context.Context, address string) (net.Conn, error) {
+	p, c := startPool(t, Config{Jitter: time.Hour, StallTimeout: standin.WaitTimeout, Dial: func(_ context.Context, address string) (net.Conn, error) {
 		dials <- address
 		return net.Dial("tcp", address)
 	}})
@@ -91,7 +91,7 @@
 // TestStopWithDataInFlight guards the release of a call written just before the process stops. Data from the
 // server that is still on its way must not reset the connection, because the reset would discard the release.
 func TestStopWithDataInFlight(t *testing.T) {
-	p, c := startPool(t, Config{StallTimeout: standin.Patience, StopLinger: standin.Patience})
+	p, c := startPool(t, Config{StallTimeout: standin.WaitTimeout, StopLinger: standin.WaitTimeout})
 	s := standin.NewServer(t, "")
 	p.update(listedServer(s.Addr, policy.Up, time.Time{}))
 	g := standCall(t, p, c, s, firstCall)
@@ -99,7 +99,7 @@
 	closed := make(chan struct{})
 	go func() { p.Close(); close(closed) }()
 	assert.Equal(t, isup.CallID(1), s.Await(t, isup.Release).Call)
-	standin.Next(t, s.Ended)
+	standin.Next(t, s.Closed)
 	state, err := isup.Message{Type: isup.GroupState}.WithText(isup.Report, "x0:900;x1:1000").Append(nil)
 	require.NoError(t, err)
 	for range 3 {
--- a/internal/standin/core.go
+++ b/internal/standin/core.go
@@ -10,23 +10,23 @@
 	"woodrouter/agent"
 )
 
-// Core takes the place of the agent behind a front: the test decides.
-type Core struct {
-	Offered   chan agent.Call
-	Withdrawn chan string
-	Unknown   chan string
-	Busy      bool
-	Decide    func(agent.Call) // before the offer returns; nil: later, by the test
+// AgentStub takes the place of the agent behind a front: the test decides.
+type AgentStub struct {
+	Offered         chan agent.Call
+	Withdrawn       chan string
+	UnknownReleases chan string
+	Busy            bool
+	Decide          func(agent.Call) // before the offer returns; nil: later, by the test
 }
 
-// NewCore returns a core that takes every call.
-func NewCore() *Core {
-	return &Core{Offered: make(chan agent.Call, 100), Withdrawn: make(chan string, 100),
-		Unknown: make(chan string, 100)}
+// NewAgentStub returns a core that takes every call.
+func NewAgentStub() *AgentStub {
+	return &AgentStub{Offered: make(chan agent.Call, 100), Withdrawn: make(chan string, 100),
+		UnknownReleases: make(chan string, 100)}
 }
 
 // Offer takes a call unless the core is busy.
-func (c *Core) Offer(_ agent.Front, call agent.Call) bool {
+func (c *AgentStub) Offer(_ agent.Front, call agent.Call) bool {
 	if c.Busy {
 		return false
 	}
@@ -38,17 +38,17 @@
 }
 
 // Withdraw notes a call that its caller left.
-func (c *Core) Withdraw(_ agent.Front, id string) { c.Withdrawn <- id }
+func (c *AgentStub) Withdraw(_ agent.Front, id string) { c.Withdrawn <- id }
 
 // ReleaseUnknown notes a release of a call that the front did not know.
-func (c *Core) ReleaseUnknown(id string) { c.Unknown <- id }
+func (c *AgentStub) ReleaseUnknown(id string) { c.UnknownReleases <- id }
 
 // Next returns what comes next on a channel.
 func Next[T any](t testing.TB, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		require.FailNow(t, "nothing came")
 	}
 	return v
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -19,14 +19,14 @@
 	"woodrouter/isup"
 )
 
-// Patience is how long a test waits for what must come. It is wide: only a failure
+// WaitTimeout is how long a test waits for what must come. It is wide: only a failure
 // takes so long.
-const Patience = 10 * time.Second
+const WaitTimeout = 10 * time.Second
 
 // Conn is a connection that speaks binary signalling.
 type Conn struct {
 	net.Conn
-	In *bufio.Reader
+	Reader *bufio.Reader
 }
 
 // Send writes a message.
@@ -38,8 +38,8 @@
 	_ = err // a closed connection shows where the test waits for its effect
 }
 
-// Got is a message as a setup server received it.
-type Got struct {
+// Received is a message as a setup server received it.
+type Received struct {
 	isup.Message
 	Conn *Conn
 	At   time.Time
@@ -48,14 +48,14 @@
 // Server is a setup server. It answers nothing by itself but tells of its group first on
 // every connection; what it gets is handed to the test in order.
 type Server struct {
-	Addr  string
-	Got   chan Got
-	Ended chan *Conn // connections whose other side has ended
-
-	mu    sync.Mutex
-	ln    net.Listener
-	conns []*Conn
-	seen  []Got
+	Addr     string
+	Received chan Received
+	Closed   chan *Conn // connections whose other side has ended
+
+	mu      sync.Mutex
+	ln      net.Listener
+	conns   []*Conn
+	history []Received
 }
 
 // NewServer starts a setup server on a free port, or on addr if it is not "".
@@ -66,9 +66,9 @@
 	}
 	ln, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
-	s := &Server{Addr: ln.Addr().String(), Got: make(chan Got, 1000), Ended: make(chan *Conn, 1000), ln: ln}
+	s := &Server{Addr: ln.Addr().String(), Received: make(chan Received, 1000), Closed: make(chan *Conn, 1000), ln: ln}
 	go s.accept()
-	t.Cleanup(s.Die)
+	t.Cleanup(s.Crash)
 	return s
 }
 
@@ -89,31 +89,31 @@
 
 func (s *Server) serve(c *Conn) {
 	for {
-		m, err := isup.Read(c.In)
+		m, err := isup.Read(c.Reader)
 		if err != nil {
 			select {
-			case s.Ended <- c:
+			case s.Closed <- c:
 			default: // a test that does not look
 			}
 			return
 		}
-		g := Got{m, c, time.Now()}
+		g := Received{m, c, time.Now()}
 		s.mu.Lock()
-		s.seen = append(s.seen, g)
+		s.history = append(s.history, g)
 		s.mu.Unlock()
 		select {
-		case s.Got <- g:
+		case s.Received <- g:
 		default: // a test that does not look
 		}
 	}
 }
 
 // Await returns the next message of a type; others before it are passed over.
-func (s *Server) Await(t testing.TB, want isup.Type) Got {
+func (s *Server) Await(t testing.TB, want isup.Type) Received {
 	t.Helper()
-	for deadline := time.After(Patience); ; {
+	for deadline := time.After(WaitTimeout); ; {
 		select {
-		case g := <-s.Got:
+		case g := <-s.Received:
 			if g.Type == want {
 				return g
 			}
@@ -123,11 +123,11 @@
 	}
 }
 
-// Seen counts the messages of a type for a call; 0 stands for any call.
-func (s *Server) Seen(want isup.Type, id isup.CallID) (n int) {
+// Count counts the messages of a type for a call; 0 stands for any call.
+func (s *Server) Count(want isup.Type, id isup.CallID) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, g := range s.seen {
+	for _, g := range s.history {
 		if g.Type == want && (id == 0 || g.Call == id) {
 			n++
 		}
@@ -135,8 +135,8 @@
 	return n
 }
 
-// Refuse closes the listener only, so that new connections are refused.
-func (s *Server) Refuse() { s.ln.Close() }
+// StopListening closes the listener only, so that new connections are refused.
+func (s *Server) StopListening() { s.ln.Close() }
 
 // Conns returns the connections accepted so far.
 func (s *Server) Conns() []*Conn {
@@ -145,8 +145,8 @@
 	return append([]*Conn(nil), s.conns...)
 }
 
-// Die resets all connections, as a process that dies.
-func (s *Server) Die() {
+// Crash resets all connections, as a process that dies.
+func (s *Server) Crash() {
 	s.ln.Close()
 	for _, c := range s.Conns() {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
@@ -157,12 +157,12 @@
 }
 
 // Answer lets a set-up's call stand.
-func (g Got) Answer(description string) {
+func (g Received) Answer(description string) {
 	g.Conn.Send(isup.Message{Type: isup.Answer, Call: g.Call}.WithText(isup.Description, description))
 }
 
 // Release ends a set-up or a call.
-func (g Got) Release(c isup.Cause, note string) {
+func (g Received) Release(c isup.Cause, note string) {
 	m := isup.Message{Type: isup.Release, Call: g.Call}.WithCause(c)
 	if note != "" {
 		m = m.WithText(isup.Note, note)
@@ -176,7 +176,7 @@
 // NewCaller connects to a call agent.
 func NewCaller(t testing.TB, addr string) *Caller {
 	t.Helper()
-	conn, err := net.DialTimeout("tcp", addr, Patience)
+	conn, err := net.DialTimeout("tcp", addr, WaitTimeout)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	return &Caller{Conn{conn, bufio.NewReader(conn)}}
@@ -191,8 +191,8 @@
 
 // Next returns the next message, or an error at the end of the connection.
 func (c *Caller) Next() (isup.Message, error) {
-	c.SetReadDeadline(time.Now().Add(Patience))
-	return isup.Read(c.In)
+	c.SetReadDeadline(time.Now().Add(WaitTimeout))
+	return isup.Read(c.Reader)
 }
 
 // Await returns the next message, which must be of this type and call.
@@ -209,10 +209,10 @@
 type Bulletin struct {
 	Addr string
 
-	mu    sync.Mutex
-	items []map[string]any
-	news  chan struct{}
-	asked int
+	mu          sync.Mutex
+	events      []map[string]any
+	changed     chan struct{}
+	lastFetched int
 }
 
 // Endpoint words an entry of the list.
@@ -223,8 +223,8 @@
 
 // NewBulletin starts a bulletin whose first event lists these entries.
 func NewBulletin(t testing.TB, entries ...map[string]any) *Bulletin {
-	b := &Bulletin{news: make(chan struct{})}
-	b.Tell(true, entries...)
+	b := &Bulletin{changed: make(chan struct{})}
+	b.AddEvent(true, entries...)
 	srv := httptest.NewServer(b)
 	b.Addr = srv.Listener.Addr().String()
 	t.Cleanup(func() {
@@ -234,38 +234,38 @@
 	return b
 }
 
-// Tell adds an event.
-func (b *Bulletin) Tell(whole bool, entries ...map[string]any) {
+// AddEvent adds an event.
+func (b *Bulletin) AddEvent(whole bool, entries ...map[string]any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := len(b.items) + 1
-	b.items = append(b.items, map[string]any{"no": n,
+	n := len(b.events) + 1
+	b.events = append(b.events, map[string]any{"no": n,
 		"roster": map[string]any{"index": n, "snapshot": whole, "endpoints": entries}})
-	close(b.news)
-	b.news = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// Known is the form of the events so far.
-func (b *Bulletin) Known(after int) map[string]any {
+// EventsAfter is the form of the events so far.
+func (b *Bulletin) EventsAfter(after int) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	after = min(after, len(b.items))
-	return map[string]any{"no": len(b.items), "items": b.items[after:]}
+	after = min(after, len(b.events))
+	return map[string]any{"no": len(b.events), "items": b.events[after:]}
 }
 
-// Taken tells whether all events have been taken: the next were asked for.
-func (b *Bulletin) Taken() bool {
+// AllFetched tells whether all events have been taken: the next were asked for.
+func (b *Bulletin) AllFetched() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.asked >= len(b.items)
+	return b.lastFetched >= len(b.events)
 }
 
 func (b *Bulletin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	patience, _ := strconv.Atoi(r.URL.Query().Get("patience"))
 	b.mu.Lock()
-	b.asked = max(b.asked, after)
-	news, known := b.news, len(b.items)
+	b.lastFetched = max(b.lastFetched, after)
+	news, known := b.changed, len(b.events)
 	b.mu.Unlock()
 	if after >= known {
 		select {
@@ -274,5 +274,5 @@
 		case <-time.After(time.Duration(patience) * time.Millisecond):
 		}
 	}
-	json.NewEncoder(w).Encode(b.Known(after))
+	json.NewEncoder(w).Encode(b.EventsAfter(after))
 }
