--- a/internal/fleet/members/delegate.go
+++ b/internal/fleet/members/delegate.go
@@ -11,40 +11,41 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// What follows is memberlist's Delegate and EventDelegate; it is called on its goroutines.
+// The methods below implement memberlist.Delegate and memberlist.EventDelegate. The library calls them on its
+// own goroutines.
 
-// NodeMeta is this agent's zone and region.
+// NodeMeta returns the metadata of this agent: its zone, its region and whether it is in the control group.
 func (m *Members) NodeMeta(limit int) []byte {
 	d, _ := json.Marshal(metadata{m.self.Zone, m.self.Region, m.self.InControlGroup})
 	return d[:min(len(d), limit)]
 }
 
-// NotifyMsg takes one message of gossip. Malformed ones are counted and passed over.
+// NotifyMsg handles one gossip message. A malformed one is counted and ignored.
 func (m *Members) NotifyMsg(data []byte) { m.handleMessage(data) }
 
-// GetBroadcasts hands over what waits to be gossiped.
+// GetBroadcasts returns the queued broadcasts.
 func (m *Members) GetBroadcasts(overhead, limit int) [][]byte {
 	return m.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is the epoch known here: what two agents exchange by stream, now and then and at a
-// join, so that one that missed the gossip hears of it.
+// LocalState returns the epoch known here. Two agents exchange it over a stream at a join and periodically,
+// so that an agent that missed the gossip learns of the epoch.
 func (m *Members) LocalState(bool) []byte {
 	d, _ := json.Marshal(gossipMessage{Epoch: m.Epoch()})
 	return d
 }
 
-// MergeRemoteState takes another's.
+// MergeRemoteState handles the state that another agent sent.
 func (m *Members) MergeRemoteState(data []byte, _ bool) { m.handleMessage(data) }
 
-// NotifyJoin records an agent that has joined, and logs it; the library holds its lock during this call, as in
-// NotifyLeave and NotifyUpdate.
+// NotifyJoin records an agent that has joined, and logs it. The library holds its lock during this call, as
+// in NotifyLeave and NotifyUpdate.
 func (m *Members) NotifyJoin(n *memberlist.Node) {
 	m.putNode(n)
 	m.log.Info("agent joined", "agent", n.Name, "at", n.Address())
 }
 
-// NotifyLeave forgets an agent, and what it saw: it left, or is held for dead.
+// NotifyLeave removes an agent that has left or is considered dead, together with its last summary.
 func (m *Members) NotifyLeave(n *memberlist.Node) {
 	m.removeNode(n.Name)
 	m.mu.Lock()
@@ -53,16 +54,17 @@
 	m.log.Info("agent gone", "agent", n.Name, "left", n.State == memberlist.StateLeft)
 }
 
-// NotifyUpdate keeps changed metadata, as of an agent that was started again within a probe.
+// NotifyUpdate records changed metadata, for example of an agent that restarted between two probes.
 func (m *Members) NotifyUpdate(n *memberlist.Node) { m.putNode(n) }
 
-// transport sends to some addresses by another way (the links of the file), and counts.
+// transport counts what is sent, and sends to the addresses in Config.Links by way of their proxies.
 type transport struct {
 	*memberlist.NetTransport
 	members *Members
 }
 
-// sendAddress is where to send what goes to an address.
+// sendAddress returns the address to send to in order to reach addr: the proxy given in Config.Links, or addr
+// itself.
 func (m *Members) sendAddress(addr string) string {
 	if to, ok := m.cfg.Links[addr]; ok {
 		return to
@@ -70,8 +72,8 @@
 	return addr
 }
 
-// How long a stream may take to open, and its far end to answer. Who accepts and says nothing, or
-// is not there at all, must not keep an agent long from asking another.
+// maxDialTimeout bounds opening a stream, streamTimeout waiting for the answer on it. A peer that accepts and
+// does not answer, or that is gone, must not keep an agent from asking another for long.
 const (
 	maxDialTimeout = 3 * time.Second
 	streamTimeout  = 10 * time.Second
@@ -90,10 +92,10 @@
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// DialAddressTimeout opens a stream, which ends at the latest with this agent's part.
+// DialAddressTimeout opens a stream, which is closed when the membership is.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.members.sent.Add(1)
-	// From its own address, as datagrams go: who stands between may tell members apart by it.
+	// Dial from the bind address, as datagrams are sent: a proxy may tell members apart by it.
 	host, _, _ := net.SplitHostPort(t.members.cfg.Bind)
 	d := net.Dialer{Timeout: min(timeout, maxDialTimeout), LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}}
 	c, err := d.DialContext(t.members.ctx, "tcp", t.members.sendAddress(a.Addr))
@@ -103,13 +105,13 @@
 	return &stream{Conn: c, stop: context.AfterFunc(t.members.ctx, func() { c.Close() })}, nil
 }
 
-// stream is a connection that is closed where this agent's part ends.
+// stream is a connection that is closed when the membership is.
 type stream struct {
 	net.Conn
 	stop func() bool
 }
 
-// Close ends it.
+// Close closes the connection.
 func (s *stream) Close() error {
 	s.stop()
 	return s.Conn.Close()
@@ -120,18 +122,18 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// logWriter turns memberlist's lines into the program's: "[WARN] memberlist: text".
+// logWriter passes on memberlist's log lines, which look like "[WARN] memberlist: text".
 type logWriter struct{ log *slog.Logger }
 
 func (l logWriter) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	level := slog.LevelDebug
-	for mark, at := range map[string]slog.Level{"[ERR] ": slog.LevelWarn, "[WARN] ": slog.LevelWarn, "[INFO] ": slog.LevelInfo} {
-		if rest, ok := strings.CutPrefix(text, mark); ok {
-			text, level = rest, at
+	for prefix, prefixLevel := range map[string]slog.Level{"[ERR] ": slog.LevelWarn, "[WARN] ": slog.LevelWarn, "[INFO] ": slog.LevelInfo} {
+		if rest, ok := strings.CutPrefix(text, prefix); ok {
+			text, level = rest, prefixLevel
 		}
 	}
 	name, rest, _ := strings.Cut(text, ": ")
-	l.log.Log(context.Background(), level, name+": a line of the library", "line", rest)
+	l.log.Log(context.Background(), level, name+": message from the library", "line", rest)
 	return len(line), nil
 }
--- a/internal/fleet/members/leak_test.go
+++ b/internal/fleet/members/leak_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestMain(m *testing.M) {
-	if say := os.Getenv(childEnv); say != "" {
-		runChild(say)
+	if config := os.Getenv(childEnv); config != "" {
+		runChild(config)
 		return
 	}
 	goleak.VerifyTestMain(m)
--- a/internal/fleet/members/many_test.go
+++ b/internal/fleet/members/many_test.go
@@ -26,19 +26,19 @@
 	"woodrouter/internal/faultnet"
 )
 
-// What follows measures a large membership: real agents on loopback, in processes of this test
-// program, each of which does what one line of its input says at a time.
+// The code below measures a large membership: real agents on loopback in child processes of this test
+// program, each of which executes the commands that it reads from its standard input.
 
 var (
-	manySizes    = flag.String("many", "100", "agents, with commas between the sizes")
-	manyShape    = flag.String("shape", "apart", "how they join: turn, batch or apart")
-	manyCompress = flag.Bool("compress", false, "with the library's compression, as the membership of spread load has it")
+	manySizes    = flag.String("many", "100", "numbers of agents, separated by commas")
+	manyShape    = flag.String("shape", "apart", "how the agents are distributed and join: turn, batch or apart")
+	manyCompress = flag.Bool("compress", false, "compress, as the membership for spreading load does")
 )
 
-// shape is how a fleet is spread and joins.
+// shape is how the agents of a fleet are distributed over processes and join.
 type shape struct {
-	procs, seeds, atOnce int
-	jitter               time.Duration
+	procs, seeds, atOnce int           // atOnce: concurrent joins
+	jitter               time.Duration // before each join, drawn evenly up to this
 }
 
 var shapes = map[string]shape{
@@ -47,7 +47,7 @@
 	"apart": {procs: 8, seeds: 4, atOnce: 20, jitter: 100 * time.Millisecond},
 }
 
-// The bounds of a run's phases.
+// Durations of the phases of a run.
 const (
 	joinTimeout     = 45 * time.Second
 	convergeTimeout = 20 * time.Second
@@ -55,30 +55,30 @@
 	deathTimeout    = 30 * time.Second
 )
 
-// command is a line to a process, gist its answer.
+// command is a line sent to a child process, result its answer.
 type command struct {
-	Do    string
-	Agent int
-	Size  int
+	Action string
+	Agent  int
+	Size   int
 }
 
 type result struct {
 	Agent            int
 	Err              string `json:",omitempty"`
-	Others           int    // agents here that do not count Size
+	Disagreeing      int    // agents of the process whose size of the fleet is not command.Size
 	Datagrams        int64
-	Sent, Heard      int64 // bytes in datagrams
-	Streamed         int64 // bytes in streams begun here, both ways
-	Streams, Refused int64 // begun, and of those failed to open
+	Sent, Received   int64 // bytes in datagrams
+	Streamed         int64 // bytes both ways in streams opened here
+	Streams, Refused int64 // streams opened, and failed attempts among them
 	CPU              time.Duration
 	RSS              int64
 }
 
-// childEnv hands a process the octet of its fleet, the number of seeds, -compress, and how many
-// processes there are.
+// childEnv is the environment variable that gives a child process the second octet of its addresses, the
+// number of seeds, -compress, and the number of processes.
 const childEnv = "MEMBERS_OF_MANY"
 
-// meteredTransport counts what one agent sends and hears.
+// meteredTransport counts what the agents of a process send and receive.
 type meteredTransport struct {
 	*transport
 	p  *process
@@ -91,10 +91,10 @@
 	return t.transport.WriteToAddress(b, a)
 }
 
-// forward counts what comes; the library asks for the channel again for each datagram.
+// forward counts received datagrams. PacketCh cannot do it, as the library calls it again for each datagram.
 func (t *meteredTransport) forward() {
 	for p := range t.transport.PacketCh() {
-		t.p.heard.Add(int64(len(p.Buf)))
+		t.p.received.Add(int64(len(p.Buf)))
 		t.in <- p
 	}
 }
@@ -111,6 +111,7 @@
 	return &meteredConn{c, t.p}, nil
 }
 
+// meteredConn counts the bytes of a stream.
 type meteredConn struct {
 	net.Conn
 	p *process
@@ -128,11 +129,11 @@
 	return n, err
 }
 
-// process is the agents of one process.
+// process holds the agents of one child process.
 type process struct {
-	octet, seeds                                       int
-	compress                                           bool
-	datagrams, sent, heard, streamed, streams, refused atomic.Int64
+	octet, seeds                                          int
+	compress                                              bool
+	datagrams, sent, received, streamed, streams, refused atomic.Int64
 
 	mu     sync.Mutex
 	agents map[int]*Members
@@ -142,6 +143,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:7946", p.octet, (i+1)>>8, (i+1)&255)
 }
 
+// join opens the membership of agent i and joins the seeds.
 func (p *process) join(i int) error {
 	cfg := Config{Bind: p.address(i), Compress: p.compress, tune: func(c *memberlist.Config, _ *seeker) {
 		t := &meteredTransport{c.Transport.(*transport), p, make(chan *memberlist.Packet)}
@@ -161,19 +163,20 @@
 	_, err = m.Rejoin()
 	go m.StayJoined(context.Background())
 	if i == 0 {
-		err = nil // nobody is there yet
+		err = nil // the first agent has nobody to join
 	}
 	return err
 }
 
+// run executes one command.
 func (p *process) run(o command) result {
-	g := result{Agent: o.Agent, Datagrams: p.datagrams.Load(), Sent: p.sent.Load(), Heard: p.heard.Load(), Streamed: p.streamed.Load(),
+	g := result{Agent: o.Agent, Datagrams: p.datagrams.Load(), Sent: p.sent.Load(), Received: p.received.Load(), Streamed: p.streamed.Load(),
 		Streams: p.streams.Load(), Refused: p.refused.Load()}
 	var use syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &use)
 	g.CPU = time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	g.RSS = residentBytes()
-	switch o.Do {
+	switch o.Action {
 	case "join":
 		if err := p.join(o.Agent); err != nil {
 			g.Err = err.Error()
@@ -189,14 +192,14 @@
 		defer p.mu.Unlock()
 		for _, m := range p.agents {
 			if m.Size() != o.Size {
-				g.Others++
+				g.Disagreeing++
 			}
 		}
 	}
 	return g
 }
 
-// residentBytes is the memory of this process.
+// residentBytes returns the resident memory of this process.
 func residentBytes() int64 {
 	status, _ := os.ReadFile("/proc/self/statm")
 	f := strings.Fields(string(status))
@@ -207,18 +210,19 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// maxMemoryBytes bounds all processes of a run together: one that takes more than its part ends.
+// maxMemoryBytes bounds the memory of all processes of a run together: a process that exceeds its part of it
+// exits.
 const maxMemoryBytes = 6 << 30
 
-// runChild is a process's life.
-func runChild(say string) {
+// runChild executes the commands on standard input until it is closed.
+func runChild(config string) {
 	p := &process{agents: map[int]*Members{}}
 	var procs int64
-	fmt.Sscan(say, &p.octet, &p.seeds, &p.compress, &procs)
+	fmt.Sscan(config, &p.octet, &p.seeds, &p.compress, &procs)
 	go func() {
 		for range time.Tick(200 * time.Millisecond) {
 			if residentBytes() > maxMemoryBytes/procs {
-				fmt.Fprintln(os.Stderr, "more memory than a run may take")
+				fmt.Fprintln(os.Stderr, "memory limit exceeded")
 				os.Exit(1)
 			}
 		}
@@ -239,7 +243,7 @@
 	}
 }
 
-// worker is a process as the measurement sees it; a join's answer is told apart by its agent.
+// worker is a child process as the benchmark sees it. Answers are assigned to commands by the agent's number.
 type worker struct {
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -249,6 +253,7 @@
 	ended   bool
 }
 
+// startWorker starts a child process.
 func startWorker(octet byte, sh shape) (*worker, error) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d %d %v %d", childEnv, octet, sh.seeds, *manyCompress, sh.procs))
@@ -266,7 +271,7 @@
 		lines := json.NewDecoder(out)
 		for {
 			var g result
-			if lines.Decode(&g) != nil { // it has ended
+			if lines.Decode(&g) != nil { // the process has ended
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				for _, c := range w.pending {
@@ -285,6 +290,7 @@
 	return w, cmd.Start()
 }
 
+// send sends one command, and waits a minute at most for its answer.
 func (w *worker) send(o command) result {
 	c := make(chan result, 1)
 	w.mu.Lock()
@@ -306,10 +312,11 @@
 	}
 }
 
-// fleet is all processes; -1 is nobody's agent.
+// fleet is all child processes. A command for a whole process has agent number -1.
 type fleet []*worker
 
-func (f fleet) collect(size int) (sum result) {
+// collect returns the sum of the processes' counters.
+func (f fleet) collect(size int) (total result) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
 	for _, w := range f {
@@ -317,37 +324,39 @@
 			g := w.send(command{"look", -1, size})
 			mu.Lock()
 			defer mu.Unlock()
-			sum.Others += g.Others
-			sum.Datagrams += g.Datagrams
-			sum.Sent += g.Sent
-			sum.Heard += g.Heard
-			sum.Streamed += g.Streamed
-			sum.Streams += g.Streams
-			sum.Refused += g.Refused
-			sum.CPU += g.CPU
-			sum.RSS += g.RSS
-			sum.Err = cmp.Or(sum.Err, g.Err)
+			total.Disagreeing += g.Disagreeing
+			total.Datagrams += g.Datagrams
+			total.Sent += g.Sent
+			total.Received += g.Received
+			total.Streamed += g.Streamed
+			total.Streams += g.Streams
+			total.Refused += g.Refused
+			total.CPU += g.CPU
+			total.RSS += g.RSS
+			total.Err = cmp.Or(total.Err, g.Err)
 		})
 	}
 	work.Wait()
-	return sum
+	return total
 }
 
-// awaitSize looks until all count size, and tells how long it took and how many still do not.
-func (f fleet) awaitSize(size int, most time.Duration) (took time.Duration, others int) {
+// awaitSize polls until every agent counts size agents, or until timeout has passed. It returns how long that
+// took and how many agents still count differently.
+func (f fleet) awaitSize(size int, timeout time.Duration) (took time.Duration, others int) {
 	began := time.Now()
 	for {
 		g := f.collect(size)
 		took = time.Since(began)
-		if g.Err == "" && g.Others == 0 || took > most {
-			return took, g.Others
+		if g.Err == "" && g.Disagreeing == 0 || took > timeout {
+			return took, g.Disagreeing
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// BenchmarkMany: what a membership of many agents takes, and how soon all know of a join and a
-// death. Times are in seconds, a phase that did not end is told with how many lacked.
+// BenchmarkMany measures the cost of a membership of many agents, and how soon all of them know of a join and
+// of a death. Times are in seconds. For a phase that did not end in time the number of agents that lacked the
+// change is reported.
 //
 //	go test -run '^$' -bench Many -benchtime 1x -many 100,200,400,730 -shape apart ./internal/fleet/members
 func BenchmarkMany(b *testing.B) {
@@ -368,6 +377,8 @@
 	}
 }
 
+// measureFleet starts n agents, and reports the cost of their joining, of the membership at rest, and the
+// time until all know of one death.
 func measureFleet(b *testing.B, sh shape, n int) {
 	octet, err := faultnet.TakeOctet()
 	if err != nil {
@@ -449,7 +460,7 @@
 	b.ReportMetric(float64(second.RSS)/float64(n)/1e6, "MB/agent")
 	b.ReportMetric(per(second.Datagrams-first.Datagrams), "dgrams/s/agent")
 	b.ReportMetric(per(second.Sent-first.Sent), "udp-out-B/s/agent")
-	b.ReportMetric(per(second.Heard-first.Heard), "udp-in-B/s/agent")
+	b.ReportMetric(per(second.Received-first.Received), "udp-in-B/s/agent")
 	b.ReportMetric(per(second.Streamed-first.Streamed), "tcp-B/s/agent")
 	b.ReportMetric(float64(second.Streams-first.Streams)/rest, "streams/s")
 	b.ReportMetric((second.CPU-first.CPU).Seconds()/rest, "rest-cores")
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -1,9 +1,8 @@
-// Package members is the membership of call agents, on github.com/hashicorp/memberlist (SWIM:
-// Das, Gupta and Motivala, "SWIM: scalable weakly-consistent infection-style process group
-// membership protocol", DSN 2002, with Lifeguard's refinements). Each agent's zone and region
-// are in its metadata. Beside who is alive, agents tell one another by gossip what each sees of
-// the setup servers (failover.Summary) and which epoch is in force; the plan itself comes from
-// the replicated log. It decides nothing.
+// Package members is the membership of call agents, on github.com/hashicorp/memberlist (SWIM: Das, Gupta and
+// Motivala, "SWIM: scalable weakly-consistent infection-style process group membership protocol", DSN 2002,
+// with Lifeguard's refinements). Each agent's zone and region are in its metadata. The agents also send one
+// another, as gossip, what each observes of the setup servers (failover.Summary) and the epoch in force; the
+// plan itself comes from the replicated log. This package makes no decisions.
 package members
 
 import (
@@ -28,27 +27,26 @@
 	"woodrouter/failover"
 )
 
-// Config is an agent's part in the membership.
+// Config configures an agent's membership.
 type Config struct {
-	Bind string `yaml:"bind"` // host:port, TCP and UDP, on which it listens for the others
-	// Advertise is where the others reach it, if that is not Bind: it stands behind something.
+	Bind string `yaml:"bind"` // host:port to listen on, TCP and UDP
+	// Advertise is the address at which other agents reach this one, if that is not Bind, as behind a proxy.
 	Advertise string `yaml:"advertise,omitempty"`
-	// Seeds are some others' addresses, to join by, and to find together by after a split: at
-	// least one of each region.
+	// Seeds are the addresses of agents to join through, and through which the parts of a split membership
+	// find each other again: at least one in each region.
 	Seeds []string          `yaml:"seeds"`
-	Links map[string]string `yaml:"links"` // another's bind address -> where to send instead (a proxy)
-	// Far lengthens the time-outs for members in several regions: hundreds of milliseconds
-	// from one to another.
+	Links map[string]string `yaml:"links"` // another agent's bind address -> the address of a proxy to send to instead
+	// Far lengthens the timeouts, for members in several regions with hundreds of milliseconds between them.
 	Far bool `yaml:"far"`
-	// Compress has the library compress all that it sends. It halves notes of some KB, as those on
-	// spread load are; of the short messages of a membership alone it saves next to nothing, and
-	// makes a table of 64 KB anew for each. Who reads takes both.
+	// Compress makes the library compress everything that it sends. It halves messages of a few KB, such as
+	// those on spreading load. It saves next to nothing on the short messages of a membership alone, and
+	// allocates a 64 KB table for each. A receiver accepts both.
 	Compress bool `yaml:"-"`
 
-	tune func(*memberlist.Config, *seeker) // tests shorten the times by it
+	tune func(*memberlist.Config, *seeker) // lets tests shorten the timeouts
 }
 
-// Valid names the first field that can't be used.
+// Valid returns an error that names the first invalid field.
 func (c Config) Valid() error {
 	if _, err := parsePort(c.Bind); err != nil {
 		return fmt.Errorf("field bind: %w", err)
@@ -80,54 +78,54 @@
 // Member is an agent of the membership.
 type Member struct {
 	Name, Zone, Region string
-	InControlGroup     bool // its part is in the control group: summaries go to it
+	InControlGroup     bool // the agent's replica is in the control group, which receives the summaries
 }
 
-// metadata is a member's metadata, in JSON; memberlist bounds it to 512 bytes.
+// metadata is a member's metadata, sent as JSON; memberlist limits it to 512 bytes.
 type metadata struct {
 	Zone    string `json:"z"`
 	Region  string `json:"r"`
 	Decides bool   `json:"d,omitempty"`
 }
 
-// gossipMessage is one message of gossip.
+// gossipMessage is one gossip message, in JSON.
 type gossipMessage struct {
 	Summary *failover.Summary `json:"s,omitempty"`
 	Epoch   uint64            `json:"e,omitempty"`
-	// Note is a message between two members for whoever took OnNote.
+	// Note is a message from one member to another, for the handler given to OnMessage.
 	From string          `json:"n,omitempty"`
 	Note json.RawMessage `json:"x,omitempty"`
 }
 
-// Members is an agent's view of the membership. Its methods do not wait, but for Open, Rejoin, Stay
-// and Leave.
+// Members is an agent's view of the membership. Its methods do not block, except Open, Rejoin, StayJoined and
+// Leave.
 type Members struct {
 	cfg       Config
 	self      Member
 	log       *slog.Logger
 	list      *memberlist.Memberlist
 	queue     memberlist.TransmitLimitedQueue
-	malformed atomic.Int64 // messages that could not be read
-	sent      atomic.Int64 // datagrams and streams begun
-	bytes     atomic.Int64 // in datagrams sent
+	malformed atomic.Int64 // messages that could not be decoded
+	sent      atomic.Int64 // datagrams sent and streams opened
+	bytes     atomic.Int64 // sent in datagrams
 	startedAt time.Time
-	ctx       context.Context // its streams end with it
+	ctx       context.Context // cancelled by Leave and Shutdown; closes the open streams
 	cancel    context.CancelFunc
 
 	seekerMu sync.Mutex
 	seeker   *seeker
 
-	nodesMu sync.RWMutex // held for one look at nodes, and nothing is called under it
+	nodesMu sync.RWMutex // held only to read or change nodes; nothing else is called while it is held
 	nodes   map[string]node
 
-	mu          sync.Mutex                  // the library's lock is never taken under it: the library calls with its own held
-	summaries   map[string]failover.Summary // the latest of each agent that told this one
-	epoch       uint64                      // the highest heard of
-	epochRaised chan struct{}               // holds one item where the epoch has risen
+	mu          sync.Mutex                  // the library's lock is never taken while this one is held: the library holds its own when it calls back
+	summaries   map[string]failover.Summary // the latest summary of each agent
+	epoch       uint64                      // the highest epoch received or announced
+	epochRaised chan struct{}               // holds one item if epoch has risen since the last receive
 	onMessage   func(from string, data []byte)
 }
 
-// Open takes part in the membership. It returns before others are met; Stay meets them.
+// Open starts the membership and returns before any other agent is known; StayJoined joins the others.
 func Open(cfg Config, self Member, logger *slog.Logger) (*Members, error) {
 	m := &Members{cfg: cfg, self: self, log: logger, summaries: map[string]failover.Summary{}, epochRaised: make(chan struct{}, 1),
 		nodes: map[string]node{}, startedAt: time.Now(), seeker: newSeeker(cfg.Seeds, cfg.Bind, cfg.advertiseAddress())}
@@ -140,8 +138,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("field bind: %w", err)
 	}
-	lines := log.New(logWriter{logger}, "", 0)
-	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: bindPort, Logger: lines})
+	libraryLog := log.New(logWriter{logger}, "", 0)
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: bindPort, Logger: libraryLog})
 	if err != nil {
 		return nil, fmt.Errorf("field bind: %w", err)
 	}
@@ -165,7 +163,7 @@
 	c.TCPTimeout = streamTimeout
 	c.EnableCompression = cfg.Compress
 	c.Transport = &transport{NetTransport: netTransport, members: m}
-	c.Delegate, c.Events, c.Logger, c.DeadNodeReclaimTime = m, m, lines, 10*time.Second
+	c.Delegate, c.Events, c.Logger, c.DeadNodeReclaimTime = m, m, libraryLog, 10*time.Second
 	m.queue = memberlist.TransmitLimitedQueue{RetransmitMult: 3, NumNodes: m.Size}
 	if cfg.tune != nil {
 		cfg.tune(c, m.seeker)
@@ -177,16 +175,17 @@
 	return m, nil
 }
 
-// Rejoin asks those seeds whose turn it is (seeker), and tells how many agents are alive and why
-// none of them answered. It waits for the answers, streamMost for each seed at most. Two parts of
-// a split that each forgot the other find together by it, so it is called again and again.
+// Rejoin asks the seeds that are due (see seeker), and returns how many agents are alive, with the last error
+// if no seed answered. It waits for the answers, at most streamTimeout for each seed. It has to be called
+// again and again, because the two parts of a split that have forgotten each other are joined again only
+// through it.
 func (m *Members) Rejoin() (alive int, err error) {
 	before := m.Size()
 	m.seekerMu.Lock()
-	ask := m.seeker.nextSeeds(time.Since(m.startedAt), before, m.presentSeeds(), rand.Float64)
+	due := m.seeker.nextSeeds(time.Since(m.startedAt), before, m.presentSeeds(), rand.Float64)
 	m.seekerMu.Unlock()
-	for _, seed := range ask {
-		if m.ctx.Err() != nil { // who has left does not come back by a stream
+	for _, seed := range due {
+		if m.ctx.Err() != nil { // an agent that has left must not come back over a stream
 			return m.Size(), m.ctx.Err()
 		}
 		if _, err = m.list.Join([]string{seed}); err == nil {
@@ -194,46 +193,47 @@
 		}
 	}
 	alive = m.Size()
-	if len(ask) == 1 && before > 1 {
-		m.logMissingSeed(ask[0], before, alive, err)
+	if len(due) == 1 && before > 1 {
+		m.logMissingSeed(due[0], before, alive, err)
 	}
 	return alive, err
 }
 
-// presentSeeds tells which seeds are among the agents thought alive, by their addresses or by the links
-// that lead there.
+// presentSeeds returns a function that reports whether a seed is among the agents considered alive, by its
+// own address or by the proxy that leads to it.
 func (m *Members) presentSeeds() func(seed string) bool {
-	at := map[string]bool{}
+	present := map[string]bool{}
 	for _, n := range m.aliveNodes() {
-		at[n.address], at[m.sendAddress(n.address)] = true, true
+		present[n.address], present[m.sendAddress(n.address)] = true, true
 	}
-	return func(seed string) bool { return at[seed] }
+	return func(seed string) bool { return present[seed] }
 }
 
-// logMissingSeed tells the log what came of asking after a seed.
+// logMissingSeed logs that a missing seed is present again, or that it is still missing after the backoff has
+// reached its longest interval.
 func (m *Members) logMissingSeed(seed string, before, alive int, err error) {
 	m.seekerMu.Lock()
-	vain := m.seeker.attempts(seed)
+	attempts := m.seeker.attempts(seed)
 	m.seekerMu.Unlock()
 	switch {
 	case m.ctx.Err() != nil:
-	case err == nil && vain > 0 && m.presentSeeds()(seed):
-		m.log.Info("membership: missing seed met", "seed", seed, "alive_before", before, "alive", alive)
-	case vain == maxBackoffDoublings+1: // once for each time that it goes
-		m.log.Warn("membership: seed missing", "seed", seed, "asked", vain, "answers", err == nil, "error", err)
+	case err == nil && attempts > 0 && m.presentSeeds()(seed):
+		m.log.Info("membership: missing seed is present again", "seed", seed, "alive_before", before, "alive", alive)
+	case attempts == maxBackoffDoublings+1: // once for each disappearance
+		m.log.Warn("membership: seed is missing", "seed", seed, "asked", attempts, "answers", err == nil, "error", err)
 	}
 }
 
-// rejoinInterval is the mean time between two looks for seeds to ask.
+// rejoinInterval is the mean time between two calls of Rejoin by StayJoined.
 const rejoinInterval = time.Second
 
-// StayJoined keeps this agent among the others until ctx ends or it leaves.
+// StayJoined keeps this agent joined to the others until ctx ends or the agent leaves.
 func (m *Members) StayJoined(ctx context.Context) {
-	told := false
+	warned := false
 	for {
-		if alive, err := m.Rejoin(); err != nil && alive == 1 && !told && m.ctx.Err() == nil {
-			m.log.Warn("membership: no seed reached yet", "error", err)
-			told = true
+		if alive, err := m.Rejoin(); err != nil && alive == 1 && !warned && m.ctx.Err() == nil {
+			m.log.Warn("membership: no seed has answered yet", "error", err)
+			warned = true
 		}
 		select {
 		case <-ctx.Done():
@@ -245,45 +245,47 @@
 	}
 }
 
-// node is an agent thought alive, as the library last told of it. What it hands out at other
-// times it changes meanwhile.
+// node is an agent considered alive, as the library last reported it. The library modifies the nodes that it
+// returns at other times.
 type node struct {
 	Member
-	address       string          // its address
-	validMetadata bool            // its metadata
+	address       string          // host:port
+	validMetadata bool            // its metadata could be decoded
 	libraryNode   memberlist.Node // a copy
 }
 
-// putNode keeps an agent, drop forgets one.
+// putNode adds or replaces an agent.
 func (m *Members) putNode(n *memberlist.Node) {
-	var d metadata
-	err := json.Unmarshal(n.Meta, &d)
-	kept := node{Member{n.Name, d.Zone, d.Region, d.Decides}, n.Address(), err == nil, *n}
+	var decoded metadata
+	err := json.Unmarshal(n.Meta, &decoded)
+	added := node{Member{n.Name, decoded.Zone, decoded.Region, decoded.Decides}, n.Address(), err == nil, *n}
 	m.nodesMu.Lock()
 	defer m.nodesMu.Unlock()
-	m.nodes[n.Name] = kept
+	m.nodes[n.Name] = added
 }
 
+// removeNode removes an agent.
 func (m *Members) removeNode(name string) {
 	m.nodesMu.Lock()
 	defer m.nodesMu.Unlock()
 	delete(m.nodes, name)
 }
 
+// aliveNodes returns a copy of the agents considered alive.
 func (m *Members) aliveNodes() []node {
 	m.nodesMu.RLock()
 	defer m.nodesMu.RUnlock()
 	return slices.Collect(maps.Values(m.nodes))
 }
 
-// Size is how many agents are thought alive, this one among them.
+// Size returns the number of agents considered alive, this one included.
 func (m *Members) Size() int {
 	m.nodesMu.RLock()
 	defer m.nodesMu.RUnlock()
-	return max(len(m.nodes), 1) // asked while it is being made, or after it left
+	return max(len(m.nodes), 1) // nodes is empty while the agent starts and after it has left
 }
 
-// Alive are the agents thought alive.
+// Alive returns the agents considered alive whose metadata could be decoded.
 func (m *Members) Alive() (out []Member) {
 	for _, n := range m.aliveNodes() {
 		if n.validMetadata {
@@ -293,7 +295,7 @@
 	return out
 }
 
-// Names are the members thought alive.
+// Names returns the names of the agents considered alive.
 func (m *Members) Names() (out []string) {
 	for _, n := range m.aliveNodes() {
 		out = append(out, n.Name)
@@ -301,32 +303,33 @@
 	return out
 }
 
-// SendSummary has those who may decide hear what this agent sees, in a datagram each: one that is lost
-// is made good by the next.
+// SendSummary records what this agent observes, and sends it to the members of the control group, in one
+// datagram each. A lost datagram is not repeated: the next summary replaces it.
 func (m *Members) SendSummary(s failover.Summary) {
 	m.recordSummary(s)
 	data, err := json.Marshal(gossipMessage{Summary: &s})
 	if err != nil {
-		return // a figure that is no number: it is not told
+		return // NaN or an infinite value can not be sent as JSON
 	}
 	for _, n := range m.aliveNodes() {
 		if n.Name == m.self.Name || !n.InControlGroup {
 			continue
 		}
 		if err := m.list.SendBestEffort(&n.libraryNode, data); err != nil {
-			m.log.Debug("summary not sent", "to", n.Name, "error", err)
+			m.log.Debug("membership: summary not sent", "to", n.Name, "error", err)
 		}
 	}
 }
 
-// OnMessage has notes that come from now on handed to take, which must not wait.
-func (m *Members) OnMessage(take func(from string, data []byte)) {
+// OnMessage sets the handler of messages that other members send with SendMessage from now on. It must not
+// block.
+func (m *Members) OnMessage(handle func(from string, data []byte)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.onMessage = take
+	m.onMessage = handle
 }
 
-// SendMessage sends a message to one member in a datagram: it comes once, late, or not at all.
+// SendMessage sends a message to one member in a datagram, which may arrive late or not at all.
 func (m *Members) SendMessage(to string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -344,21 +347,21 @@
 	return m.list.SendBestEffort(&n.libraryNode, data)
 }
 
-// AnnounceEpoch has the others hear that an epoch is in force.
+// AnnounceEpoch announces to the others that an epoch is in force.
 func (m *Members) AnnounceEpoch(epoch uint64) { m.raiseEpoch(epoch) }
 
-// Epoch is the highest that was heard of; News holds an item once it has risen.
+// Epoch returns the highest epoch received or announced.
 func (m *Members) Epoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch
 }
 
-// EpochRaised holds an item where the epoch has risen since the last was taken.
+// EpochRaised returns a channel that holds an item if the epoch has risen since the last receive.
 func (m *Members) EpochRaised() <-chan struct{} { return m.epochRaised }
 
-// Summaries are the latest of the agents thought alive that told this one, each with the time of
-// its hearing.
+// Summaries returns the latest summary of each agent considered alive, with the time at which it was
+// received.
 func (m *Members) Summaries() (out []failover.Summary) {
 	alive := m.aliveNodes()
 	m.mu.Lock()
@@ -371,28 +374,29 @@
 	return out
 }
 
-// Traffic is the datagrams and streams begun, the bytes in datagrams, and messages not read.
+// Traffic returns the datagrams sent plus streams opened, the bytes sent in datagrams, and the messages that
+// could not be decoded.
 func (m *Members) Traffic() (sent, bytes, bad int64) {
 	return m.sent.Load(), m.bytes.Load(), m.malformed.Load()
 }
 
-// Leave tells the others that this agent goes, and ends its part.
+// Leave announces that this agent leaves, and closes its membership.
 func (m *Members) Leave() {
 	m.cancel()
 	if err := m.list.Leave(time.Second); err != nil {
-		m.log.Info("left without telling all", "error", err)
+		m.log.Info("membership: left before all others were notified", "error", err)
 	}
 	m.list.Shutdown()
 }
 
-// Shutdown ends this agent's part without a word, as a crash does.
+// Shutdown closes this agent's membership without notifying the others, as a crash would.
 func (m *Members) Shutdown() {
 	m.cancel()
 	m.list.Shutdown()
 }
 
-// recordSummary keeps a summary if it is newer than the one there, with the time of the hearing: how old
-// it may be is then a matter of this agent's clock alone.
+// recordSummary keeps a summary if it is newer than the one held. It sets the time to the time of receipt, so
+// that its age depends on this agent's clock alone.
 func (m *Members) recordSummary(s failover.Summary) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -403,8 +407,8 @@
 	m.summaries[s.Agent] = s
 }
 
-// raiseEpoch takes a higher epoch and hands it on: memberlist sends a broadcast to some others only,
-// and each that hears it anew passes it to some more.
+// raiseEpoch records a higher epoch and broadcasts it: memberlist sends a broadcast to a few agents, and each
+// that receives a new epoch passes it on to a few more.
 func (m *Members) raiseEpoch(epoch uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -421,40 +425,41 @@
 	}
 }
 
+// handleMessage handles one gossip message, and the state that an agent sends over a stream.
 func (m *Members) handleMessage(data []byte) {
-	var w gossipMessage
-	if err := json.Unmarshal(data, &w); err != nil {
+	var message gossipMessage
+	if err := json.Unmarshal(data, &message); err != nil {
 		m.malformed.Add(1)
-		m.log.Warn("gossip passed over", "error", err, "bytes", len(data))
+		m.log.Warn("membership: malformed gossip message ignored", "error", err, "bytes", len(data))
 		return
 	}
-	if w.Summary != nil && w.Summary.Agent != "" {
-		m.recordSummary(*w.Summary)
+	if message.Summary != nil && message.Summary.Agent != "" {
+		m.recordSummary(*message.Summary)
 	}
-	if w.Note != nil {
+	if message.Note != nil {
 		m.mu.Lock()
-		note := m.onMessage
+		handle := m.onMessage
 		m.mu.Unlock()
-		if note != nil {
-			note(w.From, w.Note)
+		if handle != nil {
+			handle(message.From, message.Note)
 		}
 	}
-	if w.Epoch > 0 {
-		m.raiseEpoch(w.Epoch)
+	if message.Epoch > 0 {
+		m.raiseEpoch(message.Epoch)
 	}
 }
 
-// epochBroadcast is a broadcast of an epoch; a later one takes its place.
+// epochBroadcast is a queued broadcast of an epoch; a later one replaces it.
 type epochBroadcast struct{ data []byte }
 
 func (b *epochBroadcast) Invalidates(memberlist.Broadcast) bool { return true }
 func (b *epochBroadcast) Message() []byte                       { return b.data }
 func (b *epochBroadcast) Finished()                             {}
 
-// errMetadataTooLong is a meta that memberlist has no room for.
+// errMetadataTooLong is returned for metadata that exceeds memberlist's limit.
 var errMetadataTooLong = errors.New("zone and region are too long for the membership's metadata")
 
-// CheckMetadata tells whether a member's zone and region fit its metadata.
+// CheckMetadata returns an error if a member's zone and region do not fit in its metadata.
 func CheckMetadata(self Member) error {
 	if d, err := json.Marshal(metadata{self.Zone, self.Region, self.InControlGroup}); err != nil || len(d) > memberlist.MetaMaxSize {
 		return errMetadataTooLong
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -19,8 +19,8 @@
 	"woodrouter/internal/faultnet"
 )
 
-// shortTimeouts has the library hold who is silent for dead within a second, and forget it at once: what
-// takes a minute of a cut otherwise.
+// shortTimeouts makes the library consider a silent agent dead within a second and forget it at once. With
+// the production settings that takes a minute.
 func shortTimeouts(c *memberlist.Config, s *seeker) {
 	c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = 100*time.Millisecond, 50*time.Millisecond, 300*time.Millisecond
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = 2, 1, 2
@@ -28,9 +28,9 @@
 	s.missingInterval, s.presentInterval = 100*time.Millisecond, time.Second
 }
 
-// TestSplitHeals: two regions, a seed in each, are cut off from one another until each has
-// forgotten the other. Once the link is whole they are one fleet again: with the seeds of both
-// regions in the agents' files, and where only one agent knows the other side's.
+// TestSplitHeals: two regions with a seed in each are disconnected until each has forgotten the other. Once
+// the link is restored they become one fleet again, whether every agent is configured with the seeds of both
+// regions or only one agent with the other region's seed. Gossip alone never joins such parts again.
 func TestSplitHeals(t *testing.T) {
 	for name, seeds := range map[string]func(i int) []int{
 		"each agent knows both seeds": func(int) []int { return []int{0, 4} },
@@ -45,13 +45,14 @@
 	}
 }
 
+// testSplit runs TestSplitHeals with the seeds that seeds returns for agent i. Agents 0 to 3 are one region.
 func testSplit(t *testing.T, seeds func(i int) []int) {
 	const agents = 8
 	octet, err := faultnet.TakeOctet()
 	require.NoError(t, err)
 	defer octet.Release()
 	bind := func(i int) string { return octet.Host(i+1) + ":7946" }
-	front := func(i int) string { return octet.Host(1000+i) + ":7946" }
+	advertised := func(i int) string { return octet.Host(1000+i) + ":7946" }
 	hub := faultnet.NewHub(func(a net.Addr) int {
 		host, _, _ := net.SplitHostPort(a.String())
 		for i := range agents {
@@ -73,10 +74,10 @@
 		staying.Wait()
 	}()
 	for i := range agents {
-		require.NoError(t, hub.Add(i, front(i), bind(i)))
-		cfg := Config{Bind: bind(i), Advertise: front(i), tune: shortTimeouts}
+		require.NoError(t, hub.Add(i, advertised(i), bind(i)))
+		cfg := Config{Bind: bind(i), Advertise: advertised(i), tune: shortTimeouts}
 		for _, s := range seeds(i) {
-			cfg.Seeds = append(cfg.Seeds, front(s))
+			cfg.Seeds = append(cfg.Seeds, advertised(s))
 		}
 		m, err := Open(cfg, Member{Name: fmt.Sprint("a", i)}, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
@@ -88,7 +89,7 @@
 			}
 		})
 	}
-	count := func(want int) func() bool {
+	allSee := func(want int) func() bool {
 		return func() bool {
 			for _, m := range all {
 				if m.Size() != want {
@@ -98,14 +99,14 @@
 			return true
 		}
 	}
-	require.Eventually(t, count(agents), 10*time.Second, 10*time.Millisecond, "all know all")
+	require.Eventually(t, allSee(agents), 10*time.Second, 10*time.Millisecond, "every agent knows all others")
 	hub.Partition(0, 1, 2, 3)
-	require.Eventually(t, count(agents/2), 20*time.Second, 10*time.Millisecond, "each side knows its own")
+	require.Eventually(t, allSee(agents/2), 20*time.Second, 10*time.Millisecond, "every agent knows only its own side")
 	hub.Partition()
-	assert.Eventually(t, count(agents), 10*time.Second, 10*time.Millisecond, "all know all again")
+	assert.Eventually(t, allSee(agents), 10*time.Second, 10*time.Millisecond, "every agent knows all others again")
 }
 
-// silentSeed takes connections and says nothing.
+// silentSeed accepts connections and never answers.
 func silentSeed(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -113,8 +114,8 @@
 	return ln.Addr().String()
 }
 
-// TestShutdownEndsRejoin: who waits for the answer of a silent seed goes at once where its part ends,
-// and asks nobody after.
+// TestShutdownEndsRejoin: Shutdown ends a Rejoin that waits for a silent seed at once, and no other seed is
+// joined afterwards.
 func TestShutdownEndsRejoin(t *testing.T) {
 	m, err := Open(Config{Bind: "127.0.0.1:0", Seeds: []string{silentSeed(t), silentSeed(t)}}, Member{Name: "a"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
@@ -131,13 +132,13 @@
 	case err := <-done:
 		assert.ErrorIs(t, err, context.Canceled)
 	case <-time.After(streamTimeout / 2):
-		t.Fatal("still asking")
+		t.Fatal("Rejoin has not returned")
 	}
 	sent, _, _ := m.Traffic()
-	assert.EqualValues(t, 1, sent, "streams begun")
+	assert.EqualValues(t, 1, sent, "streams opened")
 }
 
-// TestRejoinPastDeadSeeds: an agent alone asks on until a seed answers.
+// TestRejoinPastDeadSeeds: an agent that is alone asks one seed after another until one answers.
 func TestRejoinPastDeadSeeds(t *testing.T) {
 	host, err := faultnet.NewHost()
 	require.NoError(t, err)
@@ -152,24 +153,26 @@
 	assert.Equal(t, 2, alive)
 }
 
-// TestPresentSeeds: a seed is known by its agent's address, or by the link that leads there.
+// TestPresentSeeds: a seed counts as present by its agent's address, and by the address of the proxy that
+// leads there.
 func TestPresentSeeds(t *testing.T) {
 	host, err := faultnet.NewHost()
 	require.NoError(t, err)
-	at := host + ":7946"
-	m, err := Open(Config{Bind: at, Links: map[string]string{at: "127.0.0.1:9"}}, Member{Name: "a"}, slog.New(slog.DiscardHandler))
+	address := host + ":7946"
+	m, err := Open(Config{Bind: address, Links: map[string]string{address: "127.0.0.1:9"}}, Member{Name: "a"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer m.Shutdown()
 	met := m.presentSeeds()
-	assert.True(t, met(at))
+	assert.True(t, met(address))
 	assert.True(t, met("127.0.0.1:9"))
 	assert.False(t, met("127.0.0.1:10"))
 }
 
-// TestMembershipUncompressed: of a membership alone no datagram is compressed: beside the 64 KB that the
-// library reads each into, little is allocated for it, where its compression takes as much again.
+// TestMembershipUncompressed: a membership without spreading load does not compress its datagrams. Beyond the
+// 64 KB buffer into which the library reads each datagram little is allocated; decompression would allocate
+// as much again.
 func TestMembershipUncompressed(t *testing.T) {
-	const notes, most = 200, 96 << 10 // bytes a datagram
+	const messages, maxBytes = 200, 96 << 10 // bytes allocated for each datagram
 	a, err := Open(Config{Bind: "127.0.0.1:0"}, Member{Name: "a"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer a.Shutdown()
@@ -178,20 +181,20 @@
 	defer b.Shutdown()
 	_, err = b.Rejoin()
 	require.NoError(t, err)
-	came := make(chan struct{}, 1)
-	a.OnMessage(func(string, []byte) { came <- struct{}{} })
+	received := make(chan struct{}, 1)
+	a.OnMessage(func(string, []byte) { received <- struct{}{} })
 	text := strings.Repeat("a line that could be made shorter; ", 30)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for range notes {
+	for range messages {
 		require.NoError(t, b.SendMessage("a", text))
-		<-came
+		<-received
 	}
 	runtime.ReadMemStats(&after)
-	assert.Less(t, (after.TotalAlloc-before.TotalAlloc)/notes, uint64(most))
+	assert.Less(t, (after.TotalAlloc-before.TotalAlloc)/messages, uint64(maxBytes))
 }
 
-// blockingHandler is a log whose lines wait while the test holds them.
+// blockingHandler is a log handler that blocks on the line "agent joined" until the test releases it.
 type blockingHandler struct{ blocked, release chan struct{} }
 
 func (h blockingHandler) Enabled(context.Context, slog.Level) bool { return true }
@@ -208,23 +211,23 @@
 func (h blockingHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 func (h blockingHandler) WithGroup(string) slog.Handler      { return h }
 
-// TestMethodsDuringLibraryCallback: while the library tells of a change, and so holds its lock, all that
-// others ask of the membership is answered: a method that waited for that lock under its own would
-// never return where the library then waits for the other.
+// TestMethodsDuringLibraryCallback: all methods return while the library reports a change and thus holds its
+// lock. A method that waited for that lock while holding one of the membership's would deadlock with the
+// callback.
 func TestMethodsDuringLibraryCallback(t *testing.T) {
 	h := blockingHandler{make(chan struct{}), make(chan struct{})}
-	m, err := Open(Config{Bind: "127.0.0.1:0"}, Member{Name: "a", InControlGroup: true}, slog.New(h)) // its own joining passes: nobody waits for it yet
+	m, err := Open(Config{Bind: "127.0.0.1:0"}, Member{Name: "a", InControlGroup: true}, slog.New(h)) // does not block on its own joining: nobody receives from blocked yet
 	require.NoError(t, err)
 	defer m.Shutdown()
 	other, err := Open(Config{Bind: "127.0.0.1:0", Seeds: []string{m.list.LocalNode().Address()}}, Member{Name: "b"}, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	defer other.Shutdown()
-	asked := make(chan struct{})
+	joined := make(chan struct{})
 	go func() {
-		defer close(asked)
+		defer close(joined)
 		other.Rejoin()
 	}()
-	defer func() { <-asked }()
+	defer func() { <-joined }()
 	defer close(h.release)
 	<-h.blocked
 	answered := make(chan struct{})
@@ -244,6 +247,6 @@
 	select {
 	case <-answered:
 	case <-time.After(5 * time.Second):
-		t.Error("waits for the library's lock")
+		t.Error("a method waits for the library's lock")
 	}
 }
