--- a/internal/fleet/placer/config.go
+++ b/internal/fleet/placer/config.go
@@ -10,22 +10,22 @@
 	"woodrouter/internal/yamlfile"
 )
 
-// Config is an operators' file of zone failover, as deploy/failover.yaml.
+// Config is the operators' file for zone failover, such as deploy/failover.yaml.
 type Config struct {
-	Zone string `yaml:"zone"` // this agent's; "": the platform's settings name it
-	// Mode is "common" (one decision for all agents, by the control group of the promises) or
-	// "local" (each agent by what it sees alone).
+	Zone string `yaml:"zone"` // of this agent; "": the zone in the platform's settings
+	// Mode is "common" (the control group of the promises decides for all agents) or "local" (each agent
+	// decides by its own observations).
 	Mode    string          `yaml:"mode"`
-	Members *members.Config `yaml:"members"` // in common mode
-	// Topology may be left out in local mode: the zones are then those of the list of setup
-	// servers, all of one region.
+	Members *members.Config `yaml:"members"` // for mode common
+	// Topology may be absent in mode local. The zones are then those in the list of setup servers, all in one
+	// region.
 	Topology failover.Topology `yaml:"topology"`
 	Settings SettingsConfig    `yaml:"settings"`
-	Every    string            `yaml:"every"` // a summary is told and a decision looked for so often; "": 1s
-	Fresh    string            `yaml:"fresh"` // older summaries do not count; "": 5s
+	Every    string            `yaml:"every"` // time between two summaries, and between two decisions; "": 1s
+	Fresh    string            `yaml:"fresh"` // age above which a summary is ignored; "": 5s
 }
 
-// SettingsConfig are failover.Settings in a file; absent fields keep failover.Defaults.
+// SettingsConfig is failover.Settings in a file. An absent field has its value in failover.Defaults.
 type SettingsConfig struct {
 	Margin   *float64           `yaml:"margin"`
 	LostAt   *float64           `yaml:"lost_at"`
@@ -37,13 +37,13 @@
 	Budget   map[string]float64 `yaml:"budget"`
 }
 
-// parsedConfig are a file's settings and times, ready for use.
+// parsedConfig holds the settings and durations of a file.
 type parsedConfig struct {
 	settings     failover.Settings
 	every, fresh time.Duration
 }
 
-// LoadConfig reads and proves a file of zone failover. An error names the file and each field.
+// LoadConfig reads and validates a file. An error names the file and each invalid field.
 func LoadConfig(path string) (Config, error) {
 	c, err := yamlfile.Load[Config](path)
 	if err != nil {
@@ -52,9 +52,9 @@
 	return c, nil
 }
 
-// Distributed is an agent's own file with what a distributed document has in its place: topology,
-// settings, every and fresh. Mode, zone and members are an agent's own: a document that names
-// others is refused. name is only for messages.
+// Distributed returns the agent's own file with the topology, settings, every and fresh of a distributed
+// document. It refuses a document with another mode or zone, or with members: these come from the agent's own
+// file. name is used in error messages only.
 func (c Config) Distributed(name string, text []byte, zone string) (Config, error) {
 	d, err := yamlfile.Parse[Config](name, text)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return c, nil
 }
 
-// Valid names every field that can't be used.
+// Valid returns an error that names every invalid field.
 func (c Config) Valid() error {
 	var refused []error
 	switch c.Mode {
@@ -100,11 +100,11 @@
 	return errors.Join(append(refused, err)...)
 }
 
-// parse reads the times and settings.
+// parse returns the settings and durations, or an error that names each invalid one.
 func (c Config) parse() (parsedConfig, error) {
-	f := parsedConfig{settings: failover.Defaults, every: time.Second, fresh: 5 * time.Second}
+	parsed := parsedConfig{settings: failover.Defaults, every: time.Second, fresh: 5 * time.Second}
 	var refused []error
-	span := func(name, text string, to *time.Duration) {
+	parseDuration := func(name, text string, target *time.Duration) {
 		if text == "" {
 			return
 		}
@@ -113,29 +113,29 @@
 			refused = append(refused, fmt.Errorf("field %s: %q is no positive duration", name, text))
 			return
 		}
-		*to = d
+		*target = d
 	}
-	span("every", c.Every, &f.every)
-	span("fresh", c.Fresh, &f.fresh)
-	dwell, ramp := time.Duration(f.settings.DwellUs)*time.Microsecond, time.Duration(f.settings.RampUs)*time.Microsecond
-	span("settings.dwell", c.Settings.Dwell, &dwell)
-	span("settings.ramp", c.Settings.Ramp, &ramp)
-	f.settings.DwellUs, f.settings.RampUs = dwell.Microseconds(), ramp.Microseconds()
-	for _, o := range []struct {
-		from *float64
-		to   *float64
-	}{{c.Settings.Margin, &f.settings.Margin}, {c.Settings.LostAt, &f.settings.LostAt}, {c.Settings.FullAt, &f.settings.FullAt},
-		{c.Settings.RampFrom, &f.settings.RampFrom}, {c.Settings.Step, &f.settings.Step}} {
-		if o.from != nil {
-			*o.to = *o.from
+	parseDuration("every", c.Every, &parsed.every)
+	parseDuration("fresh", c.Fresh, &parsed.fresh)
+	dwell, ramp := time.Duration(parsed.settings.DwellUs)*time.Microsecond, time.Duration(parsed.settings.RampUs)*time.Microsecond
+	parseDuration("settings.dwell", c.Settings.Dwell, &dwell)
+	parseDuration("settings.ramp", c.Settings.Ramp, &ramp)
+	parsed.settings.DwellUs, parsed.settings.RampUs = dwell.Microseconds(), ramp.Microseconds()
+	for _, option := range []struct {
+		source *float64
+		target *float64
+	}{{c.Settings.Margin, &parsed.settings.Margin}, {c.Settings.LostAt, &parsed.settings.LostAt}, {c.Settings.FullAt, &parsed.settings.FullAt},
+		{c.Settings.RampFrom, &parsed.settings.RampFrom}, {c.Settings.Step, &parsed.settings.Step}} {
+		if option.source != nil {
+			*option.target = *option.source
 		}
 	}
-	f.settings.Budget = c.Settings.Budget
-	if f.fresh < 2*f.every {
-		refused = append(refused, fmt.Errorf("field fresh: %v is under two times every (%v): one lost summary would count as silence", f.fresh, f.every))
+	parsed.settings.Budget = c.Settings.Budget
+	if parsed.fresh < 2*parsed.every {
+		refused = append(refused, fmt.Errorf("field fresh: %v is under two times every (%v): one lost summary would count as silence", parsed.fresh, parsed.every))
 	}
-	for _, err := range f.settings.Check() {
+	for _, err := range parsed.settings.Check() {
 		refused = append(refused, fmt.Errorf("settings: %w", err))
 	}
-	return f, errors.Join(refused...)
+	return parsed, errors.Join(refused...)
 }
--- a/internal/fleet/placer/placer.go
+++ b/internal/fleet/placer/placer.go
@@ -1,7 +1,7 @@
-// Package placer has a call agent follow, and where it leads the control group make, the one
-// decision of where each zone's calls go. It is the thin part: package failover decides,
-// package members tells who is alive and what all see, the replicated log of the promises
-// holds the plan, and package policy picks the server among the pools a call may use.
+// Package placer makes a call agent follow the common decision on where the calls of each zone go; the agent
+// that leads the control group also makes that decision. The package only connects the parts: package
+// failover decides, package members knows which agents are alive and what each observes, the replicated log
+// of the promises holds the plan, and package policy chooses the server within the pools that a call may use.
 package placer
 
 import (
@@ -22,61 +22,61 @@
 	"woodrouter/internal/fleet/members"
 )
 
-// Control is the control group as this agent reaches it: the group of the promises that keeps
-// the plan. Its methods may wait.
+// Control is the control group as seen from this agent: the group of the promises that stores the plan. Its
+// methods may block.
 type Control interface {
-	// IsMember tells whether this agent is a member of the group: summaries are told to those.
+	// IsMember reports whether this agent is a member of the group. Members receive the summaries.
 	IsMember() bool
-	// IsLeader tells whether this agent's member leads the group, as far as it knows.
+	// IsLeader reports whether this agent leads the group, as far as it knows.
 	IsLeader() bool
-	// Plan is the plan of any member that has one of an epoch from least on.
-	Plan(ctx context.Context, least uint64) (epoch uint64, plan []byte, err error)
-	// LeaderPlan is the leader's; an error where no leader is within reach.
+	// Plan returns the plan of any member that has one with an epoch of at least minEpoch.
+	Plan(ctx context.Context, minEpoch uint64) (epoch uint64, plan []byte, err error)
+	// LeaderPlan returns the plan of the leader, or an error if no leader can be reached.
 	LeaderPlan(ctx context.Context) (epoch uint64, plan []byte, err error)
-	// Propose puts a plan in the log; took is false where another of its epoch stands.
-	Propose(ctx context.Context, epoch uint64, plan []byte) (took bool, err error)
+	// Propose appends a plan to the log. accepted is false if the log already has another plan for that
+	// epoch.
+	Propose(ctx context.Context, epoch uint64, plan []byte) (accepted bool, err error)
 }
 
 // Placer follows the plan for one agent.
 type Placer struct {
 	live         atomic.Pointer[liveConfig]
-	changed      chan struct{} // live was replaced
+	changed      chan struct{} // holds one item after live was replaced
 	self         members.Member
 	observations *agent.Observations
-	control      Control          // nil: local mode
-	members      *members.Members // nil: local mode
+	control      Control          // nil in mode local
+	members      *members.Members // nil in mode local
 	log          *slog.Logger
-	life         int64
-	seq          uint64
+	life         int64  // when the process started, Unix µs
+	seq          uint64 // of the latest summary
 
 	plan           atomic.Pointer[failover.Plan]
-	zones          atomic.Pointer[map[string]agent.ZoneObservation] // the latest, by zone
-	controlHeardAt atomic.Int64                                     // when the control group was last heard, Unix µs
-	silenceLogged  bool                                             // that it is not heard was told
+	zones          atomic.Pointer[map[string]agent.ZoneObservation] // the latest observations, by zone
+	controlHeardAt atomic.Int64                                     // when the leader of the control group answered last, Unix µs
+	silenceLogged  bool                                             // that the control group does not answer has been logged
 
 	mu       sync.Mutex
-	setUps   map[setUpKey]int64 // set-ups written whole
-	keptHome atomic.Int64       // calls kept home as the zone they were to go to is dead by own sight
+	setUps   map[setUpKey]int64 // set-ups written in full
+	keptHome atomic.Int64       // calls kept in the home zone because this agent sees no live server in the planned zone
 }
 
-// setUpKey is what set-ups are counted by.
+// setUpKey is the key by which set-ups are counted.
 type setUpKey struct{ Class, Zone string }
 
-// New returns the placer of an agent in a zone. In common mode it takes part in the membership
-// from here on.
-func New(cfg Config, name, zone string, sights *agent.Observations, control Control, log *slog.Logger) (*Placer, error) {
-	fig, err := cfg.parse()
+// New returns the placer of an agent in a zone. In mode common it also opens the membership.
+func New(cfg Config, name, zone string, observations *agent.Observations, control Control, log *slog.Logger) (*Placer, error) {
+	parsed, err := cfg.parse()
 	if err != nil {
 		return nil, err
 	}
-	p := &Placer{changed: make(chan struct{}, 1), observations: sights, log: log, life: time.Now().UnixMicro(), setUps: map[setUpKey]int64{},
+	p := &Placer{changed: make(chan struct{}, 1), observations: observations, log: log, life: time.Now().UnixMicro(), setUps: map[setUpKey]int64{},
 		self: members.Member{Name: name, Zone: zone, Region: cfg.Topology.Region(zone)}}
-	p.live.Store(&liveConfig{cfg.Topology, fig})
-	listed := cfg.Mode == "local" && len(cfg.Topology.Zones) == 0
+	p.live.Store(&liveConfig{cfg.Topology, parsed})
+	zonesFromList := cfg.Mode == "local" && len(cfg.Topology.Zones) == 0
 	switch {
-	case listed && zone == "":
-		log.Info("zones: the platform names none for this agent; calls go where the module sends them")
-	case listed:
+	case zonesFromList && zone == "":
+		log.Info("zones: this agent has no zone in the platform's settings; its calls are not restricted to a zone")
+	case zonesFromList:
 		p.self.Region = impliedRegion
 	case p.self.Region == "":
 		return nil, fmt.Errorf("field zone: %q is none of the topology's", zone)
@@ -98,54 +98,55 @@
 	return p, err
 }
 
-// liveConfig is what may change while the agent runs.
+// liveConfig is the part of the configuration that may change while the agent runs.
 type liveConfig struct {
 	topology failover.Topology
 	parsedConfig
 }
 
-// CheckConfig tells whether Change can take a file.
+// CheckConfig returns an error if Reconfigure cannot use a file.
 func (p *Placer) CheckConfig(cfg Config) error {
 	region := cfg.Topology.Region(p.self.Zone)
 	switch {
 	case len(cfg.Topology.Zones) == 0:
 	case region == "" && p.self.Zone != "":
 		return fmt.Errorf("field topology.zones: this agent's zone %q is none of them", p.self.Zone)
-	case p.members != nil && region != p.self.Region: // the others know it by that
+	case p.members != nil && region != p.self.Region: // the other agents have the region from this agent's metadata
 		return fmt.Errorf("field topology.zones: zone %q is of region %q until this agent's next start, not %q", p.self.Zone, p.self.Region, region)
 	}
 	return cfg.Valid()
 }
 
-// Reconfigure has the placer go on by another file's topology, settings and times. The rest of it
-// holds from the agent's next start. A file that can't be used changes nothing.
+// Reconfigure replaces topology, settings and durations with those of another file. Its other fields take
+// effect at the agent's next start. An invalid file changes nothing.
 func (p *Placer) Reconfigure(cfg Config) error {
 	if err := p.CheckConfig(cfg); err != nil {
 		return err
 	}
-	fig, err := cfg.parse()
+	parsed, err := cfg.parse()
 	if err != nil {
 		return err
 	}
-	p.live.Store(&liveConfig{cfg.Topology, fig})
+	p.live.Store(&liveConfig{cfg.Topology, parsed})
 	select {
 	case p.changed <- struct{}{}:
-	default: // Run is to look anyway
+	default: // Run has been notified already
 	}
 	return nil
 }
 
-// Run follows and decides until the context ends, then leaves the membership.
+// Run follows the plan, and decides if this agent leads, until the context ends. It then leaves the
+// membership.
 func (p *Placer) Run(ctx context.Context) {
 	tick := time.NewTicker(p.live.Load().every)
 	defer tick.Stop()
-	var news <-chan struct{}
+	var epochRaised <-chan struct{}
 	if p.members != nil {
-		var staying sync.WaitGroup
-		defer staying.Wait()
+		var joined sync.WaitGroup
+		defer joined.Wait()
 		defer p.members.Leave()
-		news = p.members.EpochRaised()
-		staying.Go(func() { p.members.StayJoined(ctx) })
+		epochRaised = p.members.EpochRaised()
+		joined.Go(func() { p.members.StayJoined(ctx) })
 	}
 	for {
 		p.shareObservations(ctx)
@@ -159,8 +160,8 @@
 		case <-tick.C:
 		case <-p.changed:
 			tick.Reset(p.live.Load().every)
-		case <-news:
-			p.follow(ctx) // a new epoch is not to wait for the tick
+		case <-epochRaised:
+			p.follow(ctx) // a new epoch must not wait for the tick
 			select {
 			case <-ctx.Done():
 				return
@@ -170,8 +171,8 @@
 	}
 }
 
-// shareObservations takes what this agent saw since the last look, tells the others, and looks itself at
-// servers that no call of its goes to.
+// shareObservations takes the observations since the last call and sends them to the control group. It then
+// probes servers to which no call of this agent goes; in mode local it decides instead.
 func (p *Placer) shareObservations(ctx context.Context) {
 	zones, offered := p.observations.Take()
 	p.zones.Store(&zones)
@@ -186,29 +187,29 @@
 		return
 	}
 	p.members.SendSummary(s)
-	look := p.seq
-	go p.probeServers(ctx, zones, look)
+	round := p.seq
+	go p.probeServers(ctx, zones, round)
 }
 
-// decideLocally decides on this agent's view alone.
+// decideLocally makes the next plan from this agent's observations alone.
 func (p *Placer) decideLocally(s failover.Summary) {
 	if p.self.Zone == "" {
 		return
 	}
-	now := p.live.Load()
-	v := failover.Aggregate([]failover.Summary{s}, s.AtUs, now.fresh.Microseconds())
-	if next, changed := failover.Decide(*p.plan.Load(), p.topology(now, s), now.settings, v, s.AtUs, p.self.Name); changed {
+	config := p.live.Load()
+	v := failover.Aggregate([]failover.Summary{s}, s.AtUs, config.fresh.Microseconds())
+	if next, changed := failover.Decide(*p.plan.Load(), p.topology(config, s), config.settings, v, s.AtUs, p.self.Name); changed {
 		p.apply(next)
 	}
 }
 
-// impliedRegion is the region of all zones where the topology is the list's.
+// impliedRegion is the region of all zones if the file has no topology.
 const impliedRegion = "here"
 
-// topology is the file's, or the zones that the list of setup servers names.
-func (p *Placer) topology(now *liveConfig, s failover.Summary) failover.Topology {
-	if len(now.topology.Zones) > 0 {
-		return now.topology
+// topology returns the topology of the file, or else one of the zones in the list of setup servers.
+func (p *Placer) topology(config *liveConfig, s failover.Summary) failover.Topology {
+	if len(config.topology.Zones) > 0 {
+		return config.topology
 	}
 	var t failover.Topology
 	names := slices.Collect(maps.Keys(s.Seen))
@@ -221,30 +222,31 @@
 	return t
 }
 
-// decide makes the next plan where this agent's member leads the control group. A leader that
-// was cut off proposes in vain; of two that think they lead, the log takes one for an epoch.
+// decide makes the next plan if this agent leads the control group. The proposal of a leader that is
+// partitioned from the group fails. If two agents consider themselves leader, the log accepts one plan for an
+// epoch.
 func (p *Placer) decide(ctx context.Context) {
 	if p.control == nil || !p.control.IsLeader() {
 		return
 	}
-	now, by := time.Now().UnixMicro(), p.live.Load()
-	v := failover.Aggregate(p.members.Summaries(), now, by.fresh.Microseconds())
-	next, changed := failover.Decide(*p.plan.Load(), by.topology, by.settings, v, now, p.self.Name)
+	now, config := time.Now().UnixMicro(), p.live.Load()
+	v := failover.Aggregate(p.members.Summaries(), now, config.fresh.Microseconds())
+	next, changed := failover.Decide(*p.plan.Load(), config.topology, config.settings, v, now, p.self.Name)
 	if !changed {
 		return
 	}
 	text, err := json.Marshal(next)
 	if err != nil {
-		p.log.Error("plan not worded", "epoch", next.Epoch, "error", err)
+		p.log.Error("zones: plan not encoded", "epoch", next.Epoch, "error", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*by.every)
+	ctx, cancel := context.WithTimeout(ctx, 2*config.every)
 	defer cancel()
-	switch took, err := p.control.Propose(ctx, next.Epoch, text); {
+	switch accepted, err := p.control.Propose(ctx, next.Epoch, text); {
 	case err != nil:
-		p.log.Warn("plan not decided", "epoch", next.Epoch, "error", err)
-	case !took:
-		if epoch, text, err := p.control.Plan(ctx, next.Epoch); err == nil { // another decided this epoch
+		p.log.Warn("zones: plan not accepted by the control group", "epoch", next.Epoch, "error", err)
+	case !accepted:
+		if epoch, text, err := p.control.Plan(ctx, next.Epoch); err == nil { // another leader decided this epoch
 			p.adopt(epoch, text)
 		}
 	default:
@@ -253,28 +255,28 @@
 	}
 }
 
-// follow takes the newest plan of the control group where gossip tells of one, and asks the
-// leader unasked once in a while, as gossip may be cut where the group is not. Where no leader
-// is within reach the last plan stays: a minority decides nothing, and claims nobody's calls.
+// follow adopts the newest plan of the control group when gossip announces one. Now and then it also asks the
+// leader, because gossip may be cut off where the group is not. If no leader can be reached, the last plan
+// stays in force: a minority decides nothing, and takes over nobody's calls.
 func (p *Placer) follow(ctx context.Context) {
-	have, heard := p.plan.Load().Epoch, p.members.Epoch()
-	now := p.live.Load()
-	ctx, cancel := context.WithTimeout(ctx, now.every)
+	current, announced := p.plan.Load().Epoch, p.members.Epoch()
+	config := p.live.Load()
+	ctx, cancel := context.WithTimeout(ctx, config.every)
 	defer cancel()
-	if heard > have {
-		if epoch, text, err := p.control.Plan(ctx, heard); err == nil {
+	if announced > current {
+		if epoch, text, err := p.control.Plan(ctx, announced); err == nil {
 			p.adopt(epoch, text)
 			return
 		}
 	}
-	if time.Since(time.UnixMicro(p.controlHeardAt.Load())) < now.fresh {
+	if time.Since(time.UnixMicro(p.controlHeardAt.Load())) < config.fresh {
 		return
 	}
 	epoch, text, err := p.control.LeaderPlan(ctx)
 	if err != nil {
-		if have > 0 && !p.silenceLogged {
+		if current > 0 && !p.silenceLogged {
 			p.silenceLogged = true
-			p.log.Warn("zones: the control group is not heard; its last plan stays", "epoch", have, "error", err)
+			p.log.Warn("zones: the control group does not answer; the last plan stays in force", "epoch", current, "error", err)
 		}
 		return
 	}
@@ -283,24 +285,24 @@
 	p.adopt(epoch, text)
 }
 
-// adopt takes a plan of the log if it is newer than the one in force.
+// adopt puts a plan of the log in force if it is newer than the current one.
 func (p *Placer) adopt(epoch uint64, text []byte) {
 	if epoch <= p.plan.Load().Epoch {
 		return
 	}
 	var next failover.Plan
 	if err := json.Unmarshal(text, &next); err != nil || next.Epoch != epoch {
-		p.log.Error("zones: plan passed over", "epoch", epoch, "says", next.Epoch, "error", err)
+		p.log.Error("zones: invalid plan ignored", "epoch", epoch, "says", next.Epoch, "error", err)
 		return
 	}
 	p.apply(next)
-	p.members.AnnounceEpoch(epoch) // who hears it from nobody else hears it from here
+	p.members.AnnounceEpoch(epoch) // agents that receive the epoch from nobody else receive it from this one
 }
 
-// apply puts a plan in force for the calls that come from now on.
+// apply puts a plan in force for new calls.
 func (p *Placer) apply(next failover.Plan) {
-	was := p.plan.Swap(&next)
-	home, before := next.Zones[p.self.Zone], was.Zones[p.self.Zone]
+	previous := p.plan.Swap(&next)
+	home, before := next.Zones[p.self.Zone], previous.Zones[p.self.Zone]
 	p.log.Info("zones: new epoch", "epoch", next.Epoch, "by", next.By, "home", p.self.Zone, "mode", home.Mode,
 		"was", before.Mode, "shares", fmt.Sprint(home.Shares), "took", time.Since(time.UnixMicro(next.AtUs)).Round(time.Millisecond))
 	for _, t := range next.Trades {
@@ -308,9 +310,9 @@
 	}
 }
 
-// ChooseZone is where a call's set-ups may go, and the pools there. A zone whose servers are all dead
-// by this agent's own sight, while home has live ones, is not waited for: home it is, until
-// the next epoch says better.
+// ChooseZone returns the zone to which the set-ups of a call may go, and the pools there. If this agent sees
+// no live server in the planned zone but has some in its home zone, the call stays in the home zone until a
+// later epoch places it elsewhere.
 func (p *Placer) ChooseZone(class, call string) (zone string, pools []int) {
 	seen := *p.zones.Load()
 	zone = p.plan.Load().ChooseZone(p.self.Zone, class, call)
@@ -321,44 +323,44 @@
 	return zone, seen[zone].Pools
 }
 
-// RestrictToZone has a call's route hold to its zone. A zone without a pool that the call may use is
-// passed over for the nearest that has one; where none has, the route stays as it is, for the
-// module to find no server.
+// RestrictToZone restricts a call's route to the pools of its zone. If that zone has no pool that the call
+// may use, the nearest zone that has one is taken. If none has, the route stays as it is, and the module
+// finds no server.
 func (p *Placer) RestrictToZone(r agent.Route, classPools []int, class, call string) agent.Route {
 	if p.self.Zone == "" {
 		return r
 	}
 	zone, pools := p.ChooseZone(class, call)
-	may := func(pool int) bool {
+	allowed := func(pool int) bool {
 		return (r.Pools == nil || slices.Contains(r.Pools, pool)) && (classPools == nil || slices.Contains(classPools, pool))
 	}
 	for _, z := range append([]string{zone}, p.live.Load().topology.Nearest(zone)...) {
 		if z != zone {
 			pools = (*p.zones.Load())[z].Pools
 		}
-		var narrowed []int
+		var restricted []int
 		for _, pool := range pools {
-			if may(pool) {
-				narrowed = append(narrowed, pool)
+			if allowed(pool) {
+				restricted = append(restricted, pool)
 			}
 		}
-		if narrowed != nil {
-			r.Pools = narrowed
+		if restricted != nil {
+			r.Pools = restricted
 			return r
 		}
 	}
 	return r
 }
 
-// CountSetUp counts a set-up that was written whole to a server of a zone.
+// CountSetUp counts a set-up that was written in full to a server of a zone.
 func (p *Placer) CountSetUp(class, zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.setUps[setUpKey{class, zone}]++
 }
 
-// SetUpCounts is the set-ups written whole by class: to servers of this agent's zone, and to those
-// of others.
+// SetUpCounts returns the set-ups written in full, by class: to servers of this agent's zone, and to those of
+// other zones.
 func (p *Placer) SetUpCounts() (home, away map[string]int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -373,10 +375,10 @@
 	return home, away
 }
 
-// Plan is the plan in force. It is not to be changed.
+// Plan returns the plan in force. The caller must not change it.
 func (p *Placer) Plan() failover.Plan { return *p.plan.Load() }
 
-// AliveByZone are the agents thought alive, by zone; nil in local mode.
+// AliveByZone returns the names of the agents considered alive, by zone; nil in mode local.
 func (p *Placer) AliveByZone() map[string][]string {
 	if p.members == nil {
 		return nil
@@ -391,8 +393,8 @@
 	return out
 }
 
-// GossipTraffic is the membership's cost so far: datagrams and streams begun, bytes in datagrams, and
-// messages that could not be read. Zeros in local mode.
+// GossipTraffic returns the cost of the membership so far: datagrams sent plus streams opened, bytes sent in
+// datagrams, and messages that could not be decoded. All are 0 in mode local.
 func (p *Placer) GossipTraffic() (sent, bytes, bad int64) {
 	if p.members == nil {
 		return 0, 0, 0
@@ -400,20 +402,21 @@
 	return p.members.Traffic()
 }
 
-// KeptHome counts calls kept home as the zone planned for them is dead by this agent's sight.
+// KeptHome returns the number of calls kept in the home zone because this agent sees no live server in the
+// planned zone.
 func (p *Placer) KeptHome() int64 { return p.keptHome.Load() }
 
-// checkMost bounds the servers one look dials, checkIdle those at home while no call goes there; checkTime a dial and the server's first word.
+// Bounds of one round of probes.
 const (
-	maxProbes     = 16
-	maxIdleProbes = 2
-	probeTimeout  = 300 * time.Millisecond
+	maxProbes     = 16                     // servers in one round
+	maxIdleProbes = 2                      // servers of the home zone among them, while no call goes there
+	probeTimeout  = 300 * time.Millisecond // for dialing, and again for the first byte from the server
 )
 
-// probeServers dials servers that calls tell nothing of: those seen down, all of zones that are lost,
-// those of zones in which no agent is alive, and a few at home while no call goes there. A server is alive where it speaks: it tells of
-// its group first on every connection.
-func (p *Placer) probeServers(ctx context.Context, zones map[string]agent.ZoneObservation, look uint64) {
+// probeServers probes servers about which this agent's calls reveal nothing: those seen down, all of zones
+// that are lost or in which no agent is alive, and a few of the home zone while no call goes there. A server
+// is alive if it sends a byte: it sends the state of its group first on every connection.
+func (p *Placer) probeServers(ctx context.Context, zones map[string]agent.ZoneObservation, round uint64) {
 	addresses := p.observations.Down()
 	alive, plan := p.AliveByZone(), p.Plan()
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
@@ -422,10 +425,10 @@
 		}
 	}
 	if home := zones[p.self.Zone]; home.Attempts == 0 {
-		addresses = append(addresses, rotatingSubset(home.Addresses, maxIdleProbes, look)...)
+		addresses = append(addresses, rotatingSubset(home.Addresses, maxIdleProbes, round)...)
 	}
 	slices.Sort(addresses)
-	addresses = rotatingSubset(slices.Compact(addresses), maxProbes, look)
+	addresses = rotatingSubset(slices.Compact(addresses), maxProbes, round)
 	var work sync.WaitGroup
 	for _, a := range addresses {
 		work.Go(func() { p.observations.RecordCheck(a, answersProbe(ctx, a)) })
@@ -433,15 +436,17 @@
 	work.Wait()
 }
 
-// rotatingSubset are at most n of a list, others at each look.
-func rotatingSubset(list []string, n int, look uint64) []string {
+// rotatingSubset returns at most n elements of a list, other ones in each round.
+func rotatingSubset(list []string, n int, round uint64) []string {
 	if len(list) <= n {
 		return list
 	}
-	from := int(look) * n % len(list)
+	from := int(round) * n % len(list)
 	return slices.Concat(list[from:], list[:from])[:n]
 }
 
+// answersProbe reports whether a server accepts a connection and sends something on it, each within
+// probeTimeout.
 func answersProbe(ctx context.Context, address string) bool {
 	d := net.Dialer{Timeout: probeTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
--- a/internal/fleet/placer/placer_test.go
+++ b/internal/fleet/placer/placer_test.go
@@ -12,8 +12,9 @@
 	"woodrouter/failover"
 )
 
-// TestRestrictToZone: a call's pools are those of its zone that its class and route allow; a zone dead
-// by the agent's own sight gives way to home; a zone without such a pool to the nearest.
+// TestRestrictToZone: a call may use the pools of its zone that its class and route allow. A zone in which
+// this agent sees no live server gives way to the home zone, a zone without an allowed pool to the nearest
+// that has one.
 func TestRestrictToZone(t *testing.T) {
 	top := failover.Topology{Zones: []failover.Zone{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}, {Name: "c", Region: "s"}}}
 	p, err := New(Config{Mode: "local", Topology: top}, "n1", "a", nil, nil, slog.New(slog.DiscardHandler))
@@ -29,12 +30,12 @@
 		want         []int
 	}{
 		{"home", failover.Plan{}, up, nil, nil, []int{0, 1}},
-		{"home, what class and route allow", failover.Plan{}, up, []int{1, 2}, []int{0, 1}, []int{1}},
+		{"home, restricted by class and route", failover.Plan{}, up, []int{1, 2}, []int{0, 1}, []int{1}},
 		{"evacuated", away, up, nil, nil, []int{2, 3}},
-		{"evacuated to a zone dead by own sight", away, dead, nil, nil, []int{0, 1}},
-		{"none there for the class: the nearest", failover.Plan{}, up, nil, []int{3, 4}, []int{3}},
-		{"none anywhere: the route as it is", failover.Plan{}, up, []int{9}, nil, []int{9}},
-		{"nothing seen yet", failover.Plan{}, nil, nil, nil, nil},
+		{"evacuated to a zone without a live server", away, dead, nil, nil, []int{0, 1}},
+		{"no pool there for the class: the nearest zone", failover.Plan{}, up, nil, []int{3, 4}, []int{3}},
+		{"no pool anywhere: the route is unchanged", failover.Plan{}, up, []int{9}, nil, []int{9}},
+		{"nothing observed yet", failover.Plan{}, nil, nil, nil, nil},
 	}
 	for _, c := range cases {
 		p.plan.Store(&c.plan)
@@ -43,7 +44,7 @@
 	}
 }
 
-// TestLoadConfig: each field at fault is named.
+// TestLoadConfig: an error names each invalid field.
 func TestLoadConfig(t *testing.T) {
 	top := "topology: {zones: [{name: a, region: r}]}\n"
 	cases := map[string]string{
@@ -74,8 +75,8 @@
 	}
 }
 
-// TestReconfigure: a distributed document changes topology, settings and times while the agent runs,
-// and is refused where it names what is an agent's own or would move it.
+// TestReconfigure: a distributed document changes topology, settings and durations while the agent runs. It
+// is refused if it contains fields of the agent's own file, or moves the agent to another zone.
 func TestReconfigure(t *testing.T) {
 	const zones = "topology: {zones: [{name: a, region: r}, {name: b, region: r}, {name: c, region: s}]"
 	own := Config{Mode: "local", Every: "1s", Topology: failover.Topology{Zones: []failover.Zone{{Name: "a", Region: "r"}}}}
@@ -107,5 +108,5 @@
 	}
 	p.plan.Store(&failover.Plan{Zones: map[string]failover.Placement{"a": {Shares: []failover.Share{{Zone: "c", Part: 1}}}}})
 	p.zones.Store(&map[string]agent.ZoneObservation{"a": {Up: 1, Pools: []int{0}}, "c": {Up: 1, Pools: []int{4}}, "b": {Up: 1, Pools: []int{2}}})
-	require.Equal(t, []int{2}, p.RestrictToZone(agent.Route{}, []int{2}, "voice", "1").Pools, "by the zones that it has now")
+	require.Equal(t, []int{2}, p.RestrictToZone(agent.Route{}, []int{2}, "voice", "1").Pools, "the nearest zone by the new topology")
 }
