--- a/internal/fleet/spreader/gossip.go
+++ b/internal/fleet/spreader/gossip.go
@@ -14,9 +14,9 @@
 	"woodrouter/spread"
 )
 
-// gossipTransport is the way of mode common: agents talk, each message one datagram of the membership, and
-// every agent can be the steward and answers whoever takes it for one. Its lock is held for the
-// steward's work on one message alone, and no other is taken meanwhile.
+// gossipTransport is the transport of mode common: the agents exchange messages with one another, each in one
+// datagram of the membership. Every agent can be the steward, and answers any agent that takes it for the
+// steward. mu is held only while the steward handles one message, and no other lock is taken meanwhile.
 type gossipTransport struct {
 	spreader *Spreader
 	members  *members.Members
@@ -26,9 +26,10 @@
 	answered, malformed int64
 }
 
+// newGossipTransport opens the membership.
 func newGossipTransport(s *Spreader, file Config) (*gossipTransport, error) {
 	membership := *file.Members
-	membership.Compress = true // a summary or a view is long, and mostly the same words
+	membership.Compress = true // a summary or a view is long and repetitive
 	list, err := members.Open(membership, members.Member{Name: s.cfg.Name}, s.log)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -44,14 +45,14 @@
 	View    *spread.View    `json:"v,omitempty"`
 }
 
-// maxMessageBytes bounds a message: a view of a thousand servers fits.
+// maxMessageBytes bounds a message. A view of a thousand servers fits.
 const maxMessageBytes = 64 << 10
 
 func (g *gossipTransport) run(ctx context.Context) {
-	var staying sync.WaitGroup
-	defer staying.Wait()
-	defer g.members.Leave()                          // it ends what Stay waits for
-	staying.Go(func() { g.members.StayJoined(ctx) }) // no summary waits for a seed's answer
+	var joined sync.WaitGroup
+	defer joined.Wait()
+	defer g.members.Leave()                         // ends StayJoined
+	joined.Go(func() { g.members.StayJoined(ctx) }) // in a goroutine, so that no summary waits for the answer of a seed
 	<-ctx.Done()
 }
 
@@ -59,11 +60,11 @@
 	alive := g.members.Names()
 	slices.Sort(alive)
 	st.SetAlive(alive)
-	known := st.UpServers(now)
+	servers := st.UpServers(now)
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.steward.SetServers(time.Since(g.spreader.startedAt), known)
+		g.steward.SetServers(time.Since(g.spreader.startedAt), servers)
 	}
 }
 
@@ -73,18 +74,18 @@
 	g.steward.SetPeriod(d)
 }
 
-// sendSummary sends this agent's summary to the steward, which may be itself.
+// sendSummary sends this agent's summary to the steward, which may be the agent itself.
 func (g *gossipTransport) sendSummary(to string, sum spread.Summary) {
 	if to == g.spreader.cfg.Name {
 		g.handleSummary(to, sum)
 		return
 	}
 	if err := g.members.SendMessage(to, gossipMessage{Summary: &sum}); err != nil {
-		g.spreader.log.Debug("summary not sent", "to", to, "error", err)
+		g.spreader.log.Debug("spread: summary not sent", "to", to, "error", err)
 	}
 }
 
-// handleMessage handles one message of another agent. One that can't be used is counted and passed over.
+// handleMessage handles one message of another agent. An invalid one is counted and ignored.
 func (g *gossipTransport) handleMessage(from string, data []byte) {
 	var n gossipMessage
 	err := json.Unmarshal(data, &n)
@@ -106,7 +107,7 @@
 		g.mu.Lock()
 		g.malformed++
 		g.mu.Unlock()
-		g.spreader.log.Warn("message on spreading load passed over", "from", from, "error", err)
+		g.spreader.log.Warn("spread: invalid message ignored", "from", from, "error", err)
 	}
 }
 
@@ -124,7 +125,7 @@
 		g.spreader.applyView(v)
 	default:
 		if err := g.members.SendMessage(from, gossipMessage{View: &v}); err != nil {
-			g.spreader.log.Debug("view not sent", "to", from, "error", err)
+			g.spreader.log.Debug("spread: view not sent", "to", from, "error", err)
 		}
 	}
 }
--- a/internal/fleet/spreader/machines.go
+++ b/internal/fleet/spreader/machines.go
@@ -16,40 +16,41 @@
 	"woodrouter/spread"
 )
 
-// controlTransport is the way of mode control: the stewards are on the control machines, and each period's
-// summary is a question to the one that the state names, with the view as its answer. Each machine
-// has a goroutine of its own, at most one question out and at most one summary that waits, so that
-// a machine that is slow or gone holds up neither the others nor the core.
+// controlTransport is the transport of mode control: the stewards run on the control machines. Each summary
+// is a request to the machine that the state names, and the view is its answer. Each machine has a goroutine
+// with at most one request in progress and at most one pending summary, so that a slow or lost machine delays
+// neither the other machines nor the core.
 type controlTransport struct {
 	spreader   *Spreader
 	machines   map[string]*controlMachine
 	bytes      rpcconn.Traffic
 	sent       atomic.Int64 // summaries
-	unanswered atomic.Int64 // of those, not answered
-	invalid    atomic.Int64 // answered with what can't be
+	unanswered atomic.Int64 // summaries without a valid answer
+	invalid    atomic.Int64 // answers with an invalid view
 
 	mu          sync.Mutex
 	seq         uint64 // of the latest summary
-	lastSteward string // whom it went to
+	lastSteward string // to which it was sent
 }
 
-// controlMachine is one control machine as this agent talks to it. All but next is its goroutine's.
+// controlMachine is the connection to one control machine. All fields but pending belong to its goroutine.
 type controlMachine struct {
 	watcher.Machine
-	pending  chan spread.Summary // holds the latest summary for it, if that has not gone out
-	conn     *rpcconn.Conn       // nil: none
-	failures int                 // in a row
+	pending  chan spread.Summary // holds the latest summary for the machine until it is sent
+	conn     *rpcconn.Conn       // nil if not connected
+	failures int                 // consecutive
 }
 
-// Bounds of the talk with one machine.
+// Limits of the exchange with one machine.
 const (
-	viewTimeoutPeriods = 3                // a view that is not there after so many is not waited for: the state has named the next machine
-	minViewTimeout     = time.Second      // but at least so long, also where the period is short
-	idleTimeout        = 10 * time.Second // a connection that no summary went out on for so long is closed
-	maxRetryDelay      = 2 * time.Second  // before a machine that failed is asked again
-	maxViewBytes       = 512 << 10        // bytes of an answer: a view of 2,000 servers
+	viewTimeoutPeriods = 3                // periods to wait for a view; by then the state has named the next machine
+	minViewTimeout     = time.Second      // but at least this, also with a short period
+	idleTimeout        = 10 * time.Second // a connection that carried no summary for this long is closed
+	maxRetryDelay      = 2 * time.Second  // before a failed machine is asked again
+	maxViewBytes       = 512 << 10        // of an answer: a view of 2,000 servers fits
 )
 
+// newControlTransport returns the transport to the machines in the file. It does not connect.
 func newControlTransport(s *Spreader, file Config) *controlTransport {
 	w := &controlTransport{spreader: s, machines: map[string]*controlMachine{}}
 	for _, m := range file.Machines {
@@ -59,10 +60,10 @@
 }
 
 func (w *controlTransport) run(ctx context.Context) {
-	var talks sync.WaitGroup
-	defer talks.Wait()
+	var work sync.WaitGroup
+	defer work.Wait()
 	for _, m := range w.machines {
-		talks.Go(func() { w.serveMachine(ctx, m) })
+		work.Go(func() { w.serveMachine(ctx, m) })
 	}
 }
 
@@ -70,36 +71,36 @@
 
 func (w *controlTransport) setPeriod(time.Duration) {}
 
-// sendSummary has a machine asked with this summary, in place of any that waits.
+// sendSummary makes the goroutine of a machine send this summary, in place of any that is pending.
 func (w *controlTransport) sendSummary(to string, sum spread.Summary) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if sum.From.Seq <= w.seq { // overtaken on its way here
+	if sum.From.Seq <= w.seq { // a later summary has been here already
 		return
 	}
 	w.seq, w.lastSteward = sum.From.Seq, to
 	for id, m := range w.machines {
 		select {
-		case <-m.pending: // an older one, perhaps for a machine that is steward no more
+		case <-m.pending: // an older summary, possibly for a machine that is no longer the steward
 		default:
 		}
 		if id == to {
-			m.pending <- sum // there is room: nobody else puts any in
+			m.pending <- sum // does not block: only this method sends, and it has just emptied the channel
 		}
 	}
 }
 
-// serveMachine asks one machine with each summary that is for it, until ctx ends.
+// serveMachine sends one machine the summaries meant for it, until ctx ends.
 func (w *controlTransport) serveMachine(ctx context.Context, m *controlMachine) {
 	defer m.disconnect()
-	quiet := time.NewTimer(idleTimeout)
-	defer quiet.Stop()
+	idle := time.NewTimer(idleTimeout)
+	defer idle.Stop()
 	for {
-		quiet.Reset(idleTimeout)
+		idle.Reset(idleTimeout)
 		select {
 		case <-ctx.Done():
 			return
-		case <-quiet.C:
+		case <-idle.C:
 			m.disconnect()
 		case sum := <-m.pending:
 			w.sent.Add(1)
@@ -107,42 +108,43 @@
 				w.handleFailure(ctx, m, err)
 			} else if m.failures > 0 {
 				m.failures = 0
-				w.spreader.log.Info("steward's machine answers again", "machine", m.ID)
+				w.spreader.log.Info("spread: the steward's machine answers again", "machine", m.ID)
 			}
 		}
 	}
 }
 
-// requestView puts one summary, and follows the view that answers it.
+// requestView sends one summary, and applies the view in the answer.
 func (w *controlTransport) requestView(ctx context.Context, m *controlMachine, sum spread.Summary) error {
-	within := max(viewTimeoutPeriods*time.Duration(w.spreader.period.Load()), minViewTimeout)
-	ends := time.Now().Add(within)
+	timeout := max(viewTimeoutPeriods*time.Duration(w.spreader.period.Load()), minViewTimeout)
+	deadline := time.Now().Add(timeout)
 	if m.conn == nil {
-		dial, cancel := context.WithDeadline(ctx, ends)
+		dialCtx, cancel := context.WithDeadline(ctx, deadline)
 		defer cancel()
-		line, err := rpcconn.Dial(dial, w.spreader.source, m.Client, maxViewBytes, &w.bytes)
+		conn, err := rpcconn.Dial(dialCtx, w.spreader.source, m.Client, maxViewBytes, &w.bytes)
 		if err != nil {
 			return err
 		}
-		m.conn = line
+		m.conn = conn
 	}
-	line := m.conn
-	stop := context.AfterFunc(ctx, func() { line.Close() })
+	conn := m.conn
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	var r stewards.TellReply
-	if err := line.Call(stewards.Method, &stewards.TellArgs{Service: w.spreader.service, Summary: sum}, &r, time.Until(ends)); err != nil {
+	var reply stewards.TellReply
+	if err := conn.Call(stewards.Method, &stewards.TellArgs{Service: w.spreader.service, Summary: sum}, &reply, time.Until(deadline)); err != nil {
 		return err
 	}
-	if err := checkView(m.ID, sum, r.View); err != nil {
+	if err := checkView(m.ID, sum, reply.View); err != nil {
 		return err
 	}
-	w.spreader.applyView(r.View)
+	w.spreader.applyView(reply.View)
 	return nil
 }
 
-// errInvalidView is a view that the machine asked can't have given in answer.
-var errInvalidView = errors.New("no view in answer")
+// errInvalidView is returned for a view that cannot be the machine's answer to the summary.
+var errInvalidView = errors.New("invalid view")
 
+// checkView returns an error if a view is invalid, or is not the answer of machine to sum.
 func checkView(machine string, sum spread.Summary, v spread.View) error {
 	if err := v.Valid(); err != nil {
 		return fmt.Errorf("%w: %w", errInvalidView, err)
@@ -151,13 +153,14 @@
 		return fmt.Errorf("%w: from %.40q", errInvalidView, v.From.Name)
 	}
 	if v.Echo != sum.From {
-		return fmt.Errorf("%w: to summary %d of life %d of %.40q, asked with %d of life %d", errInvalidView, v.Echo.Seq, v.Echo.Life, v.Echo.Name, sum.From.Seq, sum.From.Life)
+		return fmt.Errorf("%w: in answer to summary %d of life %d of %.40q, sent was %d of life %d", errInvalidView, v.Echo.Seq, v.Echo.Life, v.Echo.Name, sum.From.Seq, sum.From.Life)
 	}
 	return nil
 }
 
-// handleFailure ends the connection, but for a machine's own refusal, and waits, drawn evenly, before the
-// machine is asked again: agents are not to come back in step to one that starts.
+// handleFailure closes the connection, unless the machine itself answered with an error. It then waits for a
+// random time before the machine is asked again, so that agents do not all return at once to a machine that
+// starts.
 func (w *controlTransport) handleFailure(ctx context.Context, m *controlMachine, err error) {
 	if ctx.Err() != nil {
 		return
@@ -165,23 +168,24 @@
 	w.unanswered.Add(1)
 	if errors.Is(err, errInvalidView) || errors.Is(err, rpcconn.ErrTooLarge) || errors.Is(err, rpcconn.ErrSequence) {
 		w.invalid.Add(1)
-		w.spreader.log.Warn("view passed over; its connection ends", "machine", m.ID, "error", err)
+		w.spreader.log.Warn("spread: invalid view ignored; connection closed", "machine", m.ID, "error", err)
 	} else if m.failures == 0 {
-		w.spreader.log.Warn("steward's machine does not answer", "machine", m.ID, "error", err)
+		w.spreader.log.Warn("spread: the steward's machine does not answer", "machine", m.ID, "error", err)
 	}
-	if refusal := (rpcconn.ServerError{}); !errors.As(err, &refusal) {
+	if answered := (rpcconn.ServerError{}); !errors.As(err, &answered) {
 		m.disconnect()
 	}
-	most := min(time.Duration(w.spreader.period.Load())<<min(m.failures, 8), maxRetryDelay)
+	maxDelay := min(time.Duration(w.spreader.period.Load())<<min(m.failures, 8), maxRetryDelay)
 	m.failures++
-	pause := time.NewTimer(time.Duration(rand.Int64N(int64(most) + 1)))
-	defer pause.Stop()
+	delay := time.NewTimer(time.Duration(rand.Int64N(int64(maxDelay) + 1)))
+	defer delay.Stop()
 	select {
-	case <-pause.C:
+	case <-delay.C:
 	case <-ctx.Done():
 	}
 }
 
+// disconnect closes the connection, if there is one.
 func (m *controlMachine) disconnect() {
 	if m.conn != nil {
 		m.conn.Close()
--- a/internal/fleet/spreader/machines_test.go
+++ b/internal/fleet/spreader/machines_test.go
@@ -22,10 +22,10 @@
 	"woodrouter/spread"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout bounds each wait of a test.
 const testTimeout = 15 * time.Second
 
-// liveCore is a core whose time runs.
+// liveCore is a core on the real clock.
 type liveCore struct {
 	mu    sync.Mutex
 	began time.Time
@@ -47,20 +47,19 @@
 	return on
 }
 
-// fakeMachine is a control machine as an agent sees it: its stewards are the real ones, and a test may
-// change what it answers.
+// fakeMachine is a control machine with real stewards, whose answers a test may change.
 type fakeMachine struct {
 	t          *testing.T
 	id         string
 	address    string
 	ln         net.Listener
-	requests   atomic.Int64 // questions that have come,
-	unanswered atomic.Int64 // and those not answered yet
+	requests   atomic.Int64 // received
+	unanswered atomic.Int64 // received and not answered yet
 
 	mu     sync.Mutex
 	real   *stewards.Stewards
-	answer func(stewards.TellArgs, *stewards.TellReply) error // nil: as its stewards do
-	raw    func(net.Conn)                                     // nil: it speaks net/rpc
+	answer func(stewards.TellArgs, *stewards.TellReply) error // called after the stewards, to change their answer or return an error; may be nil
+	raw    func(net.Conn)                                     // serves the connections instead of net/rpc, if set
 	conns  map[net.Conn]bool
 	work   sync.WaitGroup
 }
@@ -76,7 +75,7 @@
 	if *r, err = real.HandleSummary(args); err != nil {
 		return err
 	}
-	r.View.Dues = []spread.Due{{Server: "s1", Share: 1}} // at once: the stewards tell shares once they have learned rates
+	r.View.Dues = []spread.Due{{Server: "s1", Share: 1}} // the real stewards include shares only after they have learned rates
 	if answer != nil {
 		err = answer(args, r)
 	}
@@ -95,7 +94,7 @@
 	s.raw = raw
 }
 
-// start starts a life of the machine.
+// start starts the machine with new stewards.
 func (s *fakeMachine) start() {
 	ln, err := net.Listen("tcp", s.address)
 	require.NoError(s.t, err)
@@ -127,7 +126,7 @@
 	})
 }
 
-// stop ends the machine's life.
+// stop closes the listener and all connections.
 func (s *fakeMachine) stop() {
 	s.ln.Close()
 	s.mu.Lock()
@@ -137,9 +136,10 @@
 	s.mu.Unlock()
 }
 
+// testPeriod is the time between two summaries.
 const testPeriod = minPeriod
 
-// fixture is an agent in mode control with machines to talk to.
+// fixture is an agent in mode control with three control machines.
 type fixture struct {
 	*Spreader
 	core     *liveCore
@@ -147,6 +147,7 @@
 	stop     func()
 }
 
+// newFixture starts the machines and the agent, and waits until the agent follows a view.
 func newFixture(t *testing.T) *fixture {
 	k := &fixture{core: &liveCore{began: time.Now()}, machines: map[string]*fakeMachine{}}
 	file := Config{Mode: modeControl, Service: "lessons", Period: testPeriod.String()}
@@ -172,7 +173,7 @@
 		select {
 		case <-done:
 		case <-time.After(testTimeout):
-			t.Error("no stop")
+			t.Error("Run has not returned")
 		}
 	})
 	t.Cleanup(func() {
@@ -183,7 +184,7 @@
 			s.work.Wait()
 		}
 	})
-	k.eventually(t, "it follows", k.core.follows)
+	k.eventually(t, "the agent follows a view", k.core.follows)
 	return k
 }
 
@@ -192,23 +193,25 @@
 	require.Eventually(t, ok, testTimeout, 5*time.Millisecond, what)
 }
 
-// steward is the machine whose view the agent follows.
+// steward returns the machine whose view the agent follows.
 func (k *fixture) steward() *fakeMachine {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machines[k.status.view.From.Name]
 }
 
-// awaitOtherSteward waits until another machine's view is followed.
+// awaitOtherSteward waits until the agent follows the view of a machine other than from, and returns that
+// machine.
 func (k *fixture) awaitOtherSteward(t *testing.T, from *fakeMachine) *fakeMachine {
 	t.Helper()
-	k.eventually(t, "another machine is steward", func() bool { return k.steward() != from && k.core.follows() })
+	k.eventually(t, "the agent follows another machine", func() bool { return k.steward() != from && k.core.follows() })
 	return k.steward()
 }
 
-// TestControlTransport: an agent tells the machine that its state names and no other; one that holds its
-// answers is left for the next without anything piling up, one that starts again is learned anew;
-// without any the agent is alone, and follows again once they are back.
+// TestControlTransport: an agent sends summaries only to the machine that its state names. If that machine
+// does not answer, the agent goes on to the next without requests or goroutines piling up. A machine that
+// restarts is accepted with its new life. Without any machine the agent spreads its load alone, and follows
+// again once the machines are back.
 func TestControlTransport(t *testing.T) {
 	k := newFixture(t)
 	first := k.steward()
@@ -217,35 +220,35 @@
 			assert.Zero(t, s.requests.Load(), id)
 		}
 	}
-	k.eventually(t, "the console says so", func() bool {
+	k.eventually(t, "the console names the machine", func() bool {
 		return strings.HasPrefix(k.Status(), "in common true, by control machines, now "+first.id+" at "+first.address+", steward "+first.id+",")
 	})
 
-	hold, before := make(chan struct{}), runtime.NumGoroutine()
+	hold, goroutines := make(chan struct{}), runtime.NumGoroutine()
 	first.setAnswer(func(stewards.TellArgs, *stewards.TellReply) error { <-hold; return nil })
-	asked, began := first.requests.Load(), time.Now()
+	requests, began := first.requests.Load(), time.Now()
 	second := k.awaitOtherSteward(t, first)
 	assert.Less(t, time.Since(began), 2*testTimeout/3)
 	time.Sleep(5 * testPeriod)
-	assert.LessOrEqual(t, first.requests.Load()-asked, int64(3), "questions to a machine that holds its answers")
-	assert.LessOrEqual(t, runtime.NumGoroutine(), before+12, "goroutines")
+	assert.LessOrEqual(t, first.requests.Load()-requests, int64(3), "requests to a machine that does not answer")
+	assert.LessOrEqual(t, runtime.NumGoroutine(), goroutines+12, "goroutines")
 	first.setAnswer(nil)
 	close(hold)
 
 	second.stop()
 	second.start()
 	third := k.awaitOtherSteward(t, second)
-	k.eventually(t, "it follows on", k.core.follows)
+	k.eventually(t, "the agent keeps following a view", k.core.follows)
 	third.stop()
 	k.awaitOtherSteward(t, third)
 	for _, s := range k.machines {
 		s.stop()
 	}
-	k.eventually(t, "it goes on alone", func() bool { return !k.core.follows() })
+	k.eventually(t, "the agent spreads its load alone", func() bool { return !k.core.follows() })
 	for _, s := range k.machines {
 		s.start()
 	}
-	k.eventually(t, "it follows again", k.core.follows)
+	k.eventually(t, "the agent follows a view again", k.core.follows)
 	sum := k.Traffic()
 	assert.Positive(t, sum.Sent)
 	assert.Positive(t, sum.Bytes)
@@ -254,8 +257,9 @@
 	assert.Zero(t, sum.Bad)
 }
 
-// TestControlTransportInvalidViews: a view that can't be an answer to the summary is passed over and ends its
-// connection, and the agent goes on with the next machine; nothing of it was followed.
+// TestControlTransportInvalidViews: a view that cannot be an answer to the summary is ignored and ends its
+// connection, and the agent goes on with the next machine. Without these checks a faulty or replayed answer
+// would change the shares.
 func TestControlTransportInvalidViews(t *testing.T) {
 	for what, change := range map[string]func(args stewards.TellArgs, r *stewards.TellReply) error{
 		"an earlier life":    func(_ stewards.TellArgs, r *stewards.TellReply) error { r.View.Echo.Life--; return nil },
@@ -264,7 +268,7 @@
 		"another machine":    func(_ stewards.TellArgs, r *stewards.TellReply) error { r.View.From.Name = "c9"; return nil },
 		"an impossible hold": func(_ stewards.TellArgs, r *stewards.TellReply) error { r.View.Hold = 2; return nil },
 		"nothing":            func(_ stewards.TellArgs, r *stewards.TellReply) error { *r = stewards.TellReply{}; return nil },
-		"too much": func(_ stewards.TellArgs, r *stewards.TellReply) error {
+		"too large": func(_ stewards.TellArgs, r *stewards.TellReply) error {
 			r.View.Dues = []spread.Due{{Server: strings.Repeat("x", maxViewBytes)}}
 			return nil
 		},
@@ -280,7 +284,7 @@
 	}
 }
 
-// TestControlTransportNotRPC: what is no net/rpc ends that connection alone.
+// TestControlTransportNotRPC: an answer that is not net/rpc ends only that connection.
 func TestControlTransportNotRPC(t *testing.T) {
 	k := newFixture(t)
 	first := k.steward()
@@ -295,30 +299,30 @@
 	assert.True(t, k.core.follows())
 }
 
-// TestControlTransportStop: a stop in the middle of a question waits for no answer.
+// TestControlTransportStop: a stop during a request does not wait for the answer.
 func TestControlTransportStop(t *testing.T) {
 	k := newFixture(t)
 	first, hold := k.steward(), make(chan struct{})
 	defer close(hold)
 	first.setAnswer(func(stewards.TellArgs, *stewards.TellReply) error { <-hold; return nil })
-	k.eventually(t, "a question is out", func() bool { return first.unanswered.Load() > 0 })
+	k.eventually(t, "a request is unanswered", func() bool { return first.unanswered.Load() > 0 })
 	began := time.Now()
 	k.stop()
 	assert.Less(t, time.Since(began), minViewTimeout/2)
 }
 
-// TestControlTransportSendsLatest: of the summaries that come while a machine is asked the latest alone is sent,
-// and one for a machine that is steward no more is not sent at all.
+// TestControlTransportSendsLatest: of the summaries that arrive during a request only the latest is sent, and
+// none for a machine that is no longer the steward. Otherwise summaries would pile up for a slow machine.
 func TestControlTransportSendsLatest(t *testing.T) {
 	w := newControlTransport(&Spreader{}, Config{Machines: []watcher.Machine{{ID: "c1"}, {ID: "c2"}}})
 	sum := func(seq uint64) spread.Summary { return spread.Summary{From: spread.Stamp{Name: "a", Seq: seq}} }
 	w.sendSummary("c1", sum(1))
 	w.sendSummary("c1", sum(3))
-	w.sendSummary("c1", sum(2)) // overtaken
+	w.sendSummary("c1", sum(2)) // arrives late
 	assert.EqualValues(t, 3, (<-w.machines["c1"].pending).From.Seq)
 	w.sendSummary("c1", sum(4))
 	w.sendSummary("c2", sum(5))
-	w.sendSummary("c9", sum(6)) // a machine that the file does not have
+	w.sendSummary("c9", sum(6)) // not in the file
 	assert.Empty(t, w.machines["c1"].pending)
 	assert.Empty(t, w.machines["c2"].pending)
 }
--- a/internal/fleet/spreader/spreader.go
+++ b/internal/fleet/spreader/spreader.go
@@ -1,8 +1,8 @@
-// Package spreader carries the messages by which agents spread their load in common (package
-// spread decides, docs/spread.md): a summary a period from each agent to the steward, and the
-// steward's view back. What is lost is made good by the next. They travel in one of two ways: among
-// the agents, of which one is the steward (gossip), or to the control machines, which have the
-// stewards of all services (machines).
+// Package spreader carries the messages by which agents spread their load in common (package spread decides,
+// docs/spread.md): each period a summary from each agent to the steward, and the steward's view in answer. A
+// lost message is not repeated: the next one replaces it. There are two transports: among the agents, one of
+// which is the steward (gossipTransport), and to the control machines, which run the stewards of all services
+// (controlTransport).
 package spreader
 
 import (
@@ -28,34 +28,35 @@
 	"woodrouter/spread"
 )
 
-// Config is the operators' file.
+// Config is the operators' file for spreading load.
 type Config struct {
-	Mode    string          `yaml:"mode"`              // common: agents talk; control: they talk to control machines
-	Period  string          `yaml:"period,omitempty"`  // between two summaries; 500ms
-	Members *members.Config `yaml:"members,omitempty"` // mode common's
+	Mode    string          `yaml:"mode"`              // common: the agents exchange messages; control: each agent exchanges them with control machines
+	Period  string          `yaml:"period,omitempty"`  // between two summaries; "": 500ms
+	Members *members.Config `yaml:"members,omitempty"` // for mode common
 
-	Service  string            `yaml:"service,omitempty"`  // mode control's: those of one service spread their load together
-	Machines []watcher.Machine `yaml:"machines,omitempty"` // mode control's, as in the file of WOODROUTER_ROLLOUT
+	Service  string            `yaml:"service,omitempty"`  // for mode control: the agents of one service spread their load together
+	Machines []watcher.Machine `yaml:"machines,omitempty"` // for mode control: as in the file of WOODROUTER_ROLLOUT
 
-	Source net.Addr `yaml:"-"` // machines are called from here; nil: the system's choice
+	Source net.Addr `yaml:"-"` // local address of connections to machines; nil: chosen by the system
 }
 
-// The modes of a file.
+// The modes of Config.
 const (
 	modeCommon  = "common"
 	modeControl = "control"
 )
 
-// LoadConfig reads the file and proves it.
+// LoadConfig reads and validates the file.
 func LoadConfig(path string) (Config, error) { return yamlfile.Load[Config](path) }
 
-// The bounds of the period: shorter costs more than it tells, longer is older than a queue lasts.
+// The bounds of the period. With a shorter one the messages cost more than they are worth; with a longer one
+// a view is older than a queue lasts.
 const (
 	minPeriod = 100 * time.Millisecond
 	maxPeriod = 5 * time.Second
 )
 
-// Valid names the fields that can't be used.
+// Valid returns an error that names every invalid field.
 func (c Config) Valid() error {
 	refused := c.checkOtherModeFields()
 	switch c.Mode {
@@ -77,7 +78,7 @@
 	return errors.Join(append(refused, err)...)
 }
 
-// checkOtherModeFields names the fields that are another mode's.
+// checkOtherModeFields returns an error for each field that belongs to another mode.
 func (c Config) checkOtherModeFields() (refused []error) {
 	if c.Mode != modeCommon && c.Members != nil {
 		refused = append(refused, errors.New("field members: mode common's alone"))
@@ -91,7 +92,8 @@
 	return refused
 }
 
-// FieldsNeedingRestart names the fields that differ in another file and hold from the agent's next start.
+// FieldsNeedingRestart returns the names of the fields that differ in another file and take effect only at
+// the agent's next start.
 func (c Config) FieldsNeedingRestart(next Config) (names []string) {
 	for _, f := range []struct {
 		name string
@@ -105,8 +107,9 @@
 	return names
 }
 
-// Distributed is an agent's own file with a distributed document's period in its place. The rest is an
-// agent's own: a document that names another mode, or any other field, is refused. name is only for messages.
+// Distributed returns the agent's own file with the period of a distributed document. It refuses a document
+// with another mode or any other field: these come from the agent's own file. name is used in error messages
+// only.
 func (c Config) Distributed(name string, text []byte) (Config, error) {
 	d, err := yamlfile.Parse[Config](name, text)
 	if err != nil {
@@ -127,6 +130,7 @@
 	return c, nil
 }
 
+// parsePeriod returns the period; 0 if the file has none.
 func (c Config) parsePeriod() (time.Duration, error) {
 	if c.Period == "" {
 		return 0, nil
@@ -138,9 +142,9 @@
 	return d, nil
 }
 
-// SpreadConfig words the file for package spread; life tells this process from earlier ones.
+// SpreadConfig converts the file for package spread. life distinguishes this process from earlier ones.
 func (c Config) SpreadConfig(name string, life time.Time) spread.Config {
-	period, _ := c.parsePeriod() // proved when it was loaded
+	period, _ := c.parsePeriod() // validated when the file was loaded
 	out := spread.Config{Name: name, Life: life.UnixNano(), Period: period, Service: c.Service}
 	for _, m := range c.Machines {
 		out.Stewards = append(out.Stewards, m.ID)
@@ -148,34 +152,35 @@
 	return out
 }
 
-// Core runs something with the module's part on the core's goroutine, and follows views;
-// *agent.Agent is one.
+// Core calls a function with the spreading state on the core's goroutine, and applies views; *agent.Agent
+// implements it.
 type Core interface {
 	WithSpread(do func(now policy.Time, s *spread.State))
 	ApplyView(v spread.View)
 }
 
-// transport is how the messages of spreading travel. Its methods but run may be called at any time.
+// transport carries the messages. Its methods other than run may be called at any time.
 type transport interface {
-	// run does what the way needs until ctx ends, and leaves nothing behind.
+	// run does the background work of the transport until ctx ends, and then closes it.
 	run(ctx context.Context)
-	// syncState tells the state, on the core's goroutine, what the way knows of the others, and takes
-	// from it what the way needs; the rest of that is done by the function returned, elsewhere.
+	// syncState is called on the core's goroutine. It passes to the state what the transport knows of the
+	// other agents, and takes from it what the transport needs. The returned function does the rest of the
+	// work, on another goroutine.
 	syncState(now policy.Time, st *spread.State) func()
-	// sendSummary sends a summary to a steward. The view that answers it goes to the spreader's follow.
+	// sendSummary sends a summary to a steward. The view in answer is passed to Spreader.applyView.
 	sendSummary(to string, sum spread.Summary)
 	setPeriod(d time.Duration)
 	describe() (by, counts string)
 	traffic() Traffic
 }
 
-// Spreader is an agent's part.
+// Spreader is an agent's part in spreading the load.
 type Spreader struct {
-	cfg       spread.Config // its period is the one at the start
+	cfg       spread.Config // its Period is the one at the start
 	service   string
 	source    net.Addr
-	period    atomic.Int64  // between two summaries now
-	changed   chan struct{} // it was replaced
+	period    atomic.Int64  // current time between two summaries, ns
+	changed   chan struct{} // holds one item after period was replaced
 	core      Core
 	transport transport
 	log       *slog.Logger
@@ -185,16 +190,16 @@
 	status status
 }
 
-// status are what operators see.
+// status is what the console shows.
 type status struct {
-	steward        string // whom the latest summary is for
+	steward        string // to which the latest summary was sent
 	follows        bool
 	view           spread.View
 	viewAt         time.Time
 	sent, received int64
 }
 
-// Open takes part in the membership or, in mode control, in nothing yet: machines are called by Run.
+// Open opens the membership in mode common. In mode control it connects to nothing: Run does.
 func Open(file Config, cfg spread.Config, core Core, log *slog.Logger) (*Spreader, error) {
 	s := &Spreader{cfg: cfg, service: file.Service, source: file.Source, changed: make(chan struct{}, 1), core: core, log: log, startedAt: time.Now()}
 	s.period.Store(int64(cmp.Or(cfg.Period, spread.DefaultPeriod)))
@@ -210,11 +215,11 @@
 	return s, nil
 }
 
-// Run sends a summary each period until ctx ends, then leaves the others.
+// Run sends a summary each period until ctx ends, and then closes the transport.
 func (s *Spreader) Run(ctx context.Context) {
-	var carrying sync.WaitGroup
-	defer carrying.Wait()
-	carrying.Go(func() { s.transport.run(ctx) })
+	var background sync.WaitGroup
+	defer background.Wait()
+	background.Go(func() { s.transport.run(ctx) })
 	tick := time.NewTicker(time.Duration(s.period.Load()))
 	defer tick.Stop()
 	for {
@@ -229,8 +234,8 @@
 	}
 }
 
-// Reconfigure has the spreader go on by another file's period. The rest of it holds from the agent's
-// next start. A file that can't be used changes nothing.
+// Reconfigure replaces the period with that of another file. Its other fields take effect at the agent's next
+// start. An invalid file changes nothing.
 func (s *Spreader) Reconfigure(file Config) error {
 	period, err := file.parsePeriod()
 	if err != nil {
@@ -242,24 +247,25 @@
 	s.transport.setPeriod(period)
 	select {
 	case s.changed <- struct{}{}:
-	default: // Run is to look anyway
+	default: // Run has been notified already
 	}
 	return nil
 }
 
-// startSummary has the core word this agent's summary, for the steward that its state names.
+// startSummary lets the core build this agent's summary for the steward that its state names.
 func (s *Spreader) startSummary() {
 	s.core.WithSpread(func(now policy.Time, st *spread.State) {
-		looked := s.transport.syncState(now, st)
+		syncTransport := s.transport.syncState(now, st)
 		st.ExpireView(now)
 		to := st.CurrentSteward(now)
 		sum, follows := st.BuildSummary(now, to), st.FollowsView(now)
-		go s.finishSummary(to, sum, follows, looked) // the core does not wait for the network
+		go s.finishSummary(to, sum, follows, syncTransport) // the core does not wait for the network
 	})
 }
 
-func (s *Spreader) finishSummary(to string, sum spread.Summary, follows bool, looked func()) {
-	looked()
+// finishSummary does the rest of the transport's syncState, and sends the summary.
+func (s *Spreader) finishSummary(to string, sum spread.Summary, follows bool, syncTransport func()) {
+	syncTransport()
 	s.mu.Lock()
 	if s.status.steward != to || s.status.follows != follows {
 		s.log.Info("spreading load", "in_common", follows, "steward", to)
@@ -270,6 +276,7 @@
 	s.transport.sendSummary(to, sum)
 }
 
+// applyView passes a view to the core.
 func (s *Spreader) applyView(v spread.View) {
 	s.mu.Lock()
 	s.status.view, s.status.viewAt = v, time.Now()
@@ -278,7 +285,7 @@
 	s.core.ApplyView(v)
 }
 
-// Status words the state for the console.
+// Status returns the state in words, for the console.
 func (s *Spreader) Status() string {
 	by, counts := s.transport.describe()
 	s.mu.Lock()
@@ -295,14 +302,14 @@
 	return b.String()
 }
 
-// Traffic is what this agent has sent and heard for spreading since its start.
+// Traffic is what an agent has sent and received for spreading since its start.
 type Traffic struct {
 	Sent       int64 // datagrams of the membership, or summaries to control machines
-	Bytes      int64 // that it sent,
-	Received   int64 // and, in mode control, that it received
-	Unanswered int64 // mode control: summaries without a view in answer
-	Bad        int64 // messages, or answers, that can't be used
+	Bytes      int64 // sent
+	Received   int64 // bytes received; mode control only
+	Unanswered int64 // summaries without a valid view in answer; mode control only
+	Bad        int64 // invalid messages or answers
 }
 
-// Traffic is what has been sent and heard so far.
+// Traffic returns what has been sent and received so far.
 func (s *Spreader) Traffic() Traffic { return s.transport.traffic() }
--- a/internal/fleet/spreader/spreader_test.go
+++ b/internal/fleet/spreader/spreader_test.go
@@ -21,7 +21,7 @@
 	"woodrouter/spread"
 )
 
-// TestConfig: a field that can't be used is named, and nothing is taken.
+// TestConfig: an error names each invalid field.
 func TestConfig(t *testing.T) {
 	const members = "members: {bind: 127.0.0.1:7801, seeds: ['127.0.0.1:7802']}\n"
 	const control = "service: a\nmachines: [{id: c1, client: '127.0.0.1:1', region: r1, zone: z1}]\n"
@@ -55,13 +55,14 @@
 	}
 }
 
+// core is a core whose clock stands at one second.
 type core struct{ state *spread.State }
 
 func (c core) WithSpread(do func(policy.Time, *spread.State)) { do(time.Second, c.state) }
 func (c core) ApplyView(v spread.View)                        { c.state.HandleView(time.Second, v) }
 
-// TestMalformedMessages: junk, oversized, impossible and replayed messages are counted and passed over, and
-// what is known stays.
+// TestMalformedMessages: malformed, oversized, impossible and replayed messages are counted or ignored, and
+// the steward keeps what it knows.
 func TestMalformedMessages(t *testing.T) {
 	cfg := spread.Config{Name: "a", Life: 1, Senders: 2}
 	s, err := Open(Config{Mode: "common", Members: &members.Config{Bind: "127.0.0.1:0"}}, cfg, core{spread.New(cfg)}, slog.New(slog.DiscardHandler))
@@ -84,13 +85,14 @@
 	assert.EqualValues(t, 1, g.answered)
 }
 
-// callSignal is a core that hands over nothing, and notes when it is asked to.
+// callSignal is a core that calls nothing back, and signals each call of WithSpread.
 type callSignal chan struct{}
 
 func (c callSignal) WithSpread(func(policy.Time, *spread.State)) { c <- struct{}{} }
 func (callSignal) ApplyView(spread.View)                         {}
 
-// TestSilentSeed: a seed that takes connections and never answers holds up no summary, and no stop.
+// TestSilentSeed: a seed that accepts connections and never answers delays neither summaries nor the stop.
+// Joining waits for the answer, and so runs in a goroutine of its own.
 func TestSilentSeed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -108,12 +110,12 @@
 	asked, err := ln.Accept()
 	require.NoError(t, err)
 	defer asked.Close()
-	late := time.After(5 * time.Second) // half of what it waits for an answer
+	late := time.After(5 * time.Second) // half the time for which an answer is awaited
 	for range 3 {
 		select {
 		case <-c:
 		case <-late:
-			t.Fatal("no summary while a seed is silent")
+			t.Fatal("no summary while a seed does not answer")
 		}
 	}
 	cancel()
@@ -123,12 +125,12 @@
 		case <-done:
 			ended = true
 		case <-late:
-			t.Fatal("no stop while a seed is silent")
+			t.Fatal("no stop while a seed does not answer")
 		}
 	}
 }
 
-// TestCompressed: a summary of a service's 27 servers goes in less than two thirds of its length.
+// TestCompressed: a summary of a service's 27 servers is sent in less than two thirds of its length.
 func TestCompressed(t *testing.T) {
 	octet, err := faultnet.TakeOctet()
 	require.NoError(t, err)
@@ -158,8 +160,8 @@
 	assert.Less(t, after-before, int64(len(text)*2/3))
 }
 
-// TestReconfigure: a distributed document changes the period alone; the sender's part, the steward's
-// and the pace of summaries follow it.
+// TestReconfigure: a distributed document changes the period and nothing else. The state, the steward and the
+// rate of summaries follow it.
 func TestReconfigure(t *testing.T) {
 	own := Config{Mode: "common", Members: &members.Config{Bind: "127.0.0.1:0"}}
 	cfg := spread.Config{Name: "a", Life: 1, Senders: 1}
@@ -188,11 +190,11 @@
 		assert.EqualValues(t, 200*time.Millisecond, s.period.Load())
 	}
 	require.NoError(t, s.Reconfigure(own))
-	assert.Equal(t, spread.DefaultPeriod, c.state.BuildSummary(time.Second, "a").Period, "the own file again")
+	assert.Equal(t, spread.DefaultPeriod, c.state.BuildSummary(time.Second, "a").Period, "back to the agent's own file")
 }
 
-// TestFieldsNeedingRestart: a file or document that changes more than the period is refused, or left to the next
-// start, with the fields named.
+// TestFieldsNeedingRestart: a document that changes more than the period is refused, and in a changed file
+// the fields that need a restart are named.
 func TestFieldsNeedingRestart(t *testing.T) {
 	own, err := LoadConfig("../../../deploy/spread-control.yaml")
 	require.NoError(t, err)
