--- a/internal/fleet/stewards/stewards.go
+++ b/internal/fleet/stewards/stewards.go
@@ -1,7 +1,7 @@
-// Package stewards keeps the stewards of many services in one process: a control machine's part in
-// spreading the load of agents that don't talk to one another (package spread decides,
-// docs/spread.md). Nothing of it is in any log or on disk; a machine needs no quorum for it, and
-// one that starts anew learns all from the next summaries.
+// Package stewards runs the stewards of many services in one process: a control machine's part in spreading
+// the load of agents that do not communicate with one another (package spread decides, docs/spread.md). No
+// log and no disk is involved, so a machine needs no quorum for it. A machine that restarts learns everything
+// from the next summaries.
 package stewards
 
 import (
@@ -17,7 +17,8 @@
 	"woodrouter/spread"
 )
 
-// Method is the net/rpc method by which an agent tells a steward, with TellArgs and TellReply.
+// Method is the net/rpc method by which an agent sends a summary to a steward. It takes TellArgs and returns
+// TellReply.
 const Method = "Spread.Tell"
 
 // TellArgs is an agent's summary for the steward of its service.
@@ -26,55 +27,56 @@
 	Summary spread.Summary
 }
 
-// TellReply is the steward's view.
+// TellReply is the steward's view, in answer to a summary.
 type TellReply struct{ View spread.View }
 
-// Bounds of what is kept for agents.
+// Limits on the state kept for agents.
 const (
 	MaxServices  = 512              // stewards in one process
-	MaxSenders   = 4000             // agents heard within heardFor, of all services
+	MaxSenders   = 4000             // agents of all services that sent a summary within senderTTL
 	MaxNameBytes = 256              // bytes of a service's name
-	MaxServers   = 2000             // in one summary: 1,460 are planned with
-	MaxPeriod    = 5 * time.Second  // of an agent, as its operators' file may have it
-	senderTTL    = 30 * time.Second // above what a steward keeps a silent sender for at MostPeriod
+	MaxServers   = 2000             // in one summary; installations are planned for up to 1,460
+	MaxPeriod    = 5 * time.Second  // of an agent; the largest that its operators' file may set
+	senderTTL    = 30 * time.Second // longer than a steward keeps a silent sender at MaxPeriod
 )
 
-// What a summary is refused for.
+// Errors for which a summary is refused. Their texts are sent to the agents.
 var (
-	ErrInvalid = errors.New("spread: summary") // with the field at fault
+	ErrInvalid = errors.New("spread: summary") // followed by the invalid field
 	ErrStale   = errors.New("spread: older than a summary heard before")
 	ErrFull    = errors.New("spread: too many services or agents at this machine")
 )
 
-// Stewards are those of one process, by service. They are safe for concurrent use.
+// Stewards holds the stewards of one process, by service. It is safe for concurrent use.
 type Stewards struct {
 	name      string
 	log       *slog.Logger
 	startedAt time.Time
 
 	mu       sync.Mutex
-	nextLife int64 // of the next steward: one made again for a service is not to be taken for the former
+	nextLife int64 // of the next steward; each gets its own, so that a new steward of a service is not taken for the former one
 	services map[string]*service
-	senders  map[sender]time.Time // when each was heard last
+	senders  map[sender]time.Time // when each sent its latest summary
 	prunedAt time.Time
 }
 
+// sender is an agent of a service.
 type sender struct{ service, name string }
 
-// service is one steward with its lock: services don't wait for one another.
+// service is one steward with a lock of its own, so that services do not wait for one another.
 type service struct {
 	mu       sync.Mutex
 	steward  *spread.Steward
 	answered int64 // summaries answered
 }
 
-// New keeps none yet. name is the machine's, as agents' files have it; life tells this process
-// from earlier ones, later ones having larger lives.
+// New returns an empty set of stewards. name is the machine's ID, as in the agents' files. life distinguishes
+// this process from earlier ones, and must be larger than theirs.
 func New(name string, life int64, log *slog.Logger) *Stewards {
 	return &Stewards{name: name, nextLife: life, log: log, startedAt: time.Now(), services: map[string]*service{}, senders: map[sender]time.Time{}}
 }
 
-// Valid names the first field of a message that no agent would send; nil: there is none.
+// Valid returns an error that names the first invalid field; nil if there is none.
 func (a TellArgs) Valid() error {
 	if a.Service == "" || len(a.Service) > MaxNameBytes {
 		return fmt.Errorf("%w: field service: empty or over %d bytes", ErrInvalid, MaxNameBytes)
@@ -91,8 +93,8 @@
 	return nil
 }
 
-// HandleSummary has the steward of a service hear a summary, and answers with its view. The first summary of
-// a service makes its steward. An error wraps ErrSummary, ErrOld or ErrFull.
+// HandleSummary passes a summary to the steward of its service, and returns the steward's view. The first
+// summary of a service creates its steward. An error wraps ErrInvalid, ErrStale or ErrFull.
 func (s *Stewards) HandleSummary(args TellArgs) (TellReply, error) {
 	if err := args.Valid(); err != nil {
 		return TellReply{}, err
@@ -111,12 +113,12 @@
 	return TellReply{view}, nil
 }
 
-// serviceFor is a service's steward, for a sender that is noted as heard.
+// serviceFor returns the steward of a service, and records that a sender of it has sent a summary.
 func (s *Stewards) serviceFor(name, from string) (*service, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, who := time.Now(), sender{name, from}
-	if _, known := s.senders[who]; !known && len(s.senders) >= MaxSenders && !s.prune(now) {
+	now, key := time.Now(), sender{name, from}
+	if _, known := s.senders[key]; !known && len(s.senders) >= MaxSenders && !s.prune(now) {
 		return nil, ErrFull
 	}
 	v := s.services[name]
@@ -127,28 +129,28 @@
 		v = &service{steward: spread.NewRemoteSteward(spread.Config{Name: s.name, Life: s.nextLife})}
 		s.nextLife++
 		s.services[name] = v
-		s.log.Info("steward of a service from now on", "service", name)
+		s.log.Info("spread: steward of a service created", "service", name)
 	}
-	s.senders[who] = now
+	s.senders[key] = now
 	return v, nil
 }
 
-// prune forgets senders that were not heard for heardFor, once a second at most, and tells whether
-// there is room then. The lock is held.
+// prune removes senders that have sent nothing for senderTTL, at most once a second, and reports whether
+// there is room for another. The caller holds the lock.
 func (s *Stewards) prune(now time.Time) bool {
 	if now.Sub(s.prunedAt) > time.Second {
 		s.prunedAt = now
-		for who, at := range s.senders {
+		for key, at := range s.senders {
 			if now.Sub(at) > senderTTL {
-				delete(s.senders, who)
+				delete(s.senders, key)
 			}
 		}
 	}
 	return len(s.senders) < MaxSenders
 }
 
-// RemoveIdle forgets the stewards that nobody tells any more, and the senders that are gone. A machine
-// calls it every few seconds.
+// RemoveIdle removes the stewards that receive no summaries any more, and the senders that are gone. A
+// machine calls it every few seconds.
 func (s *Stewards) RemoveIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,12 +161,12 @@
 		v.mu.Unlock()
 		if idle {
 			delete(s.services, name)
-			s.log.Info("steward of a service no more", "service", name)
+			s.log.Info("spread: idle steward of a service removed", "service", name)
 		}
 	}
 }
 
-// Status words each service's steward in a line, by name; "" where there is none.
+// Status returns a line for each service's steward, sorted by name, for the console; "" if there is none.
 func (s *Stewards) Status() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/stewards/stewards_test.go
+++ b/internal/fleet/stewards/stewards_test.go
@@ -11,13 +11,15 @@
 	"woodrouter/spread"
 )
 
+// tellArgs returns the arguments for summary seq of an agent, with one server.
 func tellArgs(service, name string, seq uint64) TellArgs {
 	return TellArgs{Service: service, Summary: spread.Summary{From: spread.Stamp{Name: name, Life: 1, Seq: seq}, Senders: 1,
 		Counts: []spread.Count{{Server: service + "-1"}}}}
 }
 
-// TestIdleStewardRemoved: a service whose agents are gone has no steward after a while; its next one has
-// another life, as loans are counted by the numbers of a life's views.
+// TestIdleStewardRemoved: the steward of a service whose agents are gone is removed after a while, and the
+// next one gets another life. Agents account loans by the numbers of the views of one life, so a reused life
+// would mix up the loans of two stewards.
 func TestIdleStewardRemoved(t *testing.T) {
 	s := New("c1", 100, slog.New(slog.DiscardHandler))
 	first, err := s.HandleSummary(tellArgs("a", "x", 1))
@@ -26,7 +28,7 @@
 	require.NoError(t, err)
 	require.NotEqual(t, first.View.From.Life, other.View.From.Life)
 	require.Equal(t, "b-1", other.View.Dues[0].Server)
-	require.Len(t, other.View.Dues, 1, "services never mix")
+	require.Len(t, other.View.Dues, 1, "services are separate")
 	s.RemoveIdle()
 	require.Contains(t, s.Status(), "steward of a: 1 of 1 agents heard")
 	s.startedAt = s.startedAt.Add(-time.Minute)
@@ -42,8 +44,8 @@
 	require.ErrorIs(t, err, ErrStale)
 }
 
-// TestLimits: services and agents over the bounds are refused, those that are known are served on,
-// and places of agents that are gone are free again.
+// TestLimits: services and agents above the limits are refused while known ones are still served, and the
+// places of agents that are gone become free again.
 func TestLimits(t *testing.T) {
 	s := New("c1", 1, slog.New(slog.DiscardHandler))
 	for i := range MaxServices {
@@ -60,8 +62,8 @@
 	require.ErrorIs(t, err, ErrFull)
 	_, err = s.HandleSummary(tellArgs("s0", "x", 2))
 	require.NoError(t, err)
-	for who := range s.senders {
-		s.senders[who] = time.Now().Add(-2 * senderTTL)
+	for key := range s.senders {
+		s.senders[key] = time.Now().Add(-2 * senderTTL)
 	}
 	s.prunedAt = time.Time{}
 	_, err = s.HandleSummary(tellArgs("s0", "late", 1))
--- a/internal/fleet/watcher/config.go
+++ b/internal/fleet/watcher/config.go
@@ -12,32 +12,32 @@
 	"woodrouter/internal/yamlfile"
 )
 
-// Config is an operators' file, as deploy/rollout.yaml.
+// Config is the operators' file, such as deploy/rollout.yaml.
 type Config struct {
-	Service  string    `yaml:"service"` // of this agent, as scopes name it; "": none
-	Zone     string    `yaml:"zone"`    // "": the one that the platform's settings name
+	Service  string    `yaml:"service"` // of this agent, as in scopes; "": none
+	Zone     string    `yaml:"zone"`    // "": the zone in the platform's settings
 	Region   string    `yaml:"region"`
-	Data     string    `yaml:"data"` // directory of the last known good; "", which no file may have: kept in memory alone
+	Data     string    `yaml:"data"` // directory of the last known good; required in a file; "": kept in memory only
 	Machines []Machine `yaml:"machines"`
-	Patience string    `yaml:"patience"` // of one watch; "": 2s
-	Grace    string    `yaml:"grace"`    // an answer later than patience and this moves the agent to another machine; "": 750ms
+	Patience string    `yaml:"patience"` // maximum duration of one watch; "": 2s
+	Grace    string    `yaml:"grace"`    // an answer later than patience plus this makes the agent try another machine; "": 750ms
 
-	Source net.Addr `yaml:"-"` // machines are called from here; nil: the system's choice
-	Life   int64    `yaml:"-"` // when the process started, Unix us; 0: when Open was called
+	Source net.Addr `yaml:"-"` // local address of connections to machines; nil: chosen by the system
+	Life   int64    `yaml:"-"` // when the process started, Unix µs; 0: when Open is called
 }
 
 // Machine is a control machine.
 type Machine struct {
 	ID     string `yaml:"id"`
-	Client string `yaml:"client"` // host:port of its net/rpc
+	Client string `yaml:"client"` // host:port of its net/rpc service
 	Region string `yaml:"region"`
 	Zone   string `yaml:"zone"`
 }
 
-// LoadConfig reads and proves a file. An error names the file, and the line or the field.
+// LoadConfig reads and validates a file. An error names the file, and the line or the field.
 func LoadConfig(path string) (Config, error) { return yamlfile.Load[Config](path) }
 
-// Valid names each field that can't be used.
+// Valid returns an error that names each invalid field.
 func (c Config) Valid() error {
 	var refused []error
 	if c.Data == "" {
@@ -47,7 +47,7 @@
 	return errors.Join(append(refused, err)...)
 }
 
-// The bounds of a watch's patience and grace.
+// Bounds of patience and grace.
 const (
 	minPatience = 100 * time.Millisecond
 	maxPatience = time.Minute
@@ -55,32 +55,32 @@
 	maxGrace    = 10 * time.Second
 )
 
-// timing are a file's times, ready for use.
+// timing holds the durations of a file.
 type timing struct{ patience, grace time.Duration }
 
-// parseTiming reads the times and names each field that can't be used, but for data.
+// parseTiming returns the durations, or an error that names each invalid field except data.
 func (c Config) parseTiming() (timing, error) {
 	s := timing{2 * time.Second, 750 * time.Millisecond}
 	refused := CheckMachines(c.Machines)
 	for _, f := range []struct {
-		name, text  string
-		least, most time.Duration
-		to          *time.Duration
+		name, text       string
+		minimum, maximum time.Duration
+		target           *time.Duration
 	}{{"patience", c.Patience, minPatience, maxPatience, &s.patience}, {"grace", c.Grace, minGrace, maxGrace, &s.grace}} {
 		if f.text == "" {
 			continue
 		}
 		d, err := time.ParseDuration(f.text)
-		if err != nil || d < f.least || d > f.most {
-			refused = append(refused, fmt.Errorf("field %s: %q is no duration from %v to %v", f.name, f.text, f.least, f.most))
+		if err != nil || d < f.minimum || d > f.maximum {
+			refused = append(refused, fmt.Errorf("field %s: %q is no duration from %v to %v", f.name, f.text, f.minimum, f.maximum))
 			continue
 		}
-		*f.to = d
+		*f.target = d
 	}
 	return s, errors.Join(refused...)
 }
 
-// CheckMachines names each field of a list of control machines that can't be used.
+// CheckMachines returns an error for each invalid field of a list of control machines.
 func CheckMachines(machines []Machine) (refused []error) {
 	if len(machines) == 0 {
 		refused = append(refused, errors.New("field machines: empty"))
@@ -98,11 +98,11 @@
 	return refused
 }
 
-// rankMachines is the machines in an agent's order: those of its region before the others, and among
-// those by rendezvous hashing (Thaler and Ravishankar 1998), so that agents spread evenly over
-// the machines, and the agents of one that is lost spread evenly over the rest.
+// rankMachines returns the machines in the order in which an agent tries them: those of its region first, and
+// within each part by rendezvous hashing (Thaler and Ravishankar 1998). So the agents are distributed evenly
+// over the machines, and the agents of a lost machine evenly over the others.
 func rankMachines(machines []Machine, agent, region string) []Machine {
-	abroad := func(m Machine) int {
+	otherRegion := func(m Machine) int {
 		if m.Region == region {
 			return 0
 		}
@@ -110,18 +110,19 @@
 	}
 	out := slices.Clone(machines)
 	slices.SortFunc(out, func(a, b Machine) int {
-		return cmp.Or(cmp.Compare(abroad(a), abroad(b)), cmp.Compare(rendezvousWeight(agent, b.ID), rendezvousWeight(agent, a.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(otherRegion(a), otherRegion(b)), cmp.Compare(rendezvousWeight(agent, b.ID), rendezvousWeight(agent, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	return out
 }
 
+// rendezvousWeight returns the weight of a machine for an agent.
 func rendezvousWeight(agent, machine string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(agent))
 	h.Write([]byte{0})
 	h.Write([]byte(machine))
 	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64's finalizer, as in package shard: FNV alone is uneven
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64's finalizer, as in package shard: FNV alone distributes unevenly
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
--- a/internal/fleet/watcher/disk.go
+++ b/internal/fleet/watcher/disk.go
@@ -10,40 +10,40 @@
 	"woodrouter/rollout"
 )
 
-// lastKnownGoodFile is the file of the last known good in the data directory.
+// lastKnownGoodFile is the name of the file with the last known good, in the data directory.
 const lastKnownGoodFile = "held"
 
-// loadLastKnownGood reads the last known good. A file that can't be used is named in the log and moved
-// aside; it costs a fetch, never the start.
+// loadLastKnownGood reads the last known good. An unusable file is logged and moved aside; the documents are
+// then fetched again, and the agent starts all the same.
 func (w *Watcher) loadLastKnownGood() *rollout.DocumentSet {
-	none := rollout.NewDocumentSet(w.agent)
+	empty := rollout.NewDocumentSet(w.agent)
 	if w.cfg.Data == "" {
-		return none
+		return empty
 	}
 	path := filepath.Join(w.cfg.Data, lastKnownGoodFile)
 	data, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		w.log.Info("rollout: nothing kept from an earlier run", "file", path)
-		return none
+		w.log.Info("rollout: no last known good from an earlier run", "file", path)
+		return empty
 	case err != nil:
-		w.log.Error("rollout: the last known good can't be read; it is fetched", "file", path, "error", err)
-		return none
+		w.log.Error("rollout: cannot read the last known good; fetching the documents", "file", path, "error", err)
+		return empty
 	}
-	held, err := rollout.DecodeDocumentSet(w.agent, data)
+	documents, err := rollout.DecodeDocumentSet(w.agent, data)
 	if err == nil {
-		return held
+		return documents
 	}
 	aside := path + ".torn-" + time.Now().UTC().Format("20060102T150405.000")
-	w.log.Error("rollout: the last known good is torn or another's; moved aside and fetched", "file", path, "aside", aside, "error", err)
+	w.log.Error("rollout: the last known good is corrupt or another agent's; moved aside, fetching the documents", "file", path, "aside", aside, "error", err)
 	if err := os.Rename(path, aside); err != nil {
-		w.log.Warn("rollout: torn file not moved aside", "file", path, "error", err)
+		w.log.Warn("rollout: cannot move the unusable file aside", "file", path, "error", err)
 	}
-	return none
+	return empty
 }
 
-// writeFileAtomically puts data in a file such that after a crash at any moment there is the former
-// content or this, and after its return this.
+// writeFileAtomically writes a file so that after a crash at any moment it has either the former content or
+// this, and after the return this.
 func writeFileAtomically(path string, data []byte) error {
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/fleet/watcher/joint_test.go
+++ b/internal/fleet/watcher/joint_test.go
@@ -16,9 +16,9 @@
 	"woodrouter/rollout"
 )
 
-// TestWithControl: agents and a real control machine. A change reaches all by its stages; one that
-// a loader refuses is halted, and the former text comes back under a number of its own; agents
-// serve on while the machine is away, and have its next change within 9 s of its return.
+// TestWithControl: agents with a real control machine. A change reaches all agents by stages. One that a
+// loader refuses is halted, and the former text returns under a new revision. Agents keep working while the
+// machine is away, and receive its next change within 9 s of its return.
 func TestWithControl(t *testing.T) {
 	host, err := faultnet.NewHost() // its ports stay free while the machine is away
 	require.NoError(t, err)
@@ -38,46 +38,46 @@
 	defer operator.Close()
 	var agents []*fixture
 	for i := range 3 {
-		s := &fixture{t: t, cfg: Config{Patience: "500ms", Data: filepath.Join(t.TempDir(), "data"), Machines: []Machine{{ID: "c1", Client: client}}}, loader: &fakeLoader{force: map[string]string{}}}
+		s := &fixture{t: t, cfg: Config{Patience: "500ms", Data: filepath.Join(t.TempDir(), "data"), Machines: []Machine{{ID: "c1", Client: client}}}, loader: &fakeLoader{inForce: map[string]string{}}}
 		var err error
 		s.w, err = Open(s.cfg, rollout.Agent{Name: fmt.Sprint("n", i), Zone: "z1"}, []string{"routes"}, s.loader, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		agents = append(agents, s.run())
 	}
-	put := func(base uint64, text string) (number uint64) {
+	put := func(base uint64, text string) (revision uint64) {
 		n, err := rollout.ParseName("routes@zone/z1")
 		require.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		require.NoError(t, quorum.Retry(ctx, func() (err error) {
-			number, err = operator.Put(ctx, rollout.Entry{Op: rollout.OpPut, Author: "ann", Name: n, Base: base, Text: []byte(text)})
+			revision, err = operator.Put(ctx, rollout.Entry{Op: rollout.OpPut, Author: "ann", Name: n, Base: base, Text: []byte(text)})
 			return err
 		}))
-		return number
+		return revision
 	}
-	all := func(text string, above uint64, within time.Duration) (least uint64) {
+	awaitAll := func(text string, above uint64, timeout time.Duration) (lowest uint64) {
 		t.Helper()
 		require.Eventually(t, func() bool {
-			least = 1 << 60
+			lowest = 1 << 60
 			for _, s := range agents {
-				force := s.w.InForce()["routes"]
-				if s.loader.applied("routes") != text || force <= above {
+				inForce := s.w.InForce()["routes"]
+				if s.loader.applied("routes") != text || inForce <= above {
 					return false
 				}
-				least = min(least, force)
+				lowest = min(lowest, inForce)
 			}
 			return true
-		}, within, 5*time.Millisecond, text)
-		return least
+		}, timeout, 5*time.Millisecond, text)
+		return lowest
 	}
-	for _, s := range agents { // heard, so that there is a first stage
+	for _, s := range agents { // the machine must know the agents to choose a first stage
 		require.Eventually(t, func() bool { return s.w.counts.watches.Load() > 1 }, testTimeout, time.Millisecond)
 	}
 	first := put(0, "good")
-	all("good", first-1, testTimeout)
+	awaitAll("good", first-1, testTimeout)
 	bad := put(first, "bad")
 	var restored uint64
-	require.Eventually(t, func() bool { // under the halt's number, wherever it had come to
+	require.Eventually(t, func() bool { // the former text has a new revision at an agent that received the bad one
 		for _, s := range agents {
 			if v := s.w.status.Load(); v.known["routes@zone/z1"] > bad {
 				restored = v.known["routes@zone/z1"]
@@ -85,9 +85,9 @@
 		}
 		return restored != 0
 	}, testTimeout, 5*time.Millisecond)
-	all("good", first-1, testTimeout)
+	awaitAll("good", first-1, testTimeout)
 	node.Close()
 	node = open()
 	later := put(restored, "later")
-	all("later", later-1, 9*time.Second)
+	awaitAll("later", later-1, 9*time.Second)
 }
--- a/internal/fleet/watcher/say.go
+++ b/internal/fleet/watcher/status.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// InForce is the revision in force of each kind; 0: the agent's own file, or none.
+// InForce returns the revision in force of each kind; 0 if the agent's own file, or none, is in force.
 func (w *Watcher) InForce() map[string]uint64 { return maps.Clone(w.status.Load().inForce) }
 
-// Traffic is the bytes on the wire so far.
+// Traffic returns the bytes sent and received so far.
 func (w *Watcher) Traffic() (sent, received int64) {
 	return w.traffic.Sent.Load(), w.traffic.Received.Load()
 }
 
-// Status words how things stand, for the console.
+// Status returns the state in words, for the console.
 func (w *Watcher) Status() string {
 	v := w.status.Load()
 	var b strings.Builder
@@ -42,16 +42,16 @@
 	return b.String()
 }
 
-// WriteStats are the lines of STATS.
+// WriteStats passes each figure of STATS to line.
 func (w *Watcher) WriteStats(line func(kind string, n int64, name string)) {
 	v := w.status.Load()
 	for _, kind := range w.kinds {
 		line("g", int64(v.inForce[kind]), "rollout_revision."+kind)
 	}
-	flag := map[bool]int64{true: 1}
+	asNumber := map[bool]int64{true: 1}
 	line("g", int64(v.version), "rollout_version")
-	line("g", flag[v.unsaved], "rollout_unsaved")
-	line("g", flag[v.lagging], "rollout_lagging")
+	line("g", asNumber[v.unsaved], "rollout_unsaved")
+	line("g", asNumber[v.lagging], "rollout_lagging")
 	age := int64(-1) // never
 	if !v.lastAnswer.IsZero() {
 		age = time.Since(v.lastAnswer).Milliseconds()
@@ -60,7 +60,7 @@
 	line("c", w.counts.watches.Load(), "rollout_watches")
 	line("c", w.counts.moves.Load(), "rollout_moves")
 	line("c", w.counts.refused.Load(), "rollout_refused")
-	line("c", w.counts.forged.Load(), "rollout_forged")
+	line("c", w.counts.invalid.Load(), "rollout_forged")
 	line("c", w.counts.behind.Load(), "rollout_behind")
 	sent, received := w.Traffic()
 	line("c", sent, "rollout_sent")
--- a/internal/fleet/watcher/watcher.go
+++ b/internal/fleet/watcher/watcher.go
@@ -1,7 +1,7 @@
-// Package watcher is a call agent's side of the distribution of configuration: it watches one
-// control machine, has the agent's loaders judge what comes, keeps the last known good on disk,
-// and moves to another machine when that one is late, gone, behind, or tells what can't be. It
-// decides nothing about stages and scopes: package rollout does. docs/rollout.md.
+// Package watcher is a call agent's side of the distribution of configuration. It watches one control
+// machine, has the agent's loader check and apply what arrives, keeps the last known good on disk, and moves
+// on to another machine if that one is late, gone or behind, or sends an invalid answer. It does not decide
+// on stages and scopes: package rollout does. See docs/rollout.md.
 package watcher
 
 import (
@@ -22,45 +22,46 @@
 	"woodrouter/rollout"
 )
 
-// Loader is what takes documents in an agent, by their kinds. Its methods are called one at a
-// time, from Open and from Run.
+// Loader checks and applies documents in an agent, by kind. Its methods are called one at a time, by Open and
+// Run.
 type Loader interface {
-	// Check proves a text as the agent would at its start, and changes nothing.
+	// Check validates a text as the agent does at its start, and changes nothing.
 	Check(kind string, text []byte) error
-	// Apply puts a document in force for what comes from now on; ok false: none is distributed
-	// any more, and the agent's own file holds again.
+	// Apply puts a document in force from now on. If ok is false no document is distributed any more, and the
+	// agent's own file is in force again.
 	Apply(kind string, d rollout.Document, ok bool) error
-	// Calls are those ended since the process started, and those of them that failed.
+	// Calls returns the calls that have ended since the process started, and how many of them failed.
 	Calls() (ended, failed uint64)
 }
 
-// What ends a watch beside the network's errors.
+// Reasons to leave a machine, besides network errors.
 var (
-	errBehind        = errors.New("the machine knows less than this agent holds")
-	errLagging       = errors.New("the machine hears no leader")
-	errReturnToFirst = errors.New("its turn with this machine is over")
+	errBehind        = errors.New("the machine has an older version than this agent")
+	errLagging       = errors.New("the machine has no leader")
+	errReturnToFirst = errors.New("time to return to the first choice")
 )
 
-// Pauses between two tries. They are drawn evenly from nothing up to their most (full jitter), so
-// that a fleet does not come back in step; all machines are tried within a few seconds.
+// Delays are drawn evenly between 0 and their maximum (full jitter), so that a fleet does not return all at
+// once. All machines are tried within a few seconds.
 const (
-	initialRetryDelay  = 300 * time.Millisecond // before the next machine; before a round of them it doubles each time
+	initialRetryDelay  = 300 * time.Millisecond // before the next machine; doubled before each further round over all machines
 	maxRetryDelay      = 2 * time.Second
-	firstWatchPatience = 100 * time.Millisecond // the first watch's patience on a connection: a machine that is silent shows soon
-	minWatchInterval   = 100 * time.Millisecond // between two watches that brought nothing and were not waited for
-	laggingStay        = 3 * time.Second        // with a machine that lags where all do, and up to as much again
-	minTimeAway        = 20 * time.Second       // from the first choice, and up to as much again
-	saveRetryDelay     = 3 * time.Second        // after a save that failed, and up to as much again
+	firstWatchPatience = 100 * time.Millisecond // of the first watch on a connection: a silent machine is noticed soon
+	minWatchInterval   = 100 * time.Millisecond // between two watches if the answer came at once and brought nothing
+	laggingStay        = 3 * time.Second        // with a lagging machine if all lag, plus up to as much again
+	minTimeAway        = 20 * time.Second       // from the first choice, plus up to as much again
+	saveRetryDelay     = 3 * time.Second        // after a failed save, plus up to as much again
 )
 
-// maxAnswerBytes bounds what a machine may send for one watch: an agent's documents of a few kinds,
-// one of each scope, at their largest.
+// maxAnswerBytes bounds a machine's answer to one watch: an agent's documents of a few kinds, one of each
+// scope, at their largest size.
 const maxAnswerBytes = 6 << 20
 
-// minWatchPatience is the shortest patience asked with.
+// minWatchPatience is the shortest patience sent in a watch.
 const minWatchPatience = 50 * time.Millisecond
 
-// Watcher is an agent's client. One goroutine, Run's, owns all but view and counts.
+// Watcher is an agent's client of the control machines. All fields but status and counts belong to the
+// goroutine of Run.
 type Watcher struct {
 	cfg       Config
 	timing    timing
@@ -68,31 +69,31 @@
 	kinds     []string
 	loader    Loader
 	log       *slog.Logger
-	machines  []Machine // the first choice first
+	machines  []Machine // in the order in which they are tried
 	writeFile func(path string, data []byte) error
 
 	documents   *rollout.DocumentSet
-	inForce     map[string]uint64 // by kind, as the loader last took it
+	inForce     map[string]uint64 // revisions by kind, as the loader last applied them
 	seq         uint64
-	saved       map[string]uint64 // what was accepted, as it stands on disk
-	saveRetryAt time.Time         // a save that failed is tried again then; zero: all is saved
+	saved       map[string]uint64 // accepted revisions as stored on disk
+	saveRetryAt time.Time         // when to retry a failed save; zero if everything is saved
 
-	current      int // the machine watched, in order
-	tried        int // machines tried since the last good answer
-	laggingUntil time.Time
-	returnAt     time.Time
-	lastAnswer   time.Time // the last good answer
+	current      int       // index of the watched machine
+	tried        int       // machines tried since the last good answer
+	laggingUntil time.Time // until then the agent stays with a lagging machine
+	returnAt     time.Time // from then on the agent returns to its first choice
+	lastAnswer   time.Time // time of the last good answer
 	lagging      bool
 	connected    bool
 
 	status  atomic.Pointer[status]
 	traffic rpcconn.Traffic
-	counts  struct{ watches, moves, forged, behind, refused atomic.Int64 }
+	counts  struct{ watches, moves, invalid, behind, refused atomic.Int64 }
 }
 
-// status is what others may see of the watcher. It is replaced, never changed.
+// status is the state as other goroutines see it. It is replaced, never modified.
 type status struct {
-	machine         string // "": none just now
+	machine         string // "" if not connected
 	lastAnswer      time.Time
 	version         uint64
 	lagging         bool
@@ -103,8 +104,8 @@
 	refused         []rollout.Refusal
 }
 
-// Open reads the last known good from the disk and has the loader take it, before anything is
-// asked of a machine. Only a configuration that can't be used is an error.
+// Open reads the last known good from disk and has the loader apply it, before any machine is asked. It
+// returns an error only for an invalid configuration.
 func Open(cfg Config, agent rollout.Agent, kinds []string, l Loader, log *slog.Logger) (*Watcher, error) {
 	s, err := cfg.parseTiming()
 	if err != nil {
@@ -140,16 +141,16 @@
 	}
 }
 
-// advance goes to the next machine.
+// advance goes on to the next machine.
 func (w *Watcher) advance(err error) {
 	m := w.machines[w.current]
 	switch {
 	case w.connected:
-		w.log.Warn("rollout: machine left", "machine", m.ID, "error", err)
+		w.log.Warn("rollout: leaving machine", "machine", m.ID, "error", err)
 	case w.tried+1 == len(w.machines):
-		w.log.Warn("rollout: no machine answers; serving on with what is held", "last", m.ID, "error", err)
+		w.log.Warn("rollout: no machine answers; continuing with the documents held", "last", m.ID, "error", err)
 	default:
-		w.log.Debug("rollout: machine passed", "machine", m.ID, "error", err)
+		w.log.Debug("rollout: machine skipped", "machine", m.ID, "error", err)
 	}
 	w.connected = false
 	w.counts.moves.Add(1)
@@ -157,18 +158,19 @@
 	w.tried++
 }
 
-// retryDelay is how long to wait before the machine at hand is tried.
+// retryDelay returns how long to wait before the current machine is tried.
 func (w *Watcher) retryDelay() time.Duration {
-	most := initialRetryDelay
+	maxDelay := initialRetryDelay
 	if w.tried > 0 && w.tried%len(w.machines) == 0 {
-		most = min(initialRetryDelay<<min(w.tried/len(w.machines)-1, 8), maxRetryDelay)
+		maxDelay = min(initialRetryDelay<<min(w.tried/len(w.machines)-1, 8), maxRetryDelay)
 	}
-	return randomUpTo(most)
+	return randomUpTo(maxDelay)
 }
 
+// randomUpTo returns a random duration from 0 to d.
 func randomUpTo(d time.Duration) time.Duration { return time.Duration(rand.Int64N(int64(d) + 1)) }
 
-// sleep waits, or less if the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -178,35 +180,35 @@
 	}
 }
 
-// watchMachine watches one machine until there is a reason to leave it.
+// watchMachine watches the current machine until there is a reason to leave it.
 func (w *Watcher) watchMachine(ctx context.Context) error {
-	l, err := rpcconn.Dial(ctx, w.cfg.Source, w.machines[w.current].Client, maxAnswerBytes, &w.traffic)
+	conn, err := rpcconn.Dial(ctx, w.cfg.Source, w.machines[w.current].Client, maxAnswerBytes, &w.traffic)
 	if err != nil {
 		return err
 	}
-	defer l.Close()
-	stop := context.AfterFunc(ctx, func() { l.Close() })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	w.returnAt = time.Now().Add(minTimeAway + randomUpTo(minTimeAway))
 	for patience, first := firstWatchPatience, true; ; first = false {
 		began := time.Now()
 		w.counts.watches.Add(1)
-		var r rollout.WatchReply
-		if err := l.Call("Rollout.Watch", w.watchArgs(patience), &r, patience+w.timing.grace); err != nil {
+		var reply rollout.WatchReply
+		if err := conn.Call("Rollout.Watch", w.watchArgs(patience), &reply, patience+w.timing.grace); err != nil {
 			if errors.Is(err, rpcconn.ErrTooLarge) || errors.Is(err, rpcconn.ErrSequence) {
-				w.counts.forged.Add(1)
-				w.log.Error("rollout: answer not taken; its watch ends", "machine", w.machines[w.current].ID, "error", err)
+				w.counts.invalid.Add(1)
+				w.log.Error("rollout: invalid answer ignored; leaving machine", "machine", w.machines[w.current].ID, "error", err)
 			}
 			return err
 		}
-		news, err := w.handleReply(r)
+		news, err := w.handleReply(reply)
 		if err != nil {
 			return err
 		}
-		if !first && !r.Lagging {
+		if !first && !reply.Lagging {
 			w.tried = 0
 		}
-		if patience, err = w.nextPatience(r); err != nil {
+		if patience, err = w.nextPatience(reply); err != nil {
 			return err
 		}
 		if quick := time.Since(began) < minWatchInterval/2; quick && !news {
@@ -218,7 +220,7 @@
 	}
 }
 
-// nextPatience is the patience of the next watch at this machine, or why there is none.
+// nextPatience returns the patience of the next watch at this machine, or an error that says why to leave it.
 func (w *Watcher) nextPatience(r rollout.WatchReply) (time.Duration, error) {
 	now := time.Now()
 	patience := w.timing.patience*9/10 + randomUpTo(w.timing.patience/5)
@@ -226,12 +228,12 @@
 		patience = min(patience, again)
 	}
 	switch {
-	case r.Lagging && now.Before(w.laggingUntil): // all lag, and this one is as good as any
+	case r.Lagging && now.Before(w.laggingUntil): // all machines lag, so this one is as good as any
 		patience = min(patience, w.laggingUntil.Sub(now))
 	case r.Lagging && w.tried < len(w.machines)-1:
 		return 0, errLagging
 	case r.Lagging:
-		w.log.Warn("rollout: no machine hears a leader; staying with this one", "machine", r.Machine)
+		w.log.Warn("rollout: no machine has a leader; staying with this one", "machine", r.Machine)
 		w.laggingUntil, w.tried = now.Add(laggingStay+randomUpTo(laggingStay)), 0
 		patience = min(patience, w.laggingUntil.Sub(now))
 	case w.current != 0 && now.After(w.returnAt):
@@ -240,20 +242,20 @@
 	return max(patience, minWatchPatience), nil
 }
 
-// watchArgs words the agent's report and its question.
+// watchArgs returns the arguments of a watch, with the agent's report.
 func (w *Watcher) watchArgs(patience time.Duration) rollout.WatchArgs {
 	w.seq++
-	seen, refused := w.documents.Report()
-	if !w.saveRetryAt.IsZero() { // what is not kept is not acknowledged: a restart would go back below it
-		seen = w.saved
+	accepted, refused := w.documents.Report()
+	if !w.saveRetryAt.IsZero() { // unsaved revisions are not acknowledged: a restart would fall back below them
+		accepted = w.saved
 	}
 	calls, failed := w.loader.Calls()
 	return rollout.WatchArgs{Have: w.documents.KnownRevisions(), Version: w.documents.Version(), PatienceMs: patience.Milliseconds(),
-		Report: rollout.Report{Agent: w.agent, Life: w.cfg.Life, Seq: w.seq, Seen: seen, InForce: maps.Clone(w.inForce),
+		Report: rollout.Report{Agent: w.agent, Life: w.cfg.Life, Seq: w.seq, Seen: accepted, InForce: maps.Clone(w.inForce),
 			Refused: refused, Calls: calls, Failed: failed}}
 }
 
-// handleReply proves an answer and has what is new in it judged, put in force and saved.
+// handleReply validates an answer, and reviews, applies and saves the new documents in it.
 func (w *Watcher) handleReply(r rollout.WatchReply) (news bool, err error) {
 	machine := w.machines[w.current].ID
 	if w.documents.IsBehind(r) {
@@ -262,8 +264,8 @@
 	}
 	fresh, err := w.documents.Receive(r)
 	if err != nil {
-		w.counts.forged.Add(1)
-		w.log.Error("rollout: answer not taken; its watch ends", "machine", machine, "error", err)
+		w.counts.invalid.Add(1)
+		w.log.Error("rollout: invalid answer ignored; leaving machine", "machine", machine, "error", err)
 		return false, err
 	}
 	if !w.connected {
@@ -284,20 +286,20 @@
 	return len(fresh) > 0, nil
 }
 
-// review has the loader prove one document.
+// review accepts a document if the loader can use it, and refuses it otherwise.
 func (w *Watcher) review(d rollout.Document) {
 	if d.Removed {
 		w.documents.Accept(d)
 		return
 	}
 	if err := w.check(d); err != nil {
-		w.refuse(d, err, "the former one stays")
+		w.refuse(d, err, "the former one stays in force")
 		return
 	}
 	w.documents.Accept(d)
 }
 
-// check is the loader's word; a text on which it panics is one it can't take.
+// check returns the loader's verdict on a document. A text on which the loader panics is refused.
 func (w *Watcher) check(d rollout.Document) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -310,16 +312,16 @@
 	return w.loader.Check(d.Name.Kind, d.Text)
 }
 
-// refuse says no to a document.
-func (w *Watcher) refuse(d rollout.Document, err error, what string) {
+// refuse marks a document as refused, and logs it with what happens instead.
+func (w *Watcher) refuse(d rollout.Document, err error, consequence string) {
 	w.documents.Refuse(d, strings.ToValidUTF8(err.Error(), "?"))
 	w.counts.refused.Add(1)
-	w.log.Error("rollout: revision refused; "+what, "name", d.Name.String(), "revision", d.Revision, "error", err)
+	w.log.Error("rollout: revision refused; "+consequence, "name", d.Name.String(), "revision", d.Revision, "error", err)
 }
 
-// applyEffective puts in force what is effective by now, of each kind. A document that was proved and
-// still does not take effect, as after a restart by a new program, is refused: what holds without
-// it does, a wider document or the agent's own file.
+// applyEffective puts in force the effective document of each kind. A document that passed the check and
+// still cannot be applied, for example after a restart with a newer program, is refused; then the next wider
+// document or the agent's own file applies.
 func (w *Watcher) applyEffective() {
 	for _, kind := range w.kinds {
 		for {
@@ -333,18 +335,19 @@
 				if ok {
 					w.inForce[kind] = d.Revision
 				}
-				w.log.Info("rollout: in force", "kind", kind, "name", describeSource(d, ok), "revision", w.inForce[kind])
+				w.log.Info("rollout: revision in force", "kind", kind, "name", describeSource(d, ok), "revision", w.inForce[kind])
 				break
 			}
 			if !ok {
-				w.log.Error("rollout: the agent's own file can't be taken again; what is in force stays", "kind", kind, "error", err)
+				w.log.Error("rollout: cannot return to the agent's own file; the document in force stays", "kind", kind, "error", err)
 				break
 			}
-			w.refuse(d, err, "what holds without it does")
+			w.refuse(d, err, "the next wider document or the agent's own file applies")
 		}
 	}
 }
 
+// apply has the loader apply a document. A panic of the loader is returned as an error.
 func (w *Watcher) apply(kind string, d rollout.Document, ok bool) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -354,6 +357,7 @@
 	return w.loader.Apply(kind, d, ok)
 }
 
+// describeSource names what is in force: the document, or the agent's own file if ok is false.
 func describeSource(d rollout.Document, ok bool) string {
 	if !ok {
 		return "the agent's own file"
@@ -361,26 +365,26 @@
 	return d.Name.String()
 }
 
-// save keeps what is held. Where the disk does not take it, it holds all the same, and is not
-// acknowledged until a later try succeeds.
+// save writes the documents to disk. If that fails they stay in force, but are not acknowledged until a later
+// attempt succeeds.
 func (w *Watcher) save() {
 	if w.cfg.Data != "" {
 		if err := w.writeFile(filepath.Join(w.cfg.Data, lastKnownGoodFile), w.documents.Bytes()); err != nil {
 			if w.saveRetryAt.IsZero() {
-				w.log.Error("rollout: not saved; in force all the same, not acknowledged, tried again", "data", w.cfg.Data, "error", err)
+				w.log.Error("rollout: save failed; documents are in force but not acknowledged until a retry succeeds", "data", w.cfg.Data, "error", err)
 			}
 			w.saveRetryAt = time.Now().Add(saveRetryDelay + randomUpTo(saveRetryDelay))
 			return
 		}
 	}
 	if !w.saveRetryAt.IsZero() {
-		w.log.Info("rollout: saved again", "data", w.cfg.Data)
+		w.log.Info("rollout: save succeeded after a failure", "data", w.cfg.Data)
 	}
 	w.saveRetryAt = time.Time{}
 	w.saved, _ = w.documents.Report()
 }
 
-// publish lets others see how things stand.
+// publish updates the status that other goroutines see.
 func (w *Watcher) publish() {
 	v := &status{lastAnswer: w.lastAnswer, version: w.documents.Version(), lagging: w.lagging, unsaved: !w.saveRetryAt.IsZero(),
 		inForce: maps.Clone(w.inForce), names: map[string]string{}, known: maps.Clone(w.documents.KnownRevisions())}
@@ -392,7 +396,7 @@
 			v.names[kind] = d.Name.String()
 		}
 	}
-	seen, refused := w.documents.Report()
-	v.accepted, v.refused = maps.Clone(seen), slices.Clone(refused)
+	accepted, refused := w.documents.Report()
+	v.accepted, v.refused = maps.Clone(accepted), slices.Clone(refused)
 	w.status.Store(v)
 }
--- a/internal/fleet/watcher/watcher_test.go
+++ b/internal/fleet/watcher/watcher_test.go
@@ -27,15 +27,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testTimeout = 20 * time.Second // of the tests
+const testTimeout = 20 * time.Second // bounds each wait of a test
 
 // fakeMachine is a scripted control machine: each watch waits for the test's answer.
 type fakeMachine struct {
 	id       string
 	ln       net.Listener
 	requests chan request
-	done     chan struct{}  // the test is over
-	raw      func(net.Conn) // where set, it has the connections instead
+	done     chan struct{}  // closed at the end of the test
+	raw      func(net.Conn) // serves the connections instead of net/rpc, if set
 }
 
 type request struct {
@@ -43,7 +43,7 @@
 	answer chan any // a WatchReply, or an error
 }
 
-// Rollout is the service's name and its only method's receiver.
+// Rollout is the net/rpc service. Its name is that of the type.
 type Rollout struct{ m *fakeMachine }
 
 func (s Rollout) Watch(a rollout.WatchArgs, r *rollout.WatchReply) error {
@@ -85,7 +85,7 @@
 			})
 		}
 	})
-	t.Cleanup(func() { // after the watcher's end
+	t.Cleanup(func() { // runs after the watcher has stopped
 		m.ln.Close()
 		close(m.done)
 		group.Wait()
@@ -98,12 +98,12 @@
 	case q := <-m.requests:
 		return q
 	case <-time.After(testTimeout):
-		t.Fatalf("machine %s is not asked", m.id)
+		t.Fatalf("machine %s received no request", m.id)
 	}
 	panic("unreached")
 }
 
-// fixture is an agent between two machines, in the order that it tries them.
+// fixture is an agent with two machines, in the order in which it tries them.
 type fixture struct {
 	t      *testing.T
 	first  *fakeMachine
@@ -116,6 +116,7 @@
 
 var agent = rollout.Agent{Name: "n1", Zone: "z1", Region: "here"}
 
+// newFixture starts both machines. rawFirst, if not nil, serves the connections of the first.
 func newFixture(t *testing.T, rawFirst func(net.Conn)) *fixture {
 	s := &fixture{t: t, first: &fakeMachine{id: "near", raw: rawFirst}, second: &fakeMachine{id: "far"}, cfg: Config{Patience: "30s", Grace: "5s", Data: filepath.Join(t.TempDir(), "data")}}
 	s.first.serve(t)
@@ -125,7 +126,7 @@
 }
 
 func (s *fixture) open() *fixture {
-	s.loader = &fakeLoader{force: map[string]string{}}
+	s.loader = &fakeLoader{inForce: map[string]string{}}
 	var err error
 	s.w, err = Open(s.cfg, agent, []string{"routes", "spread"}, s.loader, slog.New(slog.DiscardHandler))
 	require.NoError(s.t, err)
@@ -141,10 +142,10 @@
 	return s
 }
 
-// fakeLoader takes any text but those that begin with "bad".
+// fakeLoader accepts any text except those that begin with "bad" or "panic".
 type fakeLoader struct {
-	mu    sync.Mutex
-	force map[string]string
+	mu      sync.Mutex
+	inForce map[string]string
 }
 
 func (l *fakeLoader) Check(kind string, text []byte) error {
@@ -160,9 +161,9 @@
 func (l *fakeLoader) Apply(kind string, d rollout.Document, ok bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.force[kind] = string(d.Text)
+	l.inForce[kind] = string(d.Text)
 	if !ok {
-		l.force[kind] = "own"
+		l.inForce[kind] = "own"
 	}
 	return nil
 }
@@ -172,7 +173,7 @@
 func (l *fakeLoader) applied(kind string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.force[kind]
+	return l.inForce[kind]
 }
 
 func doc(name string, revision uint64, text string) rollout.Document {
@@ -187,13 +188,13 @@
 	return rollout.WatchReply{Version: version, Docs: docs}
 }
 
-// TestAppliesDocuments: what is told is proved, put in force and kept before it is acknowledged; a narrower
-// document goes before a wider one, and the agent's own file holds when all are removed. A
-// refused text is told back with the loader's words, and the former one stays.
+// TestAppliesDocuments: a document is checked, applied and saved before it is acknowledged. A narrower
+// document takes precedence over a wider one, and the agent's own file is in force when all are removed. A
+// refused text is reported with the loader's error, and the former one stays in force.
 func TestAppliesDocuments(t *testing.T) {
 	s := newFixture(t, nil).open().run()
 	q := s.first.next(t)
-	assert.Equal(t, firstWatchPatience.Milliseconds(), q.PatienceMs, "a new machine is asked for a quick answer")
+	assert.Equal(t, firstWatchPatience.Milliseconds(), q.PatienceMs, "the first watch at a machine is short")
 	assert.Empty(t, q.Have)
 	for i, step := range []struct {
 		docs    []rollout.Document
@@ -230,8 +231,9 @@
 	}
 }
 
-// TestStartsFromDisk: with all of control gone an agent starts with what it acknowledged, before
-// anything is asked; a torn file and another agent's are moved aside, and cost a fetch.
+// TestStartsFromDisk: an agent starts with what it acknowledged before it asks any machine, so that it starts
+// even if all control machines are gone. A corrupt file or one of another agent is moved aside, and its
+// documents are fetched again.
 func TestStartsFromDisk(t *testing.T) {
 	s := newFixture(t, nil).open().run()
 	s.first.next(t).answer <- reply(4, doc("routes@all", 4, "kept"), doc("spread@all", 3, "also"))
@@ -260,13 +262,13 @@
 			continue
 		}
 		assert.Empty(t, aside, name)
-		assert.Equal(t, q.Report.Seen, s.w.watchArgs(0).Report.Seen, "never below what it acknowledged")
+		assert.Equal(t, q.Report.Seen, s.w.watchArgs(0).Report.Seen, "not below what it acknowledged")
 		assert.EqualValues(t, 4, s.w.InForce()["routes"])
 	}
 }
 
-// TestSaveFails: what can't be kept is in force and told as such, but not acknowledged until it
-// is kept; a restart meanwhile starts from what was kept and is told of the rest.
+// TestSaveFails: a document that cannot be saved is in force and reported as such, but not acknowledged until
+// it is saved. An agent that restarts meanwhile starts from what was saved, and receives the rest again.
 func TestSaveFails(t *testing.T) {
 	s := newFixture(t, nil).open().run()
 	unsaved := func() (n int64) {
@@ -279,9 +281,9 @@
 	}
 	s.first.next(t).answer <- reply(1, doc("routes@all", 1, "one"))
 	q := s.first.next(t)
-	away := s.cfg.Data + ".away"
-	require.NoError(t, os.Rename(s.cfg.Data, away))
-	require.NoError(t, os.WriteFile(s.cfg.Data, nil, 0o600)) // no directory any more
+	moved := s.cfg.Data + ".away"
+	require.NoError(t, os.Rename(s.cfg.Data, moved))
+	require.NoError(t, os.WriteFile(s.cfg.Data, nil, 0o600)) // a file in place of the directory
 	q.answer <- reply(2, doc("routes@all", 2, "two"))
 	q = s.first.next(t)
 	assert.Equal(t, map[string]uint64{"routes@all": 1}, q.Report.Seen)
@@ -289,27 +291,27 @@
 	assert.Equal(t, "two", s.loader.applied("routes"))
 	assert.EqualValues(t, 1, unsaved())
 	require.NoError(t, os.Remove(s.cfg.Data))
-	require.NoError(t, os.Rename(away, s.cfg.Data))
+	require.NoError(t, os.Rename(moved, s.cfg.Data))
 	again := newFixture(t, nil)
 	again.cfg.Data = s.cfg.Data
-	assert.Equal(t, "one", again.open().loader.applied("routes"), "a restart meanwhile")
+	assert.Equal(t, "one", again.open().loader.applied("routes"), "after a restart meanwhile")
 	q.answer <- reply(3, doc("routes@all", 3, "three"))
 	q = s.first.next(t)
 	assert.Equal(t, map[string]uint64{"routes@all": 3}, q.Report.Seen)
 	assert.Zero(t, unsaved())
 }
 
-// gobLength words a length as gob does before a message.
+// gobLength encodes a length as gob does before a message.
 func gobLength(n uint32) []byte {
 	return []byte{0xfc, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}
 }
 
-// TestLeavesFaultyMachine: each of these ends one watch, nothing of it is taken, and the agent goes to the
-// next machine with what it held.
+// TestLeavesFaultyMachine: after each of these faults the agent applies nothing of the answer, and goes on to
+// the next machine with the documents that it had.
 func TestLeavesFaultyMachine(t *testing.T) {
 	header := func(h rpc.Response, body any) func(net.Conn) {
 		return func(c net.Conn) {
-			c.Read(make([]byte, 1)) // the question is on its way
+			c.Read(make([]byte, 1)) // the request has been sent
 			enc := gob.NewEncoder(c)
 			enc.Encode(h)
 			enc.Encode(body)
@@ -322,26 +324,26 @@
 	torn := doc("routes@all", 9, "torn")
 	torn.Sum++
 	for name, tc := range map[string]struct {
-		raw    func(net.Conn)
-		answer any // after one that was good, of version 5
-		forged int64
+		raw     func(net.Conn)
+		answer  any // follows a valid one of version 5
+		invalid int64
 	}{
 		"silent":            {raw: func(c net.Conn) { io.Copy(io.Discard, c) }},
 		"closes":            {raw: func(c net.Conn) { c.Close() }},
 		"junk":              {raw: written([]byte("HTTP/1.1 400 Bad Request\r\n\r\n"))},
-		"oversized":         {raw: written(gobLength(maxAnswerBytes + 1)), forged: 1},
-		"replayed":          {raw: header(rpc.Response{ServiceMethod: "Rollout.Watch", Seq: 7}, reply(9, doc("routes@all", 9, "x"))), forged: 1},
+		"oversized":         {raw: written(gobLength(maxAnswerBytes + 1)), invalid: 1},
+		"replayed":          {raw: header(rpc.Response{ServiceMethod: "Rollout.Watch", Seq: 7}, reply(9, doc("routes@all", 9, "x"))), invalid: 1},
 		"another type":      {raw: header(rpc.Response{Seq: 1}, struct{ Version string }{"x"})},
 		"refuses":           {answer: errors.New("not now")},
 		"older":             {answer: reply(4, doc("routes@all", 4, "old"))},
-		"torn text":         {answer: reply(9, torn), forged: 1},
-		"above its version": {answer: reply(8, doc("routes@all", 9, "x")), forged: 1},
-		"one number, two":   {answer: reply(9, doc("routes@all", 5, "other")), forged: 1},
-		"another agent's":   {answer: reply(9, doc("routes@agent/n2", 9, "x")), forged: 1},
+		"torn text":         {answer: reply(9, torn), invalid: 1},
+		"above its version": {answer: reply(8, doc("routes@all", 9, "x")), invalid: 1},
+		"one number, two":   {answer: reply(9, doc("routes@all", 5, "other")), invalid: 1},
+		"another agent's":   {answer: reply(9, doc("routes@agent/n2", 9, "x")), invalid: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t, tc.raw)
-			if name == "silent" || name == "junk" { // of which a part is awaited
+			if name == "silent" || name == "junk" { // the agent waits for the rest of the answer
 				s.cfg.Grace = "500ms"
 			}
 			s.open().run()
@@ -355,14 +357,14 @@
 			assert.Equal(t, version, q.Version)
 			assert.Equal(t, version, q.Have["routes@all"])
 			assert.Equal(t, text, s.loader.applied("routes"))
-			assert.Equal(t, tc.forged, s.w.counts.forged.Load())
+			assert.Equal(t, tc.invalid, s.w.counts.invalid.Load())
 			assert.EqualValues(t, 1, s.w.counts.moves.Load())
 		})
 	}
 }
 
-// TestLagging: a machine without a leader is left for another, with what it knows; where all
-// lag the agent stays, watches on, and takes what is committed.
+// TestLagging: a machine without a leader is left for another, but its documents are kept. If all machines
+// lag the agent stays with one, keeps watching, and applies what is committed.
 func TestLagging(t *testing.T) {
 	s := newFixture(t, nil).open().run()
 	lags := reply(3, doc("routes@all", 3, "known"))
@@ -372,7 +374,7 @@
 	assert.EqualValues(t, 3, q.Have["routes@all"])
 	q.answer <- lags
 	q = s.second.next(t)
-	assert.LessOrEqual(t, q.PatienceMs, (2 * laggingStay).Milliseconds(), "looked at again soon")
+	assert.LessOrEqual(t, q.PatienceMs, (2 * laggingStay).Milliseconds(), "it looks for another machine again soon")
 	lags = reply(4, doc("routes@all", 4, "committed"))
 	lags.Lagging = true
 	q.answer <- lags
@@ -381,11 +383,11 @@
 	assert.EqualValues(t, 1, s.w.counts.moves.Load())
 	q.answer <- reply(4)
 	q = s.second.next(t)
-	assert.Greater(t, q.PatienceMs, (2 * laggingStay).Milliseconds(), "its own patience, with a leader again")
+	assert.Greater(t, q.PatienceMs, (2 * laggingStay).Milliseconds(), "the configured patience, once there is a leader")
 }
 
-// TestRankMachines: agents' first choices are even, within their region; those of a machine that is lost
-// are even over the rest.
+// TestRankMachines: the agents' first choices are distributed evenly over the machines of their region, and
+// the agents of a lost machine evenly over the others.
 func TestRankMachines(t *testing.T) {
 	var machines []Machine
 	for i := range 5 {
@@ -409,25 +411,26 @@
 	}
 }
 
-// TestRetryDelay: the first retry comes soon, and a round over four machines that don't answer at all
-// is over within 9 s at its slowest.
+// TestRetryDelay: the first retry comes soon, and a round over four machines that do not answer at all takes
+// less than 9 s at its slowest.
 func TestRetryDelay(t *testing.T) {
 	w := &Watcher{machines: make([]Machine, 4)}
 	for _, w.tried = range []int{0, 1, 2, 3, 4, 5, 8, 12, 16, 4000} {
-		most := time.Duration(0)
+		longest := time.Duration(0)
 		for range 200 {
-			most = max(most, w.retryDelay())
+			longest = max(longest, w.retryDelay())
 		}
 		limit := initialRetryDelay
 		if w.tried > 4 && w.tried%4 == 0 {
 			limit = maxRetryDelay
 		}
-		assert.LessOrEqual(t, most, limit, w.tried)
+		assert.LessOrEqual(t, longest, limit, w.tried)
 	}
 	assert.Less(t, 3*(rpcconn.DialTimeout+initialRetryDelay)+rpcconn.DialTimeout+maxRetryDelay+firstWatchPatience, 9*time.Second)
 }
 
-// TestNextPatience: after each answer the agent watches on with its patience, or a shorter one, or leaves.
+// TestNextPatience: after each answer the agent continues with its configured patience or a shorter one, or
+// leaves the machine.
 func TestNextPatience(t *testing.T) {
 	now := time.Now()
 	for name, tc := range map[string]struct {
@@ -437,17 +440,17 @@
 		most   time.Duration
 		leaves error
 	}{
-		"calm":                        {least: 1800 * time.Millisecond, most: 2200 * time.Millisecond},
-		"asked to come again":         {r: rollout.WatchReply{AgainMs: 250}, most: 250 * time.Millisecond},
-		"at once":                     {r: rollout.WatchReply{AgainMs: 1}, least: minWatchPatience, most: minWatchPatience},
-		"lags":                        {w: &Watcher{tried: 1}, r: rollout.WatchReply{Lagging: true}, leaves: errLagging},
-		"all lag or are gone":         {w: &Watcher{tried: 2}, r: rollout.WatchReply{Lagging: true}, least: time.Second, most: 2200 * time.Millisecond},
-		"stays with one that lags":    {w: &Watcher{laggingUntil: now.Add(time.Second)}, r: rollout.WatchReply{Lagging: true}, most: time.Second},
-		"looks for a better one":      {w: &Watcher{laggingUntil: now}, r: rollout.WatchReply{Lagging: true}, leaves: errLagging},
-		"its first choice":            {w: &Watcher{returnAt: now}, least: 1800 * time.Millisecond, most: 2200 * time.Millisecond},
-		"not its first choice":        {w: &Watcher{current: 1, returnAt: now.Add(time.Minute)}, least: time.Second, most: 2200 * time.Millisecond},
-		"back to its first choice":    {w: &Watcher{current: 1, returnAt: now}, leaves: errReturnToFirst},
-		"not home from one that lags": {w: &Watcher{current: 1, tried: 2, returnAt: now}, r: rollout.WatchReply{Lagging: true}, most: 2200 * time.Millisecond},
+		"calm":                                   {least: 1800 * time.Millisecond, most: 2200 * time.Millisecond},
+		"asked to watch again soon":              {r: rollout.WatchReply{AgainMs: 250}, most: 250 * time.Millisecond},
+		"as soon as possible":                    {r: rollout.WatchReply{AgainMs: 1}, least: minWatchPatience, most: minWatchPatience},
+		"lags":                                   {w: &Watcher{tried: 1}, r: rollout.WatchReply{Lagging: true}, leaves: errLagging},
+		"all lag or do not answer":               {w: &Watcher{tried: 2}, r: rollout.WatchReply{Lagging: true}, least: time.Second, most: 2200 * time.Millisecond},
+		"stays with a lagging machine":           {w: &Watcher{laggingUntil: now.Add(time.Second)}, r: rollout.WatchReply{Lagging: true}, most: time.Second},
+		"looks for a better machine":             {w: &Watcher{laggingUntil: now}, r: rollout.WatchReply{Lagging: true}, leaves: errLagging},
+		"at its first choice":                    {w: &Watcher{returnAt: now}, least: 1800 * time.Millisecond, most: 2200 * time.Millisecond},
+		"at another machine":                     {w: &Watcher{current: 1, returnAt: now.Add(time.Minute)}, least: time.Second, most: 2200 * time.Millisecond},
+		"returns to its first choice":            {w: &Watcher{current: 1, returnAt: now}, leaves: errReturnToFirst},
+		"does not return from a lagging machine": {w: &Watcher{current: 1, tried: 2, returnAt: now}, r: rollout.WatchReply{Lagging: true}, most: 2200 * time.Millisecond},
 	} {
 		w := cmp.Or(tc.w, &Watcher{})
 		w.machines, w.timing, w.log = make([]Machine, 3), timing{patience: 2 * time.Second}, slog.New(slog.DiscardHandler)
@@ -458,7 +461,7 @@
 	}
 }
 
-// TestLoadConfig: each field at fault is named.
+// TestLoadConfig: an error names each invalid field.
 func TestLoadConfig(t *testing.T) {
 	const machines = "machines: [{id: c1, client: '127.0.0.1:1'}]\n"
 	for text, want := range map[string]string{
