--- a/internal/gobframe/gobframe.go
+++ b/internal/gobframe/gobframe.go
@@ -1,5 +1,5 @@
-// Package gobframe looks at the heads of encoding/gob's messages before gob does, for readers that
-// bound what a peer may send: gob itself takes messages of up to 1 GiB.
+// Package gobframe reads the length prefixes of encoding/gob messages before gob does, for readers that bound
+// what a peer may send: gob itself accepts messages of up to 1 GiB.
 package gobframe
 
 import (
@@ -9,44 +9,45 @@
 	"io"
 )
 
-// ErrInvalidUint is an unsigned number longer than gob writes any.
-var ErrInvalidUint = errors.New("gob: not a number")
+// ErrInvalidUint is returned for an unsigned integer that is longer than gob writes.
+var ErrInvalidUint = errors.New("gob: invalid unsigned integer")
 
-// PeekUint peeks at an unsigned number of gob's (its package documentation, "Encoding Details") that
-// begins at an offset, 0 or more, and tells its width in bytes: one byte below 128, or the count of
-// bytes that follow, negated, and those bytes, big-endian. A count over 8 is ErrNumber.
-func PeekUint(r *bufio.Reader, at int) (n uint64, width int, err error) {
-	b, err := r.Peek(at + 1)
+// PeekUint returns the unsigned integer that begins at offset (0 or more), without consuming it, and its
+// width in bytes. In gob's encoding (its package documentation, "Encoding Details") that is one byte if the
+// integer is below 128; otherwise the negated count of the bytes that follow, and those bytes, big-endian. A
+// count above 8 is ErrInvalidUint.
+func PeekUint(r *bufio.Reader, offset int) (n uint64, width int, err error) {
+	b, err := r.Peek(offset + 1)
 	if err != nil {
 		return 0, 0, err
 	}
-	if b[at] <= 0x7f {
-		return uint64(b[at]), 1, nil
+	if b[offset] <= 0x7f {
+		return uint64(b[offset]), 1, nil
 	}
-	bytes := -int(int8(b[at]))
-	if bytes > 8 {
-		return 0, 0, fmt.Errorf("%w: %d bytes", ErrInvalidUint, bytes)
+	count := -int(int8(b[offset]))
+	if count > 8 {
+		return 0, 0, fmt.Errorf("%w: %d bytes", ErrInvalidUint, count)
 	}
-	if b, err = r.Peek(at + 1 + bytes); err != nil {
+	if b, err = r.Peek(offset + 1 + count); err != nil {
 		return 0, 0, err
 	}
-	for _, x := range b[at+1:] {
-		n = n<<8 | uint64(x)
+	for _, digit := range b[offset+1:] {
+		n = n<<8 | uint64(digit)
 	}
-	return n, 1 + bytes, nil
+	return n, 1 + count, nil
 }
 
-// Reader hands gob's messages on to a decoder, each after Head has looked at it: so a message that is
-// refused takes no memory. It reads no byte ahead of the message under way.
+// Reader passes gob's messages on to a decoder, each after MessageLength has examined it, so that a refused
+// message takes no memory. It reads no byte beyond the current message.
 type Reader struct {
 	Source *bufio.Reader
-	// MessageLength peeks at a message's head and tells the bytes of the whole message, head included; an error
-	// is the reader's, and Head is asked again at the next read.
+	// MessageLength peeks at the next message and returns its length in bytes, prefix included. An error is
+	// returned by Read, and the next Read calls MessageLength again.
 	MessageLength func() (int, error)
-	remaining     int // bytes of the message under way
+	remaining     int // bytes of the current message
 }
 
-// Read reads of one message at a time.
+// Read reads from one message at a time.
 func (r *Reader) Read(p []byte) (int, error) {
 	if r.remaining == 0 {
 		var err error
@@ -60,7 +61,8 @@
 	return n, err
 }
 
-// ReadByte has gob take the reader as it is: it puts no buffer of its own, which reads ahead, in between.
+// ReadByte makes gob use the Reader directly. Without it gob would insert a buffered reader, which reads
+// ahead.
 func (r *Reader) ReadByte() (byte, error) {
 	var b [1]byte
 	_, err := io.ReadFull(r, b[:])
--- a/internal/gobframe/gobframe_test.go
+++ b/internal/gobframe/gobframe_test.go
@@ -10,31 +10,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPeekUint: the length at a message's head is that of what gob wrote behind it; a number cut
-// short and one longer than any are told apart.
+// TestPeekUint: the integer before a message is the length of what gob wrote after it. A truncated integer
+// and one that is too long are different errors.
 func TestPeekUint(t *testing.T) {
 	for _, size := range []int{0, 1, 100, 200, 70_000} {
 		var b bytes.Buffer
 		require.NoError(t, gob.NewEncoder(&b).Encode(make([]byte, size)))
-		whole := uint64(b.Len())
+		total := uint64(b.Len())
 		n, width, err := PeekUint(bufio.NewReader(&b), 0)
 		require.NoError(t, err, size)
-		require.Equal(t, whole, n+uint64(width), size)
+		require.Equal(t, total, n+uint64(width), size)
 	}
-	read := func(b ...byte) error {
+	peek := func(b ...byte) error {
 		_, _, err := PeekUint(bufio.NewReader(bytes.NewReader(b)), 0)
 		return err
 	}
-	require.ErrorIs(t, read(0x80), ErrInvalidUint)
-	require.ErrorIs(t, read(0xfe, 1), io.EOF)
-	require.ErrorIs(t, read(), io.EOF)
+	require.ErrorIs(t, peek(0x80), ErrInvalidUint)
+	require.ErrorIs(t, peek(0xfe, 1), io.EOF)
+	require.ErrorIs(t, peek(), io.EOF)
 	n, width, err := PeekUint(bufio.NewReader(bytes.NewReader([]byte{7, 0xfe, 1, 2})), 1)
 	require.NoError(t, err)
 	require.EqualValues(t, 258, n)
 	require.Equal(t, 3, width)
 }
 
-// TestReader: a decoder gets whole messages, one at a time, and none whose head is refused.
+// TestReader: a decoder receives whole messages one at a time, and none that MessageLength refuses. Otherwise
+// a peer could make gob allocate up to 1 GiB.
 func TestReader(t *testing.T) {
 	var b bytes.Buffer
 	enc := gob.NewEncoder(&b)
--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -1,6 +1,6 @@
-// Package rpcconn is an agent's connection to one control machine: net/rpc's protocol with one
-// question at a time, so that it needs no goroutine of its own, and with the size of an answer
-// bounded, as nothing is proved of who answers.
+// Package rpcconn is an agent's connection to one control machine. It uses the protocol of net/rpc with one
+// request at a time, so that it needs no goroutine, and bounds the size of an answer, because the peer is not
+// authenticated.
 package rpcconn
 
 import (
@@ -18,85 +18,85 @@
 	"woodrouter/internal/gobframe"
 )
 
-// Errors of one question. After any error but a Refusal the line is of no more use.
+// Errors of a request. After any error other than a ServerError the connection is unusable.
 var (
-	ErrTooLarge = errors.New("answer larger than an agent takes")
-	ErrSequence = errors.New("answer to another question")
+	ErrTooLarge = errors.New("answer exceeds the size limit")
+	ErrSequence = errors.New("answer to another request")
 )
 
-// ServerError is the machine's own no to a question; the line goes on.
+// ServerError is an error that the machine itself returned. The connection remains usable.
 type ServerError struct{ Text string }
 
-func (r ServerError) Error() string { return fmt.Sprintf("refused: %.200s", r.Text) }
+func (e ServerError) Error() string { return fmt.Sprintf("refused: %.200s", e.Text) }
 
-// DialTimeout bounds a dial to one machine.
+// DialTimeout bounds dialing one machine.
 const DialTimeout = time.Second
 
-// Conn is the connection to one machine. It is not safe for concurrent use, but for Close.
+// Conn is a connection to one machine. It is not safe for concurrent use, except for Close.
 type Conn struct {
 	conn           net.Conn
-	maxAnswerBytes int // bytes of an answer
+	maxAnswerBytes int
 	in             *boundedReader
 	out            *bufio.Writer
 	enc            *gob.Encoder
 	dec            *gob.Decoder
-	seq            uint64
+	seq            uint64 // of the latest request
 }
 
-// Dial connects to address (host:port) from source (nil: the system's choice), within a second. An
-// answer may have most bytes; what goes over the line, both ways, is added to counts.
-func Dial(ctx context.Context, source net.Addr, address string, most int, counts *Traffic) (*Conn, error) {
+// Dial connects to address (host:port) from source (nil: chosen by the system) within DialTimeout. An answer
+// may have at most maxAnswerBytes. The bytes sent and received are added to traffic.
+func Dial(ctx context.Context, source net.Addr, address string, maxAnswerBytes int, traffic *Traffic) (*Conn, error) {
 	d := net.Dialer{Timeout: DialTimeout, LocalAddr: source}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	counted := countingConn{conn, counts}
-	l := &Conn{conn: conn, maxAnswerBytes: most, in: newBoundedReader(bufio.NewReader(counted)), out: bufio.NewWriter(counted)}
-	l.enc, l.dec = gob.NewEncoder(l.out), gob.NewDecoder(l.in)
-	return l, nil
+	counted := countingConn{conn, traffic}
+	c := &Conn{conn: conn, maxAnswerBytes: maxAnswerBytes, in: newBoundedReader(bufio.NewReader(counted)), out: bufio.NewWriter(counted)}
+	c.enc, c.dec = gob.NewEncoder(c.out), gob.NewDecoder(c.in)
+	return c, nil
 }
 
-// Close ends the line, and a question that is out on it with an error. It may be called twice.
-func (l *Conn) Close() error { return l.conn.Close() }
-
-// Call puts one question, and has its answer in reply within a time. What it brings is undecided:
-// nothing of it is proved but its size. An error is a Refusal, or wraps ErrSize or ErrSequence, or
-// is the network's or the decoder's.
-func (l *Conn) Call(method string, args, reply any, within time.Duration) error {
-	l.conn.SetDeadline(time.Now().Add(within))
-	l.seq++
-	l.in.remaining, l.in.limit = l.maxAnswerBytes, l.maxAnswerBytes
-	for _, part := range []any{&rpc.Request{ServiceMethod: method, Seq: l.seq}, args} {
-		if err := l.enc.Encode(part); err != nil {
+// Close closes the connection; a request in progress returns an error. It may be called more than once.
+func (c *Conn) Close() error { return c.conn.Close() }
+
+// Call sends one request, and stores its answer in reply within timeout. Nothing about the answer is
+// validated but its size. The error is a ServerError, wraps ErrTooLarge or ErrSequence, or comes from the
+// network or the decoder.
+func (c *Conn) Call(method string, args, reply any, timeout time.Duration) error {
+	c.conn.SetDeadline(time.Now().Add(timeout))
+	c.seq++
+	c.in.remaining, c.in.limit = c.maxAnswerBytes, c.maxAnswerBytes
+	for _, part := range []any{&rpc.Request{ServiceMethod: method, Seq: c.seq}, args} {
+		if err := c.enc.Encode(part); err != nil {
 			return err
 		}
 	}
-	if err := l.out.Flush(); err != nil {
+	if err := c.out.Flush(); err != nil {
 		return err
 	}
 	var head rpc.Response
-	if err := l.dec.Decode(&head); err != nil {
+	if err := c.dec.Decode(&head); err != nil {
 		return err
 	}
 	switch {
-	case head.Seq != l.seq:
-		return fmt.Errorf("%w: %d, asked %d", ErrSequence, head.Seq, l.seq)
+	case head.Seq != c.seq:
+		return fmt.Errorf("%w: %d, asked %d", ErrSequence, head.Seq, c.seq)
 	case head.Error != "":
-		if err := l.dec.DecodeValue(reflect.Value{}); err != nil { // the empty body of a refusal
+		if err := c.dec.DecodeValue(reflect.Value{}); err != nil { // the empty body after an error
 			return err
 		}
 		return ServerError{head.Error}
 	}
-	return l.dec.Decode(reply)
+	return c.dec.Decode(reply)
 }
 
-// boundedReader hands gob's messages on to the decoder, and refuses one that would take an answer over
-// its bound before the decoder takes memory for it.
+// boundedReader passes gob's messages on to the decoder. It refuses a message that would exceed the size
+// limit of an answer before the decoder allocates memory for it.
 type boundedReader struct {
 	gobframe.Reader
-	limit     int // the answer's bound
-	remaining int // of it
+	limit     int // bytes of one answer
+	remaining int // of limit
 }
 
 func newBoundedReader(r *bufio.Reader) *boundedReader {
@@ -105,7 +105,7 @@
 	return f
 }
 
-// nextMessage looks at the length of the next message.
+// nextMessage returns the length of the next message, prefix included.
 func (f *boundedReader) nextMessage() (int, error) {
 	size, width, err := gobframe.PeekUint(f.Source, 0)
 	if errors.Is(err, gobframe.ErrInvalidUint) {
@@ -117,14 +117,15 @@
 	if size > uint64(f.remaining) {
 		return 0, fmt.Errorf("%w: a message of %d bytes, %d left of %d", ErrTooLarge, size, f.remaining, f.limit)
 	}
-	whole := width + int(size)
-	f.remaining = max(f.remaining-whole, 0)
-	return whole, nil
+	total := width + int(size)
+	f.remaining = max(f.remaining-total, 0)
+	return total, nil
 }
 
-// Traffic is the bytes on the wire so far.
+// Traffic counts the bytes sent and received.
 type Traffic struct{ Sent, Received atomic.Int64 }
 
+// countingConn adds what it reads and writes to traffic.
 type countingConn struct {
 	net.Conn
 	traffic *Traffic
