--- a/internal/fleet/members/many_test.go
+++ b/internal/fleet/members/many_test.go
@@ -342,11 +342,11 @@
 
 // awaitSize polls until every agent counts size agents, or until timeout has passed. It returns how long that
 // took and how many agents still count differently.
-func (f fleet) awaitSize(size int, timeout time.Duration) (took time.Duration, others int) {
-	began := time.Now()
+func (f fleet) awaitSize(size int, timeout time.Duration) (took time.Duration, disagreeing int) {
+	start := time.Now()
 	for {
 		g := f.collect(size)
-		took = time.Since(began)
+		took = time.Since(start)
 		if g.Err == "" && g.Disagreeing == 0 || took > timeout {
 			return took, g.Disagreeing
 		}
@@ -400,7 +400,7 @@
 		}
 		f = append(f, w)
 	}
-	began := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
 	next := make(chan int)
@@ -424,7 +424,7 @@
 				if sh.jitter > 0 {
 					time.Sleep(time.Duration(rand.Int64N(int64(sh.jitter))))
 				}
-				from := time.Now()
+				joinStart := time.Now()
 				if g := f[i%sh.procs].send(command{"join", i, 0}); g.Err != "" {
 					if failed.Add(1) == 1 {
 						b.Logf("agent %d: %s", i, g.Err)
@@ -432,7 +432,7 @@
 				}
 				joined.Add(1)
 				mu.Lock()
-				took = append(took, time.Since(from))
+				took = append(took, time.Since(joinStart))
 				mu.Unlock()
 			}
 		})
@@ -440,33 +440,33 @@
 	work.Wait()
 	n = int(joined.Load())
 	slices.Sort(took)
-	joining := time.Since(began)
-	know, lack := f.awaitSize(n, convergeTimeout)
+	joining := time.Since(start)
+	converging, lacking := f.awaitSize(n, convergeTimeout)
 	first := f.collect(n)
 	if first.Err != "" {
 		b.Fatal(first.Err)
 	}
 	time.Sleep(idleDuration)
 	second := f.collect(n)
-	rest := idleDuration.Seconds()
-	per := func(d int64) float64 { return float64(d) / rest / float64(n) }
+	idle := idleDuration.Seconds()
+	perAgent := func(d int64) float64 { return float64(d) / idle / float64(n) }
 	b.ReportMetric(float64(n), "agents")
 	b.ReportMetric(joining.Seconds(), "join-s")
 	b.ReportMetric(took[len(took)*99/100].Seconds()*1000, "join-p99-ms")
 	b.ReportMetric(float64(failed.Load()), "joins-failed")
-	b.ReportMetric(first.CPU.Seconds()/(joining+know).Seconds(), "join-cores")
-	b.ReportMetric(know.Seconds(), "know-s")
-	b.ReportMetric(float64(lack), "know-lack")
+	b.ReportMetric(first.CPU.Seconds()/(joining+converging).Seconds(), "join-cores")
+	b.ReportMetric(converging.Seconds(), "know-s")
+	b.ReportMetric(float64(lacking), "know-lack")
 	b.ReportMetric(float64(second.RSS)/float64(n)/1e6, "MB/agent")
-	b.ReportMetric(per(second.Datagrams-first.Datagrams), "dgrams/s/agent")
-	b.ReportMetric(per(second.Sent-first.Sent), "udp-out-B/s/agent")
-	b.ReportMetric(per(second.Received-first.Received), "udp-in-B/s/agent")
-	b.ReportMetric(per(second.Streamed-first.Streamed), "tcp-B/s/agent")
-	b.ReportMetric(float64(second.Streams-first.Streams)/rest, "streams/s")
-	b.ReportMetric((second.CPU-first.CPU).Seconds()/rest, "rest-cores")
+	b.ReportMetric(perAgent(second.Datagrams-first.Datagrams), "dgrams/s/agent")
+	b.ReportMetric(perAgent(second.Sent-first.Sent), "udp-out-B/s/agent")
+	b.ReportMetric(perAgent(second.Received-first.Received), "udp-in-B/s/agent")
+	b.ReportMetric(perAgent(second.Streamed-first.Streamed), "tcp-B/s/agent")
+	b.ReportMetric(float64(second.Streams-first.Streams)/idle, "streams/s")
+	b.ReportMetric((second.CPU-first.CPU).Seconds()/idle, "rest-cores")
 	f[(n-1)%sh.procs].send(command{"shut", n - 1, 0})
-	death, lack := f.awaitSize(n-1, deathTimeout)
+	death, lacking := f.awaitSize(n-1, deathTimeout)
 	b.ReportMetric(death.Seconds(), "death-s")
-	b.ReportMetric(float64(lack), "death-lack")
+	b.ReportMetric(float64(lacking), "death-lack")
 	b.ReportMetric(0, "ns/op")
 }
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -34,8 +34,9 @@
 	Advertise string `yaml:"advertise,omitempty"`
 	// Seeds are the addresses of agents to join through, and through which the parts of a split membership
 	// find each other again: at least one in each region.
-	Seeds []string          `yaml:"seeds"`
-	Links map[string]string `yaml:"links"` // another agent's bind address -> the address of a proxy to send to instead
+	Seeds []string `yaml:"seeds"`
+	// Links maps another agent's bind address to the address of a proxy to send to instead.
+	Links map[string]string `yaml:"links"`
 	// Far lengthens the timeouts, for members in several regions with hundreds of milliseconds between them.
 	Far bool `yaml:"far"`
 	// Compress makes the library compress everything that it sends. It halves messages of a few KB, such as
@@ -118,7 +119,8 @@
 	nodesMu sync.RWMutex // held only to read or change nodes; nothing else is called while it is held
 	nodes   map[string]node
 
-	mu          sync.Mutex                  // the library's lock is never taken while this one is held: the library holds its own when it calls back
+	// The library's lock is never taken while mu is held: the library holds its own lock when it calls back.
+	mu          sync.Mutex
 	summaries   map[string]failover.Summary // the latest summary of each agent
 	epoch       uint64                      // the highest epoch received or announced
 	epochRaised chan struct{}               // holds one item if epoch has risen since the last receive
--- a/internal/fleet/members/members_test.go
+++ b/internal/fleet/members/members_test.go
@@ -216,7 +216,8 @@
 // callback.
 func TestMethodsDuringLibraryCallback(t *testing.T) {
 	h := blockingHandler{make(chan struct{}), make(chan struct{})}
-	m, err := Open(Config{Bind: "127.0.0.1:0"}, Member{Name: "a", InControlGroup: true}, slog.New(h)) // does not block on its own joining: nobody receives from blocked yet
+	// Its own joining does not block the handler, as nothing receives from blocked yet.
+	m, err := Open(Config{Bind: "127.0.0.1:0"}, Member{Name: "a", InControlGroup: true}, slog.New(h))
 	require.NoError(t, err)
 	defer m.Shutdown()
 	other, err := Open(Config{Bind: "127.0.0.1:0", Seeds: []string{m.list.LocalNode().Address()}}, Member{Name: "b"}, slog.New(slog.DiscardHandler))
--- a/internal/fleet/placer/placer.go
+++ b/internal/fleet/placer/placer.go
@@ -52,12 +52,12 @@
 
 	plan           atomic.Pointer[failover.Plan]
 	zones          atomic.Pointer[map[string]agent.ZoneObservation] // the latest observations, by zone
-	controlHeardAt atomic.Int64                                     // when the leader of the control group answered last, Unix µs
-	silenceLogged  bool                                             // that the control group does not answer has been logged
+	controlHeardAt atomic.Int64                                     // last answer of the leader, Unix µs
+	silenceLogged  bool                                             // the group's silence has been logged
 
 	mu       sync.Mutex
 	setUps   map[setUpKey]int64 // set-ups written in full
-	keptHome atomic.Int64       // calls kept in the home zone because this agent sees no live server in the planned zone
+	keptHome atomic.Int64       // calls kept in the home zone, as no live server is seen in the planned zone
 }
 
 // setUpKey is the key by which set-ups are counted.
@@ -111,7 +111,7 @@
 	case len(cfg.Topology.Zones) == 0:
 	case region == "" && p.self.Zone != "":
 		return fmt.Errorf("field topology.zones: this agent's zone %q is none of them", p.self.Zone)
-	case p.members != nil && region != p.self.Region: // the other agents have the region from this agent's metadata
+	case p.members != nil && region != p.self.Region: // the others know the region from its metadata
 		return fmt.Errorf("field topology.zones: zone %q is of region %q until this agent's next start, not %q", p.self.Zone, p.self.Region, region)
 	}
 	return cfg.Valid()
--- a/internal/fleet/spreader/gossip.go
+++ b/internal/fleet/spreader/gossip.go
@@ -52,7 +52,7 @@
 	var joined sync.WaitGroup
 	defer joined.Wait()
 	defer g.members.Leave()                         // ends StayJoined
-	joined.Go(func() { g.members.StayJoined(ctx) }) // in a goroutine, so that no summary waits for the answer of a seed
+	joined.Go(func() { g.members.StayJoined(ctx) }) // no summary waits for the answer of a seed
 	<-ctx.Done()
 }
 
--- a/internal/fleet/spreader/machines.go
+++ b/internal/fleet/spreader/machines.go
@@ -43,7 +43,7 @@
 
 // Limits of the exchange with one machine.
 const (
-	viewTimeoutPeriods = 3                // periods to wait for a view; by then the state has named the next machine
+	viewTimeoutPeriods = 3                // the state has named the next machine by then
 	minViewTimeout     = time.Second      // but at least this, also with a short period
 	idleTimeout        = 10 * time.Second // a connection that carried no summary for this long is closed
 	maxRetryDelay      = 2 * time.Second  // before a failed machine is asked again
--- a/internal/fleet/spreader/machines_test.go
+++ b/internal/fleet/spreader/machines_test.go
@@ -58,7 +58,7 @@
 
 	mu     sync.Mutex
 	real   *stewards.Stewards
-	answer func(stewards.TellArgs, *stewards.TellReply) error // called after the stewards, to change their answer or return an error; may be nil
+	answer func(stewards.TellArgs, *stewards.TellReply) error // changes the stewards' answer; may be nil
 	raw    func(net.Conn)                                     // serves the connections instead of net/rpc, if set
 	conns  map[net.Conn]bool
 	work   sync.WaitGroup
@@ -75,7 +75,8 @@
 	if *r, err = real.HandleSummary(args); err != nil {
 		return err
 	}
-	r.View.Dues = []spread.Due{{Server: "s1", Share: 1}} // the real stewards include shares only after they have learned rates
+	// The real stewards include shares only after they have learned rates.
+	r.View.Dues = []spread.Due{{Server: "s1", Share: 1}}
 	if answer != nil {
 		err = answer(args, r)
 	}
--- a/internal/fleet/spreader/spreader.go
+++ b/internal/fleet/spreader/spreader.go
@@ -30,12 +30,16 @@
 
 // Config is the operators' file for spreading load.
 type Config struct {
-	Mode    string          `yaml:"mode"`              // common: the agents exchange messages; control: each agent exchanges them with control machines
+	// Mode is "common" (the agents exchange messages with one another) or "control" (each agent exchanges them
+	// with control machines).
+	Mode    string          `yaml:"mode"`
 	Period  string          `yaml:"period,omitempty"`  // between two summaries; "": 500ms
 	Members *members.Config `yaml:"members,omitempty"` // for mode common
 
-	Service  string            `yaml:"service,omitempty"`  // for mode control: the agents of one service spread their load together
-	Machines []watcher.Machine `yaml:"machines,omitempty"` // for mode control: as in the file of WOODROUTER_ROLLOUT
+	// Service and Machines are for mode control. The agents of one service spread their load together; the
+	// machines are the same as in the file of WOODROUTER_ROLLOUT.
+	Service  string            `yaml:"service,omitempty"`
+	Machines []watcher.Machine `yaml:"machines,omitempty"`
 
 	Source net.Addr `yaml:"-"` // local address of connections to machines; nil: chosen by the system
 }
@@ -169,8 +173,11 @@
 	syncState(now policy.Time, st *spread.State) func()
 	// sendSummary sends a summary to a steward. The view in answer is passed to Spreader.applyView.
 	sendSummary(to string, sum spread.Summary)
+	// setPeriod changes the time between two summaries.
 	setPeriod(d time.Duration)
+	// describe returns the transport and its counters in words, for the console.
 	describe() (by, counts string)
+	// traffic returns what has been sent and received so far.
 	traffic() Traffic
 }
 
--- a/internal/fleet/stewards/stewards.go
+++ b/internal/fleet/stewards/stewards.go
@@ -53,8 +53,10 @@
 	log       *slog.Logger
 	startedAt time.Time
 
-	mu       sync.Mutex
-	nextLife int64 // of the next steward; each gets its own, so that a new steward of a service is not taken for the former one
+	mu sync.Mutex
+	// nextLife is the life of the next steward. Each gets its own, so that a new steward of a service is not
+	// taken for the former one.
+	nextLife int64
 	services map[string]*service
 	senders  map[sender]time.Time // when each sent its latest summary
 	prunedAt time.Time
--- a/internal/fleet/watcher/config.go
+++ b/internal/fleet/watcher/config.go
@@ -14,13 +14,16 @@
 
 // Config is the operators' file, such as deploy/rollout.yaml.
 type Config struct {
-	Service  string    `yaml:"service"` // of this agent, as in scopes; "": none
-	Zone     string    `yaml:"zone"`    // "": the zone in the platform's settings
-	Region   string    `yaml:"region"`
-	Data     string    `yaml:"data"` // directory of the last known good; required in a file; "": kept in memory only
+	Service string `yaml:"service"` // of this agent, as in scopes; "": none
+	Zone    string `yaml:"zone"`    // "": the zone in the platform's settings
+	Region  string `yaml:"region"`
+	// Data is the directory of the last known good. A file must name one; if it is "" the last known good is
+	// kept in memory only.
+	Data     string    `yaml:"data"`
 	Machines []Machine `yaml:"machines"`
 	Patience string    `yaml:"patience"` // maximum duration of one watch; "": 2s
-	Grace    string    `yaml:"grace"`    // an answer later than patience plus this makes the agent try another machine; "": 750ms
+	// Grace is how long after Patience an answer may come before the agent tries another machine; "": 750ms.
+	Grace string `yaml:"grace"`
 
 	Source net.Addr `yaml:"-"` // local address of connections to machines; nil: chosen by the system
 	Life   int64    `yaml:"-"` // when the process started, Unix µs; 0: when Open is called
@@ -122,7 +125,8 @@
 	h.Write([]byte{0})
 	h.Write([]byte(machine))
 	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64's finalizer, as in package shard: FNV alone distributes unevenly
+	// splitmix64's finalizer, as in package shard: FNV alone distributes unevenly.
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
--- a/internal/fleet/watcher/watcher.go
+++ b/internal/fleet/watcher/watcher.go
@@ -44,10 +44,10 @@
 // Delays are drawn evenly between 0 and their maximum (full jitter), so that a fleet does not return all at
 // once. All machines are tried within a few seconds.
 const (
-	initialRetryDelay  = 300 * time.Millisecond // before the next machine; doubled before each further round over all machines
+	initialRetryDelay  = 300 * time.Millisecond // before the next machine; doubles with each round over all
 	maxRetryDelay      = 2 * time.Second
-	firstWatchPatience = 100 * time.Millisecond // of the first watch on a connection: a silent machine is noticed soon
-	minWatchInterval   = 100 * time.Millisecond // between two watches if the answer came at once and brought nothing
+	firstWatchPatience = 100 * time.Millisecond // of the first watch on a connection, to notice a silent machine soon
+	minWatchInterval   = 100 * time.Millisecond // between two watches, if an answer came at once without news
 	laggingStay        = 3 * time.Second        // with a lagging machine if all lag, plus up to as much again
 	minTimeAway        = 20 * time.Second       // from the first choice, plus up to as much again
 	saveRetryDelay     = 3 * time.Second        // after a failed save, plus up to as much again
@@ -191,7 +191,7 @@
 	defer stop()
 	w.returnAt = time.Now().Add(minTimeAway + randomUpTo(minTimeAway))
 	for patience, first := firstWatchPatience, true; ; first = false {
-		began := time.Now()
+		start := time.Now()
 		w.counts.watches.Add(1)
 		var reply rollout.WatchReply
 		if err := conn.Call("Rollout.Watch", w.watchArgs(patience), &reply, patience+w.timing.grace); err != nil {
@@ -201,7 +201,7 @@
 			}
 			return err
 		}
-		news, err := w.handleReply(reply)
+		changed, err := w.handleReply(reply)
 		if err != nil {
 			return err
 		}
@@ -211,7 +211,7 @@
 		if patience, err = w.nextPatience(reply); err != nil {
 			return err
 		}
-		if quick := time.Since(began) < minWatchInterval/2; quick && !news {
+		if quick := time.Since(start) < minWatchInterval/2; quick && !changed {
 			sleep(ctx, minWatchInterval/2+randomUpTo(minWatchInterval/2))
 		}
 		if ctx.Err() != nil {
@@ -256,13 +256,13 @@
 }
 
 // handleReply validates an answer, and reviews, applies and saves the new documents in it.
-func (w *Watcher) handleReply(r rollout.WatchReply) (news bool, err error) {
+func (w *Watcher) handleReply(r rollout.WatchReply) (changed bool, err error) {
 	machine := w.machines[w.current].ID
 	if w.documents.IsBehind(r) {
 		w.counts.behind.Add(1)
 		return false, fmt.Errorf("%w: version %d, held %d", errBehind, r.Version, w.documents.Version())
 	}
-	fresh, err := w.documents.Receive(r)
+	received, err := w.documents.Receive(r)
 	if err != nil {
 		w.counts.invalid.Add(1)
 		w.log.Error("rollout: invalid answer ignored; leaving machine", "machine", machine, "error", err)
@@ -273,17 +273,17 @@
 		w.log.Info("rollout: watching", "machine", machine, "version", r.Version, "lagging", r.Lagging)
 	}
 	w.lastAnswer, w.lagging = time.Now(), r.Lagging
-	for _, d := range fresh {
+	for _, d := range received {
 		w.review(d)
 	}
-	if len(fresh) > 0 {
+	if len(received) > 0 {
 		w.applyEffective()
 	}
-	if len(fresh) > 0 || !w.saveRetryAt.IsZero() && time.Now().After(w.saveRetryAt) {
+	if len(received) > 0 || !w.saveRetryAt.IsZero() && time.Now().After(w.saveRetryAt) {
 		w.save()
 	}
 	w.publish()
-	return len(fresh) > 0, nil
+	return len(received) > 0, nil
 }
 
 // review accepts a document if the loader can use it, and refuses it otherwise.
--- a/internal/gobframe/gobframe.go
+++ b/internal/gobframe/gobframe.go
@@ -9,8 +9,9 @@
 	"io"
 )
 
-// ErrInvalidUint is returned for an unsigned integer that is longer than gob writes.
-var ErrInvalidUint = errors.New("gob: invalid unsigned integer")
+// ErrInvalidUint is returned for an unsigned integer that is longer than gob writes. Its text may be sent to
+// the peer.
+var ErrInvalidUint = errors.New("gob: not a number")
 
 // PeekUint returns the unsigned integer that begins at offset (0 or more), without consuming it, and its
 // width in bytes. In gob's encoding (its package documentation, "Encoding Details") that is one byte if the
