--- a/internal/faultnet/gate.go
+++ b/internal/faultnet/wrappedlink.go
@@ -36,9 +36,9 @@
 func (g *WrappedLink) change(do func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	was := g.holdIn || g.holdOut
+	wasCut := g.holdIn || g.holdOut
 	do()
-	if was && !g.holdIn && !g.holdOut {
+	if wasCut && !g.holdIn && !g.holdOut {
 		g.healedAt = time.Now()
 	}
 	close(g.changed)
@@ -160,20 +160,20 @@
 	for {
 		c.link.mu.Lock()
 		held, delay := state(c.link)
-		news := c.link.changed
+		changed := c.link.changed
 		c.link.mu.Unlock()
 		if !held && time.Since(since) >= delay {
 			return nil
 		}
-		var ripe <-chan time.Time
+		var delayPassed <-chan time.Time
 		if !held {
-			ripe = time.After(time.Until(since.Add(delay)))
+			delayPassed = time.After(time.Until(since.Add(delay)))
 		}
 		select {
 		case <-c.done:
 			return os.ErrClosed
-		case <-news:
-		case <-ripe:
+		case <-changed:
+		case <-delayPassed:
 		}
 	}
 }
--- a/internal/lab/cluster/crew.go
+++ b/internal/lab/cluster/cluster.go
@@ -135,11 +135,11 @@
 	p := c.Procs[i]
 	p.Env = append(os.Environ(), "PROXY_CONFIG="+path, "WOODROUTER_SOURCE="+c.Net.Host(i), "GOMAXPROCS=1", "WOODROUTER_LOG="+os.Getenv("WOODLAB_LOG"))
 	if c.Env != nil {
-		more, err := c.Env(c, i)
+		env, err := c.Env(c, i)
 		if err != nil {
 			return err
 		}
-		p.Env = append(p.Env, more...)
+		p.Env = append(p.Env, env...)
 	}
 	return p.Start()
 }
@@ -198,11 +198,11 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	fmt.Fprintln(conn, line)
-	said := ""
+	answer := ""
 	for in := bufio.NewScanner(conn); in.Scan(); {
-		said += in.Text() + "\n"
+		answer += in.Text() + "\n"
 	}
-	return said
+	return answer
 }
 
 // StartCallers starts callers at all agents.
--- a/internal/lab/emulator/bulletin.go
+++ b/internal/lab/emulator/bulletin.go
@@ -50,26 +50,26 @@
 func (b *bulletin) announce(servers ...*Server) {
 	w := b.world
 	w.mu.Lock()
-	seen := make([]time.Duration, w.Agents)
-	for i := range seen {
-		seen[i] = w.BulletinDelay + time.Duration(w.rng.Float64()*float64(w.BulletinSpread))
+	delays := make([]time.Duration, w.Agents)
+	for i := range delays {
+		delays[i] = w.BulletinDelay + time.Duration(w.rng.Float64()*float64(w.BulletinSpread))
 	}
 	w.mu.Unlock()
-	b.add(false, seen, servers)
+	b.add(false, delays, servers)
 }
 
-func (b *bulletin) add(whole bool, seen []time.Duration, servers []*Server) {
+func (b *bulletin) add(snapshot bool, delays []time.Duration, servers []*Server) {
 	now := time.Now()
 	var entries []map[string]any
 	for _, s := range servers {
 		entries = append(entries, s.entry())
-		s.recordAnnounced(now, seen)
+		s.recordAnnounced(now, delays)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	no := len(b.events) + 1
-	b.events = append(b.events, event{now, seen, map[string]any{"no": no,
-		"roster": map[string]any{"index": no, "snapshot": whole, "endpoints": entries}}})
+	b.events = append(b.events, event{now, delays, map[string]any{"no": no,
+		"roster": map[string]any{"index": no, "snapshot": snapshot, "endpoints": entries}}})
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -117,7 +117,7 @@
 	until := time.Now().Add(time.Duration(patience) * time.Millisecond)
 	for {
 		b.mu.Lock()
-		news, silent, ready := b.changed, b.silent, b.visibleCount(agent) > after
+		changed, silent, ready := b.changed, b.silent, b.visibleCount(agent) > after
 		pending := len(b.events) > after && !ready
 		b.mu.Unlock()
 		switch {
@@ -128,15 +128,15 @@
 			json.NewEncoder(out).Encode(b.eventsAfter(after, agent))
 			return
 		}
-		look := time.Until(until)
+		waitTime := time.Until(until)
 		if pending { // an event is on its way to this agent
-			look = min(look, 20*time.Millisecond)
+			waitTime = min(waitTime, 20*time.Millisecond)
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-time.After(look):
+		case <-time.After(waitTime):
 		}
 	}
 }
--- a/internal/lab/emulator/callers.go
+++ b/internal/lab/emulator/callers.go
@@ -169,9 +169,9 @@
 		}
 		o := c.conns[at%len(c.conns)]
 		o.mu.Lock()
-		away := o.diverted
+		diverted := o.diverted
 		o.mu.Unlock()
-		if !away {
+		if !diverted {
 			return o
 		}
 	}
@@ -182,9 +182,9 @@
 func (c *Callers) Tally() (Outcome, []time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	waits := c.setUpTimes
+	setUpTimes := c.setUpTimes
 	c.setUpTimes = nil
-	return c.outcome, waits
+	return c.outcome, setUpTimes
 }
 
 func (c *Callers) arrivals(ctx context.Context, l *callerConn, rate float64) {
@@ -256,19 +256,19 @@
 func (c *Callers) sendTry(l *callerConn, r *callerCall, n, dest int) {
 	l = c.connFor(l)
 	now := time.Now()
-	whole := r.begun.Add(r.class.Deadline)
-	until := whole
+	callDeadline := r.begun.Add(r.class.Deadline)
+	deadline := callDeadline
 	if r.class.TryShare > 0 {
-		until = now.Add(time.Duration(r.class.TryShare * float64(r.class.Deadline)))
+		deadline = now.Add(time.Duration(r.class.TryShare * float64(r.class.Deadline)))
 	}
-	if until.After(whole) {
-		until = whole
+	if deadline.After(callDeadline) {
+		deadline = callDeadline
 	}
-	t := &callerTry{id: isup.CallID(c.nextID.Add(1)), call: r, number: n, sentAt: now, deadline: until}
+	t := &callerTry{id: isup.CallID(c.nextID.Add(1)), call: r, number: n, sentAt: now, deadline: deadline}
 	c.mu.Lock()
 	c.outcome.Tries++
 	c.mu.Unlock()
-	left := until.Sub(now)
+	left := deadline.Sub(now)
 	figures := "width:1;via:-1"
 	if dest >= 0 {
 		figures = fmt.Sprintf("dest:%d;%s", dest, figures)
@@ -349,7 +349,7 @@
 }
 
 // receive takes an answer, or a release.
-func (c *Callers) receive(l *callerConn, m isup.Message, room string) {
+func (c *Callers) receive(l *callerConn, m isup.Message, description string) {
 	l.mu.Lock()
 	t := l.calls[m.Call]
 	answered := t != nil && t.answered
@@ -358,34 +358,34 @@
 		return
 	}
 	if answered {
-		if room != "" {
-			c.world.Check.checkAnswer(t.id, room, 0, true)
+		if description != "" {
+			c.world.Check.checkAnswer(t.id, description, 0, true)
 			return
 		}
 		cause, _ := m.Cause()
 		c.recordEnd(l, t, cause != isup.Normal)
 		return
 	}
-	away, _ := m.Millis(isup.RetryAfter)
+	retryAfter, _ := m.Millis(isup.RetryAfter)
 	cause, _ := m.Cause()
 	switch {
-	case room != "":
-		c.world.Check.checkAnswer(t.id, room, time.Since(t.deadline)-answerGrace, false)
+	case description != "":
+		c.world.Check.checkAnswer(t.id, description, time.Since(t.deadline)-answerGrace, false)
 		c.recordServed(l, t)
 	case cause == isup.NoCircuit || cause == isup.Congestion || cause == isup.TimerExpiry:
-		c.finishTry(l, t, "refused", away, -1)
+		c.finishTry(l, t, "refused", retryAfter, -1)
 	default:
-		c.finishTry(l, t, "failed", away, -1)
+		c.finishTry(l, t, "failed", retryAfter, -1)
 	}
 }
 
 func (c *Callers) recordServed(l *callerConn, t *callerTry) {
 	l.mu.Lock()
-	was := t.answered
+	wasAnswered := t.answered
 	t.answered = true
 	t.timer.Stop()
 	l.mu.Unlock()
-	if was { // its caller had left just now
+	if wasAnswered { // its caller had left just now
 		return
 	}
 	took := time.Since(t.call.begun)
@@ -410,11 +410,11 @@
 // recordEnd is the end of a call that stood; one that was cut has earned nothing.
 func (c *Callers) recordEnd(l *callerConn, t *callerTry, cut bool) {
 	l.mu.Lock()
-	was := t.over
+	wasOver := t.over
 	t.over = true
 	delete(l.calls, t.id)
 	l.mu.Unlock()
-	if was {
+	if wasOver {
 		return
 	}
 	time.AfterFunc(forgetDelay, func() { c.world.Check.removeCall(t.id) })
@@ -431,28 +431,28 @@
 const forgetDelay = 30 * time.Second
 
 // finishTry is the end of a try that was not served; the caller may dial again.
-func (c *Callers) finishTry(l *callerConn, t *callerTry, how string, away time.Duration, dest int) {
+func (c *Callers) finishTry(l *callerConn, t *callerTry, result string, retryAfter time.Duration, dest int) {
 	l.mu.Lock()
 	if t.answered || t.over {
 		l.mu.Unlock()
 		return
 	}
 	t.over, t.answered = true, true
-	asked := t.sentAt
+	sentAt := t.sentAt
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	delete(l.calls, t.id)
-	excused := c.world.Check.Starved() || l.faulty || !l.faultChanged.IsZero() && l.faultChanged.After(asked.Add(-time.Second))
+	excused := c.world.Check.Starved() || l.faulty || !l.faultChanged.IsZero() && l.faultChanged.After(sentAt.Add(-time.Second))
 	conn := l.conn
 	l.mu.Unlock()
-	if how == "unheard" && conn != nil { // the caller leaves
+	if result == "unheard" && conn != nil { // the caller leaves
 		if b, err := (isup.Message{Type: isup.Release, Call: t.id}).WithCause(isup.Normal).Append(nil); err == nil {
 			conn.Write(b)
 		}
 	}
 	c.mu.Lock()
-	switch how {
+	switch result {
 	case "refused":
 		c.outcome.Refused++
 	case "failed":
@@ -467,8 +467,8 @@
 		c.outcome.Unheard++
 	}
 	c.mu.Unlock()
-	if how == "unheard" && !excused {
-		c.world.Check.recordBroken("no answer", "%v at agent %d, asked %v ago", t.id, l.agent, time.Since(asked).Round(time.Millisecond))
+	if result == "unheard" && !excused {
+		c.world.Check.recordBroken("no answer", "%v at agent %d, asked %v ago", t.id, l.agent, time.Since(sentAt).Round(time.Millisecond))
 	}
 	// A set-up may be on its way yet, held back by a link or at an agent that stands still.
 	time.AfterFunc(forgetDelay, func() { c.world.Check.removeCall(t.id) })
@@ -476,10 +476,10 @@
 	if t.number >= c.world.MaxRedials {
 		return
 	}
-	back := max(time.Duration(float64(c.world.RedialBackoff)*math.Pow(2, float64(t.number))*(0.75+rand.Float64()/2)), away)
-	if time.Now().Add(back + 100*time.Millisecond).After(t.call.begun.Add(t.call.class.Deadline)) {
+	backoff := max(time.Duration(float64(c.world.RedialBackoff)*math.Pow(2, float64(t.number))*(0.75+rand.Float64()/2)), retryAfter)
+	if time.Now().Add(backoff + 100*time.Millisecond).After(t.call.begun.Add(t.call.class.Deadline)) {
 		return
 	}
 	c.pending.Add(1)
-	time.AfterFunc(back, func() { c.sendTry(l, t.call, t.number+1, dest) })
+	time.AfterFunc(backoff, func() { c.sendTry(l, t.call, t.number+1, dest) })
 }
--- a/internal/lab/emulator/checker.go
+++ b/internal/lab/emulator/checker.go
@@ -72,11 +72,11 @@
 
 // callRecord is the attempts of one call.
 type callRecord struct {
-	attempts     int
-	pendingAt    *Server // that an attempt is out at; nil: none
-	agent        int
-	failedTime   time.Time // when an attempt ended badly last,
-	failedServer *Server   // and where
+	attempts      int
+	pendingAt     *Server // that an attempt is out at; nil: none
+	agent         int
+	givenUpAt     time.Time // when an attempt ended badly last,
+	givenUpServer *Server   // and where
 }
 
 // linkHeld tells whether a give-up to a server may be on its way still: the link has held it back, or
@@ -151,7 +151,7 @@
 	if t.pendingAt != nil && !linkHeld(t.pendingAt, t.agent) && !k.starved() {
 		k.recordBrokenLocked("second copy", "%v at %s by agent %d, out at %s by agent %d", m.Call, s.ID, agent, t.pendingAt.ID, t.agent)
 	}
-	if gap := now.Sub(t.failedTime); !t.failedTime.IsZero() && gap < d.ClearWait-k.slack() && !linkHeld(t.failedServer, t.agent) {
+	if gap := now.Sub(t.givenUpAt); !t.givenUpAt.IsZero() && gap < d.ClearWait-k.slack() && !linkHeld(t.givenUpServer, t.agent) {
 		k.recordBrokenLocked("release not awaited", "%v at %s by agent %d %v after a bad end", m.Call, s.ID, agent, gap)
 	}
 	if t.attempts++; t.attempts > d.MaxAttempts {
@@ -173,37 +173,37 @@
 	k.closeAttempt(s, agent, id, time.Now())
 }
 
-func (k *Checker) closeAttempt(s *Server, agent int, id isup.CallID, bad time.Time) {
+func (k *Checker) closeAttempt(s *Server, agent int, id isup.CallID, givenUpAt time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t := k.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
-		t.pendingAt, t.failedTime, t.failedServer = nil, bad, s
+		t.pendingAt, t.givenUpAt, t.givenUpServer = nil, givenUpAt, s
 	}
 }
 
 // attemptStood notes an answer that a server is about to give.
-func (k *Checker) attemptStood(s *Server, agent int, id isup.CallID, room string) {
+func (k *Checker) attemptStood(s *Server, agent int, id isup.CallID, description string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.answers[id] == nil {
 		k.answers[id] = map[string]bool{}
 	}
-	k.answers[id][room] = true
+	k.answers[id][description] = true
 	if t := k.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
-		t.pendingAt, t.failedTime = nil, time.Time{}
+		t.pendingAt, t.givenUpAt = nil, time.Time{}
 	}
 }
 
 // checkAnswer checks what a caller was told: room is the description of a call that stands.
-func (k *Checker) checkAnswer(id isup.CallID, room string, late time.Duration, again bool) {
+func (k *Checker) checkAnswer(id isup.CallID, description string, late time.Duration, repeated bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case again:
+	case repeated:
 		k.recordBrokenLocked("answered twice", "%v", id)
 	case late > 0 && !k.starved():
 		k.recordBrokenLocked("answered late", "%v: %v after its deadline", id, late)
-	case room != "" && !k.answers[id][room]:
-		k.recordBrokenLocked("served with what no server made", "%v: %q", id, room)
+	case description != "" && !k.answers[id][description]:
+		k.recordBrokenLocked("served with what no server made", "%v: %q", id, description)
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -114,11 +114,11 @@
 }
 
 // recordAnnounced notes when each agent is told of the present state.
-func (s *Server) recordAnnounced(now time.Time, seen []time.Duration) {
+func (s *Server) recordAnnounced(now time.Time, delays []time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := make([]time.Time, len(seen))
-	for i, d := range seen {
+	at := make([]time.Time, len(delays))
+	for i, d := range delays {
 		at[i] = now.Add(d)
 	}
 	if s.announcedAt == nil {
@@ -179,13 +179,13 @@
 }
 
 func (s *Server) lineReport() string {
-	stand := 0
+	standing := 0
 	for _, u := range s.calls {
 		if u.stands {
-			stand++
+			standing++
 		}
 	}
-	return fmt.Sprintf("x0:%d;x1:%d", max(s.lineCount-stand, 0), s.lineCount)
+	return fmt.Sprintf("x0:%d;x1:%d", max(s.lineCount-standing, 0), s.lineCount)
 }
 
 // sendStates sends the group's state on every open connection, now and then.
@@ -272,11 +272,11 @@
 
 // speed is the share of its rate that the server has now.
 func (s *Server) speed(now time.Time) float64 {
-	part := 1.0
+	share := 1.0
 	if age := now.Sub(s.startedAt); !s.startedAt.IsZero() && age < s.world.Cold {
-		part = s.world.ColdFrom + (1-s.world.ColdFrom)*float64(age)/float64(s.world.Cold)
+		share = s.world.ColdFrom + (1-s.world.ColdFrom)*float64(age)/float64(s.world.Cold)
 	}
-	return part / s.slowdown
+	return share / s.slowdown
 }
 
 // queueWork queues so much of a call's work and tells when it will be done.
@@ -311,8 +311,8 @@
 		time.AfterFunc(min(done.Sub(now), 50*time.Millisecond), func() { p.send(m) }) // it goes ahead of what waits
 		return
 	}
-	if again := s.world.Repeat; again > 0 { // a set-up that waits is sent again, at doubling gaps
-		for gap := again; gap < wait; gap *= 2 {
+	if interval := s.world.Repeat; interval > 0 { // a set-up that waits is sent again, at doubling gaps
+		for gap := interval; gap < wait; gap *= 2 {
 			s.queueWork(now, repeatCost)
 		}
 	}
@@ -372,7 +372,7 @@
 
 // reportText is the report: the lines as they are, the processor's figures as they were at the
 // last refresh. A deployment of kind none tells the lines alone.
-func (s *Server) reportText(now time.Time, none string) string {
+func (s *Server) reportText(now time.Time, linesOnlyMode string) string {
 	if age := now.Sub(s.reportedAt); age >= s.world.ReportInterval {
 		s.report = ""
 		for _, f := range s.world.ReportFields {
@@ -393,7 +393,7 @@
 		}
 		s.reportedAt, s.workDone = now, 0
 	}
-	if s.world.ReportMode == none {
+	if s.world.ReportMode == linesOnlyMode {
 		return s.lineReport()
 	}
 	return s.lineReport() + s.report
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -59,8 +59,8 @@
 }
 
 // NewWorld starts the setup servers and the bulletin of a deployment for so many agents.
-func NewWorld(d Deployment, netw *LoopbackNet, agents, servers int, seed uint64) (*World, error) {
-	w := &World{Deployment: d, Agents: agents, net: netw, rng: rand.New(rand.NewPCG(seed, 11)), groups: servers}
+func NewWorld(d Deployment, addresses *LoopbackNet, agents, servers int, seed uint64) (*World, error) {
+	w := &World{Deployment: d, Agents: agents, net: addresses, rng: rand.New(rand.NewPCG(seed, 11)), groups: servers}
 	var err error
 	if w.host, err = faultnet.NewHost(); err != nil {
 		return nil, err
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -66,8 +66,8 @@
 }
 
 // StartFleet starts n agents named a1..aN from bin under dir.
-func StartFleet(bin, dir string, n int, seed uint64, site FleetConfig) (*Fleet, error) {
-	f := &Fleet{Dir: dir, Agents: map[string]*Agent{}, config: site, bin: bin}
+func StartFleet(bin, dir string, n int, seed uint64, config FleetConfig) (*Fleet, error) {
+	f := &Fleet{Dir: dir, Agents: map[string]*Agent{}, config: config, bin: bin}
 	host, err := faultnet.NewHost()
 	if err != nil {
 		return nil, err
@@ -89,16 +89,16 @@
 			}
 		}
 		name := fmt.Sprintf("a%d", i+1)
-		m := shard.Member{ID: name, Zone: fmt.Sprint("z", i%cmp.Or(site.Zones, 3)+1), Raft: at[2], Client: at[3]}
+		m := shard.Member{ID: name, Zone: fmt.Sprint("z", i%cmp.Or(config.Zones, 3)+1), Raft: at[2], Client: at[3]}
 		f.Agents[name] = &Agent{Name: name, Listen: at[0], Console: at[1], GossipAddr: at[4], Member: m}
 		members = append(members, m)
 	}
-	if f.Ring, _, err = shard.BuildRing(members, cmp.Or(site.GroupSize, 3)); err == nil {
+	if f.Ring, _, err = shard.BuildRing(members, cmp.Or(config.GroupSize, 3)); err == nil {
 		err = f.connect(members, seed)
 	}
 	for name, a := range f.Agents {
-		if err == nil && site.AgentBulletin != nil { // what it listens on must not take the agents' ports
-			a.bulletin, a.known, err = site.AgentBulletin(name)
+		if err == nil && config.AgentBulletin != nil { // what it listens on must not take the agents' ports
+			a.bulletin, a.known, err = config.AgentBulletin(name)
 		}
 	}
 	release() // the agents take their ports from here
@@ -186,26 +186,26 @@
 	calls := !f.config.NoCalls
 	c := promisestore.Config{Calls: &calls, Ring: shard.Ring{Version: f.Ring.Version}}
 	for _, g := range f.Ring.Groups {
-		seen := shard.Group{ID: g.ID}
-		part := false
-		links, boot := map[string]string{}, []replica.Peer{}
+		group := shard.Group{ID: g.ID}
+		isMember := false
+		links, bootstrap := map[string]string{}, []replica.Peer{}
 		for _, m := range g.Members {
-			boot = append(boot, replica.Peer{ID: m.ID, Raft: m.Raft})
+			bootstrap = append(bootstrap, replica.Peer{ID: m.ID, Raft: m.Raft})
 			if to := f.agentOf(m); to == a.Name {
-				part = true
+				isMember = true
 			} else {
 				links[m.Raft] = f.raftLinks[a.Name][to].Addr()
 				m.Client = f.callLinks[a.Name][to].Addr()
 			}
-			seen.Members = append(seen.Members, m)
+			group.Members = append(group.Members, m)
 		}
-		c.Ring.Groups = append(c.Ring.Groups, seen)
+		c.Ring.Groups = append(c.Ring.Groups, group)
 		if a.joinGroup == g.ID {
-			part, boot = true, nil
+			isMember, bootstrap = true, nil
 		}
-		if part && !a.Ungrouped {
+		if isMember && !a.Ungrouped {
 			c.Member = &replica.Config{ID: a.Member.ID, Raft: a.Member.Raft, Client: a.Member.Client,
-				Data: a.Data, Bootstrap: boot, Links: links, Timing: f.config.Timing}
+				Data: a.Data, Bootstrap: bootstrap, Links: links, Timing: f.config.Timing}
 		}
 	}
 	return c
@@ -259,9 +259,9 @@
 	if err := writeYAML(spares, []shard.Member{a.Member}); err != nil {
 		return err
 	}
-	said, err := exec.CommandContext(ctx, f.bin, "promises", "mend", "--gone", lost, "--spares", spares, "--apply", file).CombinedOutput()
+	output, err := exec.CommandContext(ctx, f.bin, "promises", "mend", "--gone", lost, "--spares", spares, "--apply", file).CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("mend: %w: %s", err, said)
+		return fmt.Errorf("mend: %w: %s", err, output)
 	}
 	f.Ring, _, _ = shard.ReplaceLost(f.Ring, map[string]bool{lost: true}, []shard.Member{a.Member})
 	return nil
@@ -299,15 +299,15 @@
 }
 
 // AwaitConsole asks an agent's console until the answer holds a text.
-func (f *Fleet) AwaitConsole(ctx context.Context, name, line, text string) error {
+func (f *Fleet) AwaitConsole(ctx context.Context, name, command, text string) error {
 	for {
-		said := f.ConsoleCommand(name, line)
-		if strings.Contains(said, text) {
+		answer := f.ConsoleCommand(name, command)
+		if strings.Contains(answer, text) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %s answers %q, not %q: %w", name, line, said, text, ctx.Err())
+			return fmt.Errorf("%s: %s answers %q, not %q: %w", name, command, answer, text, ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -316,13 +316,13 @@
 // AwaitLeaders waits until every group has a leader, as an agent sees it.
 func (f *Fleet) AwaitLeaders(ctx context.Context, name string) error {
 	for {
-		said := f.ConsoleCommand(name, "PROMISES")
-		if said != "" && !strings.Contains(said, "no leader") {
+		answer := f.ConsoleCommand(name, "PROMISES")
+		if answer != "" && !strings.Contains(answer, "no leader") {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: groups without a leader: %s: %w", name, said, ctx.Err())
+			return fmt.Errorf("%s: groups without a leader: %s: %w", name, answer, ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -33,23 +33,23 @@
 	d := emulator.Campus()
 	ctx, cancel := context.WithTimeout(ctx, c.For+time.Minute)
 	defer cancel()
-	k, err := cluster.Start(ctx, cluster.Config{Bin: bin, Dir: dir, Deployment: d, Agents: 2, Servers: 3, Seed: 1})
+	agents, err := cluster.Start(ctx, cluster.Config{Bin: bin, Dir: dir, Deployment: d, Agents: 2, Servers: 3, Seed: 1})
 	if err != nil {
 		return err
 	}
-	defer k.Close()
-	fmt.Fprintf(out, "two call agents at %s and %s, three setup servers, %.0f calls a second\n", k.Addr(0), k.Addr(1), 0.6*d.Total(3))
-	calls := k.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(2, 0.6*d.Total(3), 1), Seed: 1, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
+	defer agents.Close()
+	fmt.Fprintf(out, "two call agents at %s and %s, three setup servers, %.0f calls a second\n", agents.Addr(0), agents.Addr(1), 0.6*d.Total(3))
+	calls := agents.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(2, 0.6*d.Total(3), 1), Seed: 1, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
 	fleetlab.Pause(ctx, c.For)
 	calls.Wait()
 	sum, _ := calls.Tally()
 	fmt.Fprintf(out, "%d calls: %d stood in time, %d late, %d tries refused, %d failed; %.1f%% of their worth served\n",
 		sum.Calls, sum.Served, sum.Late, sum.Refused, sum.Failed, 100*sum.Share())
-	for _, s := range k.World.Listed() {
+	for _, s := range agents.World.Listed() {
 		n := s.Counts()
 		fmt.Fprintf(out, "setup server %s: %d set-ups, %d stood, %d turned away\n", s.ID, n.SetUps, n.Stood, n.TurnedAway)
 	}
-	return k.World.Check.Err()
+	return agents.World.Check.Err()
 }
 
 // run plays one run for each policy and tells of each.
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -174,10 +174,10 @@
 	for range max(parallel, 1) {
 		work.Go(func() {
 			for seed := range next {
-				where := filepath.Join(dir, fmt.Sprint("seed-", seed))
-				os.MkdirAll(where, 0o750)
-				play(seed, where)
-				os.RemoveAll(where)
+				seedDir := filepath.Join(dir, fmt.Sprint("seed-", seed))
+				os.MkdirAll(seedDir, 0o750)
+				play(seed, seedDir)
+				os.RemoveAll(seedDir)
 			}
 		})
 	}
--- a/internal/lab/peers.go
+++ b/internal/lab/setupserver.go
@@ -114,14 +114,14 @@
 		conn.Close()
 	}()
 	var write sync.Mutex
-	say := func(m isup.Message) {
+	send := func(m isup.Message) {
 		if b, err := m.Append(nil); err == nil {
 			write.Lock()
 			defer write.Unlock()
 			conn.Write(b) // a connection that is gone shows at the read
 		}
 	}
-	say(isup.Message{Type: isup.GroupState}.WithText(isup.Report, "x0:900;x1:1000"))
+	send(isup.Message{Type: isup.GroupState}.WithText(isup.Report, "x0:900;x1:1000"))
 	for in := bufio.NewReader(conn); ; {
 		m, err := isup.Read(in)
 		if err != nil {
@@ -129,7 +129,7 @@
 		}
 		if m.Type == isup.SetUp {
 			if reply, after, ok := o.decide(agent, m.Call); ok {
-				time.AfterFunc(after, func() { say(reply) })
+				time.AfterFunc(after, func() { send(reply) })
 			}
 		}
 	}
@@ -210,8 +210,8 @@
 		case m.Type == isup.Answer:
 			return CallResult{Served: m.Text(isup.Description)}
 		case m.Type == isup.Release:
-			away, _ := m.Millis(isup.RetryAfter)
-			return CallResult{Away: away}
+			retryAfter, _ := m.Millis(isup.RetryAfter)
+			return CallResult{Away: retryAfter}
 		}
 	}
 }
--- a/internal/lab/slopes/main.go
+++ b/internal/lab/slopes/main.go
@@ -90,11 +90,11 @@
 }
 
 // fit is the line through points, its residual and the power of growth.
-func fit(x, y []float64) (at0, slope, residual, power float64) {
-	at0, slope = stat.LinearRegression(x, y, nil, false)
+func fit(x, y []float64) (intercept, slope, residual, power float64) {
+	intercept, slope = stat.LinearRegression(x, y, nil, false)
 	var lx, ly []float64
 	for i := range x {
-		off := y[i] - at0 - slope*x[i]
+		off := y[i] - intercept - slope*x[i]
 		residual += off * off / float64(len(x))
 		if y[i] > 0 {
 			lx, ly = append(lx, math.Log(x[i])), append(ly, math.Log(y[i]))
@@ -102,7 +102,7 @@
 	}
 	residual = math.Sqrt(residual) / stat.Mean(y, nil)
 	_, power = stat.LinearRegression(lx, ly, nil, false)
-	return at0, slope, residual, power
+	return intercept, slope, residual, power
 }
 
 func write(w io.Writer, all []*series) {
@@ -117,8 +117,8 @@
 		for i := range x {
 			medians = append(medians, fmt.Sprintf("%.0f: %.4g", x[i], y[i]))
 		}
-		at0, slope, residual, power := fit(x, y)
+		intercept, slope, residual, power := fit(x, y)
 		fmt.Fprintf(w, "| %s | %s | %s | %s | %.4g | %.4g | %.1f %% | %.2f |\n", s.name, s.unit, s.parameter,
-			strings.Join(medians, ", "), slope, at0, 100*residual, power)
+			strings.Join(medians, ", "), slope, intercept, 100*residual, power)
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -235,12 +235,12 @@
 }
 
 // AddEvent adds an event.
-func (b *Bulletin) AddEvent(whole bool, entries ...map[string]any) {
+func (b *Bulletin) AddEvent(snapshot bool, entries ...map[string]any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := len(b.events) + 1
 	b.events = append(b.events, map[string]any{"no": n,
-		"roster": map[string]any{"index": n, "snapshot": whole, "endpoints": entries}})
+		"roster": map[string]any{"index": n, "snapshot": snapshot, "endpoints": entries}})
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -265,11 +265,11 @@
 	patience, _ := strconv.Atoi(r.URL.Query().Get("patience"))
 	b.mu.Lock()
 	b.lastFetched = max(b.lastFetched, after)
-	news, known := b.changed, len(b.events)
+	changed, count := b.changed, len(b.events)
 	b.mu.Unlock()
-	if after >= known {
+	if after >= count {
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 		case <-time.After(time.Duration(patience) * time.Millisecond):
 		}
