--- a/internal/faultnet/addr.go
+++ b/internal/faultnet/addr.go
@@ -8,15 +8,15 @@
 	"sync"
 )
 
-// Octet is the second octet of loopback addresses that no other run on this machine uses: a
-// port that a run means to take must not be taken meanwhile by another's proxy or by one end of
-// another's connection, which the system draws from the same ports on 127.0.0.1.
+// Octet is a reserved second octet of 127.0.0.0/8: no other run on this machine uses addresses with it.
+// On 127.0.0.1, a proxy of another run, or the local end of one of its connections, whose port the
+// system picks, could take a port between the moment this run chose it and the moment it listens there.
 type Octet struct {
-	N    byte
-	lock net.Listener
+	N    byte         // the value of the octet
+	lock net.Listener // a listener on 127.N.255.254 that marks the octet as reserved
 }
 
-// ReserveOctet takes one that is free.
+// ReserveOctet reserves an octet that no other run on this machine holds.
 func ReserveOctet() (*Octet, error) {
 	first := rand.IntN(200)
 	for i := range 200 {
@@ -28,10 +28,10 @@
 	return nil, errors.New("faultnet: no octet of 127.0.0.0/8 is free for a run")
 }
 
-// Release lets others use it.
+// Release frees the octet for other runs.
 func (o *Octet) Release() { o.lock.Close() }
 
-// Host is the address 127.N.hi.lo of a number below 65,000.
+// Host returns the address 127.N.hi.lo for a number below 65,000.
 func (o *Octet) Host(n int) string { return fmt.Sprintf("127.%d.%d.%d", o.N, n>>8, n&255) }
 
 var hosts struct {
@@ -40,8 +40,8 @@
 	next  int
 }
 
-// NewHost is a loopback address that nobody else uses, in this process or another, for as long
-// as this process runs. What listens on it and takes its ports has them to itself.
+// NewHost returns a loopback address that nothing else uses, in this process or another, as long as
+// this process runs. Whoever listens on it finds all its ports free.
 func NewHost() (string, error) {
 	hosts.Lock()
 	defer hosts.Unlock()
--- a/internal/faultnet/hub.go
+++ b/internal/faultnet/hub.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Hub is the links between processes that talk to one another by datagrams and streams, with one
-// proxy in front of each process instead of one for each pair: who sends is told by the address
-// that it sends from, which must be its own. So hundreds of processes fit.
+// Hub is the links between processes that exchange datagrams and streams. It has one proxy in front of
+// each process, instead of one for each pair, so that hundreds of processes fit on one machine. It tells
+// senders apart by their source address, so each process must send from an address of its own.
 type Hub struct {
-	processOf func(net.Addr) int // the process that has an address; -1: none
+	processOf func(net.Addr) int // the process with this address; -1: none
 
 	mu          sync.Mutex
-	isolated    map[int]bool    // cut off from those not in it, both ways
-	blocked     map[[2]int]bool // one-way cuts: from, to
+	isolated    map[int]bool    // processes cut off, both ways, from those that are not in it
+	blocked     map[[2]int]bool // one-way cuts, from one process to another
 	delay       time.Duration
 	conns       map[net.Conn]bool
 	listeners   []io.Closer
 	closed      bool
-	bytesPassed int64 // bytes let through, datagrams and streams
+	bytesPassed int64 // by datagrams and streams
 }
 
-// NewHub returns a hub without processes.
+// NewHub returns a hub without processes. from maps an address to the process that has it, or to -1.
 func NewHub(from func(net.Addr) int) *Hub {
 	return &Hub{processOf: from, isolated: map[int]bool{}, blocked: map[[2]int]bool{}, conns: map[net.Conn]bool{}}
 }
 
-// Add puts a proxy that listens at front before a process at target.
+// Add starts a proxy that listens on front and forwards to a process at target.
 func (h *Hub) Add(process int, front, target string) error {
 	ln, err := net.Listen("tcp", front)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// Partition puts processes on a side of their own; with none, every link is whole.
+// Partition cuts the given processes off from all others and ends every other cut. Without arguments it
+// heals all links. It closes all streams.
 func (h *Hub) Partition(side ...int) {
 	h.mu.Lock()
 	h.isolated, h.blocked = map[int]bool{}, map[[2]int]bool{}
@@ -62,27 +63,28 @@
 	h.closeStreams()
 }
 
-// CutOneWay cuts one direction between two processes until the next Partition.
+// CutOneWay drops what one process sends another until the next Partition.
 func (h *Hub) CutOneWay(from, to int) {
 	h.mu.Lock()
 	h.blocked[[2]int{from, to}] = true
 	h.mu.Unlock()
 }
 
-// Delay has everything take this much longer.
+// Delay sets the delay that is added in each direction.
 func (h *Hub) Delay(d time.Duration) {
 	h.mu.Lock()
 	h.delay = d
 	h.mu.Unlock()
 }
 
-// Bytes is what was let through so far.
+// Bytes returns the number of bytes forwarded so far.
 func (h *Hub) Bytes() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.bytesPassed
 }
 
+// admit reports whether data may pass between two processes and after which delay, and counts it.
 func (h *Hub) admit(from, to, bytes int) (bool, time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,7 +106,7 @@
 		switch {
 		case !ok:
 		case d == 0:
-			udp.WriteTo(buf[:n], to) // a lost datagram is what datagrams are for
+			udp.WriteTo(buf[:n], to) // an error is ignored: datagrams may be lost
 		default:
 			data := append([]byte(nil), buf[:n]...)
 			time.AfterFunc(d, func() { udp.WriteTo(data, to) })
@@ -122,7 +124,8 @@
 	}
 }
 
-// forwardStream leads a stream through; one across a cut is taken and answered by nobody.
+// forwardStream forwards one stream in both directions. Across a cut, it accepts the stream and never
+// answers.
 func (h *Hub) forwardStream(from, process int, in net.Conn, target string) {
 	if !h.track(in) {
 		return
@@ -152,7 +155,7 @@
 			if !ok {
 				return
 			}
-			time.Sleep(d) // the delay itself is the fault
+			time.Sleep(d) // the injected delay
 			if _, err := out.Write(buf[:n]); err != nil {
 				return
 			}
@@ -181,7 +184,7 @@
 	c.Close()
 }
 
-// closeStreams ends the streams: those across a new cut must not go on.
+// closeStreams closes all streams, so that none stays open across a new cut.
 func (h *Hub) closeStreams() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -190,7 +193,7 @@
 	}
 }
 
-// Close ends all proxies.
+// Close stops all proxies and closes their streams.
 func (h *Hub) Close() {
 	h.mu.Lock()
 	h.closed = true
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// Build compiles the program into dir and returns its path. It runs from the module's root,
-// which go itself names.
+// Build compiles the program into dir and returns its path. It works from any directory of the module,
+// as it asks the go command for the module's root.
 func Build(dir string) (string, error) {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
@@ -28,14 +28,14 @@
 	return bin, nil
 }
 
-// Proc is one process of the program, started, killed and started again with the same
-// arguments. Its log is kept across lives, each life headed by a line.
+// Proc is one process of the program that can be started, killed and started again with the same
+// arguments. Its log covers all its runs; a heading line marks each start.
 type Proc struct {
 	Name string
 	Bin  string
 	Args []string
-	Data string   // its data directory, for Wipe
-	Env  []string // nil: this process's
+	Data string   // its data directory, for WipeData
+	Env  []string // nil: this process's environment
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -44,7 +44,7 @@
 	starts int
 }
 
-// Start starts a new life of the process; an error where it runs already.
+// Start starts the process. It returns an error if the process is running.
 func (p *Proc) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 		return fmt.Errorf("%s: runs already", p.Name)
 	}
 	p.starts++
-	fmt.Fprintf(&p.log, "--- %s, life %d\n", p.Name, p.starts)
+	fmt.Fprintf(&p.log, "--- %s, start %d\n", p.Name, p.starts)
 	cmd := exec.Command(p.Bin, p.Args...)
 	cmd.Env = p.Env
 	cmd.Stdout, cmd.Stderr = &lockedLog{p}, &lockedLog{p}
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// Kill ends the process with SIGKILL and waits for it; nothing of it is asked to stop well.
+// Kill ends the process with SIGKILL, without an orderly shutdown, and waits for its end.
 func (p *Proc) Kill() { p.signalAndWait(syscall.SIGKILL) }
 
-// Stop ends the process with SIGTERM and waits for it.
+// Stop ends the process with SIGTERM and waits for its end.
 func (p *Proc) Stop() { p.signalAndWait(syscall.SIGTERM) }
 
 func (p *Proc) signalAndWait(s syscall.Signal) {
@@ -85,21 +85,21 @@
 	if cmd == nil {
 		return
 	}
-	cmd.Process.Signal(s) // only the process this Proc started, by its id
+	cmd.Process.Signal(s) // reaches only the process that this Proc started
 	<-done
 }
 
-// Suspend stops the process where it stands (SIGSTOP): its sockets stay open and it says nothing,
-// until Resume. It does not wait.
+// Suspend stops the process until Resume (SIGSTOP): its sockets stay open, but it sends nothing. It does
+// not wait.
 func (p *Proc) Suspend() { p.sendSignal(syscall.SIGSTOP) }
 
-// Resume lets a stalled process go on (SIGCONT).
+// Resume continues a suspended process (SIGCONT).
 func (p *Proc) Resume() { p.sendSignal(syscall.SIGCONT) }
 
-// HangUp has the process read its files anew (SIGHUP).
+// HangUp tells the process to reload its files (SIGHUP).
 func (p *Proc) HangUp() { p.sendSignal(syscall.SIGHUP) }
 
-// Term asks the process to stop (SIGTERM) and does not wait; Done tells of its end.
+// Term asks the process to stop (SIGTERM) and does not wait; Done is closed when it has ended.
 func (p *Proc) Term() { p.sendSignal(syscall.SIGTERM) }
 
 func (p *Proc) sendSignal(s syscall.Signal) {
@@ -110,21 +110,21 @@
 	}
 }
 
-// Done is closed at the end of the present life; nil before the first.
+// Done returns a channel that is closed when the current process ends; nil before the first start.
 func (p *Proc) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// Running tells whether a life is under way.
+// Running reports whether the process is running.
 func (p *Proc) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// PID is the present life's process id, 0 where none is under way: measurements read /proc by it.
+// PID returns the process id, for measurements that read /proc, or 0 if the process is not running.
 func (p *Proc) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	return p.cmd.Process.Pid
 }
 
-// WipeData removes the data directory, as a lost disk; the process must not run.
+// WipeData removes the data directory, like the loss of a disk. The process must not be running.
 func (p *Proc) WipeData() error {
 	if p.Running() {
 		return fmt.Errorf("%s: wipe while it runs", p.Name)
@@ -142,13 +142,14 @@
 	return os.RemoveAll(p.Data)
 }
 
-// Log is what the process wrote in all its lives.
+// Log returns the output of all runs of the process.
 func (p *Proc) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
+// lockedLog appends a process's output to its log, under its lock.
 type lockedLog struct{ proc *Proc }
 
 func (l *lockedLog) Write(b []byte) (int, error) {
--- a/internal/faultnet/proxy.go
+++ b/internal/faultnet/proxy.go
@@ -1,8 +1,7 @@
-// Package faultnet is the project's fault harness: a loopback proxy for each directed link
-// between processes that passes, delays and jitters, drops or resets what crosses it, and a
-// supervisor that builds the program, starts processes, kills them with SIGKILL, restarts
-// them and wipes their data. Faults come from a seeded schedule, so a run is reproduced by
-// its seed. Loopback only.
+// Package faultnet injects faults between processes of the program, on loopback only. It has proxies and
+// wrapped connections that forward, delay, drop or reset the traffic of a link, and a supervisor that
+// builds the program, starts processes, kills them with SIGKILL, restarts them and deletes their data.
+// Fault schedules and jitter are drawn from seeds, so that a run can be repeated by its seed.
 package faultnet
 
 import (
@@ -14,19 +13,19 @@
 	"time"
 )
 
-// Mode is what a link does with what crosses it.
+// Mode is what a link does with its traffic.
 type Mode int
 
 const (
-	Pass Mode = iota // forward, after the link's delay
-	Drop             // take nothing further across: bytes are read and thrown away, as a cut cable
+	Pass Mode = iota // forward after the link's delay
+	Drop             // read and discard, like a cut cable
 )
 
-// Link is a proxy from a listener on loopback to one target: the traffic of one process to
-// another. Connections made through it carry both directions of that process's requests.
+// Link is a loopback proxy for the traffic of one process to another. Connections through it carry the
+// requests of that process and the answers to them.
 type Link struct {
 	ln     net.Listener
-	udp    net.PacketConn // nil: no datagrams
+	udp    net.PacketConn // nil: the link forwards no datagrams
 	target string
 
 	mu          sync.Mutex
@@ -36,18 +35,18 @@
 	rng         *rand.Rand
 	conns       map[net.Conn]bool
 	closed      bool
-	accepted    int64 // connections made to it,
-	bytesPassed int64 // and bytes that crossed, both ways
+	accepted    int64 // connections
+	bytesPassed int64 // in both directions
 }
 
-// Traffic is how many connections were made to the link, and the bytes that crossed it, both ways.
+// Traffic returns the number of connections made to the link and the bytes forwarded in both directions.
 func (l *Link) Traffic() (conns, bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.accepted, l.bytesPassed
 }
 
-// NewLink listens on a free loopback port and forwards to target. seed draws its jitter.
+// NewLink listens on a free loopback port and forwards to target. Its jitter is drawn from seed.
 func NewLink(target string, seed uint64) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,17 +57,17 @@
 	return l, nil
 }
 
-// Addr is where to dial to go through the link.
+// Addr returns the address to dial for a connection through the link.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Set gives the link a mode, a delay and a jitter (uniform in [0, jitter)) for each chunk.
+// Set sets the link's mode, and the delay of each chunk plus a jitter that is uniform in [0, jitter).
 func (l *Link) Set(mode Mode, delay, jitter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mode, l.delay, l.jitter = mode, delay, jitter
 }
 
-// Reset ends every connection across the link at once with a TCP reset; new ones may follow.
+// Reset closes the link's connections with a TCP reset. New ones may be opened.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +80,7 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops the proxy and closes its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -106,8 +105,8 @@
 	}
 }
 
-// forward dials the target for a new connection; a dropped link takes the connection and
-// answers nothing, as a far end behind a cut does.
+// forward dials the target and forwards a new connection to it. In mode Drop it accepts the connection
+// and never answers, like a peer behind a cut.
 func (l *Link) forward(in net.Conn) {
 	if !l.track(in) {
 		return
@@ -155,7 +154,8 @@
 	return l.mode
 }
 
-// nextDelay is one chunk's delay, drawn under the lock so that a seed gives one sequence.
+// nextDelay returns the mode and one chunk's delay. The jitter is drawn under the lock, so that a seed
+// always gives the same sequence.
 func (l *Link) nextDelay() (Mode, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,8 +166,8 @@
 	return l.mode, d
 }
 
-// copyDirection copies one direction, chunk by chunk, each after its delay and in order; while the
-// link drops, chunks are thrown away.
+// copyDirection copies one direction of a connection: chunk by chunk and in order, each after its delay.
+// In mode Drop, chunks are discarded.
 func (l *Link) copyDirection(from, to net.Conn) {
 	defer l.untrack(from)
 	defer l.untrack(to)
@@ -183,7 +183,7 @@
 			l.bytesPassed += int64(n)
 			l.mu.Unlock()
 			if d > 0 {
-				time.Sleep(d) // the delay itself is the fault; order is kept as one goroutine writes
+				time.Sleep(d) // the injected delay; one goroutine writes, so order is kept
 			}
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
@@ -198,10 +198,10 @@
 	}
 }
 
-// NewGossipLink is a link that carries datagrams beside connections, on one port as membership
-// by gossip wants it.
+// NewGossipLink returns a link that forwards both connections and datagrams on one port, as the
+// membership gossip needs.
 func NewGossipLink(target string, seed uint64) (*Link, error) {
-	for range 20 { // another may hold the port for datagrams
+	for range 20 { // the UDP port of the same number may be taken
 		l, err := NewLink(target, seed)
 		if err != nil {
 			return nil, err
@@ -221,7 +221,7 @@
 	return nil, errors.New("faultnet: no port free for both connections and datagrams")
 }
 
-// forwardDatagrams forwards datagrams, each after its delay; the order may change, as on a real network.
+// forwardDatagrams forwards datagrams, each after its delay. The order may change, as on a real network.
 func (l *Link) forwardDatagrams(in net.PacketConn, to net.Conn) {
 	defer to.Close()
 	buf := make([]byte, 64<<10)
@@ -234,7 +234,7 @@
 		switch {
 		case mode == Drop:
 		case d == 0:
-			to.Write(buf[:n]) // a lost datagram is what datagrams are for
+			to.Write(buf[:n]) // an error is ignored: datagrams may be lost
 		default:
 			data := append([]byte(nil), buf[:n]...)
 			time.AfterFunc(d, func() { to.Write(data) })
@@ -242,15 +242,15 @@
 	}
 }
 
-// Mesh is a link for each ordered pair of members: Mesh[from][to] carries from's traffic to to.
+// Mesh holds a link for each ordered pair of members: Mesh[from][to] forwards traffic of from to to.
 type Mesh map[string]map[string]*Link
 
-// NewMesh makes the links between members, given each member's real address.
+// NewMesh creates the links between members, given each member's real address.
 func NewMesh(addrs map[string]string, seed uint64) (Mesh, error) {
 	return newMesh(addrs, seed, NewLink)
 }
 
-// NewGossipMesh is a mesh whose links carry datagrams too.
+// NewGossipMesh is like NewMesh, but its links forward datagrams too.
 func NewGossipMesh(addrs map[string]string, seed uint64) (Mesh, error) {
 	return newMesh(addrs, seed, NewGossipLink)
 }
@@ -276,8 +276,8 @@
 	return m, nil
 }
 
-// Partition cuts every link between a member of side and one outside it, both ways, and
-// heals every other link.
+// Partition cuts every link between a member of side and one outside it, in both directions, and heals
+// all other links.
 func (m Mesh) Partition(side ...string) {
 	in := map[string]bool{}
 	for _, s := range side {
@@ -297,16 +297,16 @@
 	}
 }
 
-// Heal lets everything pass again, without delay.
+// Heal ends all cuts and delays.
 func (m Mesh) Heal() { m.Partition() }
 
-// Delay slows both directions between a and b.
+// Delay sets the delay and jitter of both directions between a and b.
 func (m Mesh) Delay(a, b string, d, jitter time.Duration) {
 	m[a][b].Set(Pass, d, jitter)
 	m[b][a].Set(Pass, d, jitter)
 }
 
-// Close ends all links.
+// Close closes all links.
 func (m Mesh) Close() {
 	for _, tos := range m {
 		for _, l := range tos {
@@ -315,10 +315,10 @@
 	}
 }
 
-// DelayAll slows every link, both ways.
+// DelayAll sets the delay of every link.
 func (m Mesh) DelayAll(d time.Duration) { m.DelayWhere(d, func(string, string) bool { return true }) }
 
-// DelayWhere slows the links that are picked by their ends.
+// DelayWhere sets the delay of the links that pick selects by their ends.
 func (m Mesh) DelayWhere(d time.Duration, pick func(from, to string) bool) {
 	for from, tos := range m {
 		for to, l := range tos {
--- a/internal/faultnet/wrappedlink.go
+++ b/internal/faultnet/wrappedlink.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// WrappedLink is the link between two processes where one end of it is in this process: what crosses
-// the connections wrapped by it is delayed, held back while the link is cut, or reset. Unlike
-// Link it needs no listener and no further descriptors, so that hundreds of processes with
-// dozens of peers each fit. A cut link loses nothing for good: TCP sends again what did not
-// arrive, so the bytes of either direction come once it is whole, unless it is reset first.
+// WrappedLink is a link between this process and another. It wraps this process's connections: their
+// data is delayed, held back while the link is cut, or lost when the link is reset. Unlike Link it needs
+// no listener and no additional descriptors, so hundreds of processes with dozens of peers each fit on
+// one machine. A cut loses no data: as TCP retransmits, the bytes of both directions arrive when the
+// link heals, unless it is reset first.
 type WrappedLink struct {
 	mu       sync.Mutex
-	holdIn   bool // what comes to this process is held
-	holdOut  bool // what leaves it is held
-	delay    time.Duration
-	changed  chan struct{} // closed at each change
-	healedAt time.Time     // since when nothing is held
+	holdIn   bool          // data to this process is held back
+	holdOut  bool          // data from this process is held back
+	delay    time.Duration // added in each direction
+	changed  chan struct{} // closed and replaced at each change
+	healedAt time.Time     // when the last cut ended
 	conns    map[*wrappedConn]bool
 }
 
-// NewWrappedLink returns a link that passes everything at once.
+// NewWrappedLink returns a link without faults.
 func NewWrappedLink() *WrappedLink {
 	return &WrappedLink{changed: make(chan struct{}), conns: map[*wrappedConn]bool{}}
 }
 
-// Cut holds back what comes in, what goes out, or both; false and false make the link whole.
+// Cut holds back incoming data, outgoing data or both. Cut(false, false) heals the link.
 func (g *WrappedLink) Cut(in, out bool) { g.change(func() { g.holdIn, g.holdOut = in, out }) }
 
-// Delay has everything take this much longer, each way.
+// Delay sets the delay that is added in each direction.
 func (g *WrappedLink) Delay(d time.Duration) { g.change(func() { g.delay = d }) }
 
 func (g *WrappedLink) change(do func()) {
@@ -45,7 +45,7 @@
 	g.changed = make(chan struct{})
 }
 
-// Reset ends the connections across the link with a TCP reset; new ones may follow.
+// Reset closes the link's connections with a TCP reset. New ones may be opened.
 func (g *WrappedLink) Reset() {
 	g.mu.Lock()
 	conns := g.conns
@@ -59,15 +59,15 @@
 	}
 }
 
-// HeldWithin tells whether something is held back, or was within the last d: what came then may have
-// been sent long before.
+// HeldWithin reports whether data is held back now or was within the last d. Data that arrived in that
+// time may have been sent long before.
 func (g *WrappedLink) HeldWithin(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.holdIn || g.holdOut || !g.healedAt.IsZero() && time.Since(g.healedAt) < d
 }
 
-// Wrap leads a connection through the link. Its reader must be one goroutine; any may write.
+// Wrap returns c with the link's faults applied. One goroutine may read from it, any number may write.
 func (g *WrappedLink) Wrap(c net.Conn) net.Conn {
 	w := &wrappedConn{Conn: c, link: g, done: make(chan struct{})}
 	g.mu.Lock()
@@ -76,24 +76,25 @@
 	return w
 }
 
-// wrappedConn is a connection that crosses a Gate.
+// wrappedConn is a connection over a WrappedLink.
 type wrappedConn struct {
 	net.Conn
 	link *WrappedLink
 	once sync.Once
-	done chan struct{}
+	done chan struct{} // closed by Close
 
 	mu       sync.Mutex
-	queue    []delayedWrite // written, and not let out yet, in order
-	flushing bool           // a goroutine lets them out
+	queue    []delayedWrite // writes that have not been sent yet, oldest first
+	flushing bool           // a goroutine is sending the queue
 }
 
+// delayedWrite is a copy of data passed to Write, kept until the link lets it through.
 type delayedWrite struct {
 	data      []byte
-	writtenAt time.Time // may leave then
+	writtenAt time.Time // the link's delay counts from here
 }
 
-// Close ends the connection; what is held on it is lost.
+// Close closes the connection. Data that is still held back on it is lost.
 func (c *wrappedConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	c.link.mu.Lock()
@@ -102,7 +103,7 @@
 	return c.Conn.Close()
 }
 
-// Read returns what came once the link lets it through.
+// Read returns received data once the link lets it through.
 func (c *wrappedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 {
@@ -114,8 +115,8 @@
 	return n, err
 }
 
-// Write sends at once on a whole link without delay. Otherwise it keeps a copy, which leaves in
-// its order; the error of a copy that could not leave shows at the next read.
+// Write sends at once if the link has no fault and no delay. Otherwise it queues a copy, and copies are
+// sent in order. If sending one fails, the connection is closed and the next read returns the error.
 func (c *wrappedConn) Write(b []byte) (int, error) {
 	c.link.mu.Lock()
 	held, delay := c.link.holdOut, c.link.delay
@@ -133,7 +134,7 @@
 	return len(b), nil
 }
 
-// flush lets the queue out until it is empty.
+// flush sends the queued writes until the queue is empty.
 func (c *wrappedConn) flush() {
 	for {
 		c.mu.Lock()
@@ -155,7 +156,8 @@
 	}
 }
 
-// waitForLink waits until the link is whole in a direction and its delay since has passed.
+// waitForLink waits until the link is not cut in one direction and its delay has passed since the given
+// time. state returns that direction's fault and the delay.
 func (c *wrappedConn) waitForLink(state func(*WrappedLink) (held bool, delay time.Duration), since time.Time) error {
 	for {
 		c.link.mu.Lock()
--- a/internal/standin/core.go
+++ b/internal/standin/core.go
@@ -10,22 +10,22 @@
 	"woodrouter/agent"
 )
 
-// AgentStub takes the place of the agent behind a front: the test decides.
+// AgentStub stands in for the agent behind a front. The test decides what happens to each call.
 type AgentStub struct {
-	Offered         chan agent.Call
-	Withdrawn       chan string
-	UnknownReleases chan string
-	Busy            bool
-	Decide          func(agent.Call) // before the offer returns; nil: later, by the test
+	Offered         chan agent.Call  // calls that Offer accepted
+	Withdrawn       chan string      // IDs of calls whose callers withdrew them
+	UnknownReleases chan string      // IDs of released calls that the front did not know
+	Busy            bool             // Offer refuses every call
+	Decide          func(agent.Call) // called before Offer returns; nil: the test decides later
 }
 
-// NewAgentStub returns a core that takes every call.
+// NewAgentStub returns a stub that accepts every call.
 func NewAgentStub() *AgentStub {
 	return &AgentStub{Offered: make(chan agent.Call, 100), Withdrawn: make(chan string, 100),
 		UnknownReleases: make(chan string, 100)}
 }
 
-// Offer takes a call unless the core is busy.
+// Offer accepts a call unless the stub is busy.
 func (c *AgentStub) Offer(_ agent.Front, call agent.Call) bool {
 	if c.Busy {
 		return false
@@ -37,13 +37,13 @@
 	return true
 }
 
-// Withdraw notes a call that its caller left.
+// Withdraw records that a call's caller withdrew it.
 func (c *AgentStub) Withdraw(_ agent.Front, id string) { c.Withdrawn <- id }
 
-// ReleaseUnknown notes a release of a call that the front did not know.
+// ReleaseUnknown records a release of a call that the front did not know.
 func (c *AgentStub) ReleaseUnknown(id string) { c.UnknownReleases <- id }
 
-// Next returns what comes next on a channel.
+// Next returns the next value from a channel. It fails the test if none comes within WaitTimeout.
 func Next[T any](t testing.TB, from <-chan T) (v T) {
 	t.Helper()
 	select {
@@ -54,7 +54,7 @@
 	return v
 }
 
-// Serve runs a front on a free port and returns its address.
+// Serve runs a front on a free port until the test ends, and returns its address.
 func Serve(t testing.TB, f interface {
 	Serve(net.Listener) error
 	Close()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin holds small peers for tests: a setup server, a caller and a bulletin,
-// each bounded, on loopback and of this repository's own making.
+// Package standin provides stand-ins for an agent's peers in tests: a setup server, a caller, a bulletin
+// and the agent behind a front. They run on loopback, and every wait in them is bounded.
 package standin
 
 import (
@@ -19,11 +19,11 @@
 	"woodrouter/isup"
 )
 
-// WaitTimeout is how long a test waits for what must come. It is wide: only a failure
-// takes so long.
+// WaitTimeout is how long a test waits for something that must happen. It is generous, as only a failing
+// test waits that long.
 const WaitTimeout = 10 * time.Second
 
-// Conn is a connection that speaks binary signalling.
+// Conn is a connection for messages of the binary signalling protocol.
 type Conn struct {
 	net.Conn
 	Reader *bufio.Reader
@@ -35,27 +35,27 @@
 	if err == nil {
 		_, err = c.Write(b)
 	}
-	_ = err // a closed connection shows where the test waits for its effect
+	_ = err // if the connection is closed, the test fails where it waits for an effect
 }
 
-// Received is a message as a setup server received it.
+// Received is a message that a setup server received, with its connection and time.
 type Received struct {
 	isup.Message
 	Conn *Conn
 	At   time.Time
 }
 
-// Server is a setup server. It answers nothing by itself but tells of its group first on
-// every connection; what it gets is handed to the test in order.
+// Server is a setup server that leaves all answers to the test. On each new connection it first sends its
+// group's state. Received messages are passed to the test in order.
 type Server struct {
 	Addr     string
-	Received chan Received
-	Closed   chan *Conn // connections whose other side has ended
+	Received chan Received // messages in order; dropped while the channel is full
+	Closed   chan *Conn    // connections that the agent closed
 
 	mu      sync.Mutex
 	ln      net.Listener
 	conns   []*Conn
-	history []Received
+	history []Received // all messages so far
 }
 
 // NewServer starts a setup server on a free port, or on addr if it is not "".
@@ -108,7 +108,7 @@
 	}
 }
 
-// Await returns the next message of a type; others before it are passed over.
+// Await returns the next message of a type and skips others before it. It fails the test after WaitTimeout.
 func (s *Server) Await(t testing.TB, want isup.Type) Received {
 	t.Helper()
 	for deadline := time.After(WaitTimeout); ; {
@@ -123,7 +123,7 @@
 	}
 }
 
-// Count counts the messages of a type for a call; 0 stands for any call.
+// Count returns the number of messages of a type received for a call; id 0 means any call.
 func (s *Server) Count(want isup.Type, id isup.CallID) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 	return n
 }
 
-// StopListening closes the listener only, so that new connections are refused.
+// StopListening closes the listener, so that new connections are refused. Open ones stay.
 func (s *Server) StopListening() { s.ln.Close() }
 
 // Conns returns the connections accepted so far.
@@ -145,7 +145,7 @@
 	return append([]*Conn(nil), s.conns...)
 }
 
-// Crash resets all connections, as a process that dies.
+// Crash closes the listener and resets all connections, as when a process is killed.
 func (s *Server) Crash() {
 	s.ln.Close()
 	for _, c := range s.Conns() {
@@ -156,12 +156,12 @@
 	}
 }
 
-// Answer lets a set-up's call stand.
+// Answer answers a set-up, so that its call stands.
 func (g Received) Answer(description string) {
 	g.Conn.Send(isup.Message{Type: isup.Answer, Call: g.Call}.WithText(isup.Description, description))
 }
 
-// Release ends a set-up or a call.
+// Release refuses a set-up or ends a call.
 func (g Received) Release(c isup.Cause, note string) {
 	m := isup.Message{Type: isup.Release, Call: g.Call}.WithCause(c)
 	if note != "" {
@@ -170,7 +170,7 @@
 	g.Conn.Send(m)
 }
 
-// Caller is a connection of callers.
+// Caller is a connection from callers to an agent.
 type Caller struct{ Conn }
 
 // NewCaller connects to a call agent.
@@ -189,13 +189,13 @@
 		WithText(isup.Description, "offer "+id.String()))
 }
 
-// Next returns the next message, or an error at the end of the connection.
+// Next returns the next message, or an error if the connection ends or WaitTimeout passes.
 func (c *Caller) Next() (isup.Message, error) {
 	c.SetReadDeadline(time.Now().Add(WaitTimeout))
 	return isup.Read(c.Reader)
 }
 
-// Await returns the next message, which must be of this type and call.
+// Await returns the next message and fails the test unless it has this type and call.
 func (c *Caller) Await(t testing.TB, want isup.Type, id isup.CallID) isup.Message {
 	t.Helper()
 	m, err := c.Next()
@@ -205,7 +205,7 @@
 	return m
 }
 
-// Bulletin tells of setup servers.
+// Bulletin serves events with lists of setup servers by long poll.
 type Bulletin struct {
 	Addr string
 
@@ -215,13 +215,13 @@
 	lastFetched int
 }
 
-// Endpoint words an entry of the list.
+// Endpoint returns the list entry of a setup server.
 func Endpoint(name, addr string, group int, status string) map[string]any {
 	return map[string]any{"name": name, "address": addr, "zone": "z", "type": "std", "group": group,
 		"status": status, "weight": 1, "since_ms": 0}
 }
 
-// NewBulletin starts a bulletin whose first event lists these entries.
+// NewBulletin starts a bulletin whose first event is the whole list with these entries.
 func NewBulletin(t testing.TB, entries ...map[string]any) *Bulletin {
 	b := &Bulletin{changed: make(chan struct{})}
 	b.AddEvent(true, entries...)
@@ -234,7 +234,7 @@
 	return b
 }
 
-// AddEvent adds an event.
+// AddEvent adds an event: a snapshot of the whole list, or only the entries that changed.
 func (b *Bulletin) AddEvent(snapshot bool, entries ...map[string]any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -245,7 +245,7 @@
 	b.changed = make(chan struct{})
 }
 
-// EventsAfter is the form of the events so far.
+// EventsAfter returns the events after a number, in the form of a bulletin's answer.
 func (b *Bulletin) EventsAfter(after int) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -253,13 +253,14 @@
 	return map[string]any{"no": len(b.events), "items": b.events[after:]}
 }
 
-// AllFetched tells whether all events have been taken: the next were asked for.
+// AllFetched reports whether the agent has fetched all events: it has asked for later ones.
 func (b *Bulletin) AllFetched() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lastFetched >= len(b.events)
 }
 
+// ServeHTTP answers a poll when there are events after the given number, or when its patience has passed.
 func (b *Bulletin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	patience, _ := strconv.Atoi(r.URL.Query().Get("patience"))
