--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -218,7 +218,7 @@
 			return fmt.Sprintf("%d operations, %d refused, %d promised, %d lost", r.Operations, r.Refused, r.Promised, len(r.Lost))
 		})
 	})
-	return t.print(fmt.Sprintf("%d operations, %d promises read back, %d lost", operations, promised, lost))
+	return t.printTotals(fmt.Sprintf("%d operations, %d promises read back, %d lost", operations, promised, lost))
 }
 
 // run plays the schedules against call agents and prints a summary.
@@ -232,7 +232,7 @@
 			return fmt.Sprintf("%d asked, %d served, %d turned away, %d unheard, %d calls read back", r.Asked, r.Served, r.Turned, r.Unheard, r.Calls)
 		})
 	})
-	return t.print(fmt.Sprintf("%d set-ups asked for, %d served calls read back", asked, kept))
+	return t.printTotals(fmt.Sprintf("%d set-ups asked for, %d served calls read back", asked, kept))
 }
 
 // run plays the schedules against agents in zones and prints a summary.
@@ -254,7 +254,7 @@
 	})
 	fmt.Fprintf(out, "a lost zone's calls moved at all agents after p50 %d ms, longest %d ms; all local again after p50 %d ms, longest %d ms\n",
 		moved.ValueAtQuantile(50), moved.Max(), back.ValueAtQuantile(50), back.Max())
-	return t.print(fmt.Sprintf("%d calls", calls))
+	return t.printTotals(fmt.Sprintf("%d calls", calls))
 }
 
 // scheduleSummary prints the results of schedules of any kind, and counts them.
@@ -285,9 +285,9 @@
 	fmt.Fprintf(t.out, "seed %d: %s, %v: %s\n", seed, figures(), took.Round(time.Millisecond), verdict)
 }
 
-// print prints the number of each fault, and a summary line with sum, the text of the figures' sums. It
+// printTotals prints the number of each fault, and a summary line with sum, the text of the figures' sums. It
 // returns an error if any schedule failed.
-func (t *scheduleSummary) print(sum string) error {
+func (t *scheduleSummary) printTotals(sum string) error {
 	for _, f := range slices.Sorted(maps.Keys(t.faults)) {
 		fmt.Fprintf(t.out, "%5d x %s\n", t.faults[f], f)
 	}
--- a/internal/lab/labcli/rollout.go
+++ b/internal/lab/labcli/rollout.go
@@ -65,5 +65,5 @@
 	})
 	fmt.Fprintf(out, "a change was at every agent within reach after p50 %d ms, p99 %d ms, longest %d ms\n",
 		all.ValueAtQuantile(50), all.ValueAtQuantile(99), all.Max())
-	return t.print(fmt.Sprintf("%d changes that stood", stood))
+	return t.printTotals(fmt.Sprintf("%d changes that stood", stood))
 }
