--- a/internal/lab/emulator/checker.go
+++ b/internal/lab/emulator/checker.go
@@ -27,7 +27,7 @@
 	broken        map[string][]string             // by rule: details of its first cases
 	answers       map[isup.CallID]map[string]bool // descriptions that servers answered with
 	counts        map[string]int                  // by rule: how often it was broken
-	processDelays [4]time.Duration                // longest scheduling delay of this process in each of the last seconds
+	processDelays [4]time.Duration                // longest scheduling delay in each of the last seconds
 	done          chan struct{}
 }
 
@@ -114,7 +114,7 @@
 	k.recordBrokenLocked(rule, format, args...)
 }
 
-// recordBrokenLocked is recordBroken with k.mu held. It keeps the details of each rule's first five cases.
+// recordBrokenLocked is recordBroken with c.mu held. It keeps the details of each rule's first five cases.
 func (k *Checker) recordBrokenLocked(rule, format string, args ...any) {
 	if k.counts[rule]++; len(k.broken[rule]) < 5 {
 		k.broken[rule] = append(k.broken[rule], fmt.Sprintf(format, args...))
--- a/internal/lab/emulator/deployment.go
+++ b/internal/lab/emulator/deployment.go
@@ -22,12 +22,12 @@
 	Tenants  []Tenant
 
 	MaxAttempts                int           // most attempts of one call
-	MaxRetryAfter              time.Duration // longest retry-after that callers are given; 0: they are given none
+	MaxRetryAfter              time.Duration // longest retry-after given to callers; 0: none is given
 	Probes, Cancel             bool          // agents may test servers, and cancel set-ups
 	GivesWait, MarksRetry      bool          // refusals give the queue's wait; callers mark further tries
 	ReportMode                 string        // how servers report load: piggyback, pull or silent
 	ReportFields               []string      // of a report, besides spare and total: util, queue, latency_ms
-	OverShareWorth             float64       // worth of a call beyond its tenant's allowance, as a share of its class's
+	OverShareWorth             float64       // share of its worth that a call beyond its tenant's allowance has
 	DrainGrace                 time.Duration // set-ups may arrive this long after a drain is announced
 	Cold                       time.Duration // a started server is warm after this
 	ColdFrom                   float64       // share of its capacity that a started server begins with
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -60,7 +60,7 @@
 type Counts struct {
 	SetUps, Stood, TurnedAway, Probes, Handshakes int
 	Wasted                                        float64   // work for set-ups that did not stand, in calls
-	Capacity                                      float64   // calls that it could have taken while it was running
+	Capacity                                      float64   // calls that it could have taken while running
 	LastSetUp                                     time.Time // arrival of the last set-up
 	countedAt                                     time.Time // Capacity is counted up to here
 }
@@ -316,7 +316,8 @@
 		}
 		m = s.withReport(m, now)
 		s.world.Check.attemptEnded(s, c.agent, c.id)
-		time.AfterFunc(min(done.Sub(now), 50*time.Millisecond), func() { p.send(m) }) // at most 50 ms: refusals pass the queue
+		// A refusal waits for its own work at most 50 ms, not for the queue.
+		time.AfterFunc(min(done.Sub(now), 50*time.Millisecond), func() { p.send(m) })
 		return
 	}
 	if interval := s.world.Repeat; interval > 0 { // a waiting set-up is sent again, at intervals that double
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -110,7 +110,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	if r := cli.Chain.Relay; r.Server != "" { // a relay needs no program and no directory, and runs until it is killed
+	if r := cli.Chain.Relay; r.Server != "" { // it needs no program and no directory, and runs until it is killed
 		fmt.Fprintln(errs, "woodlab:", chainlab.Relay(ctx, r.Listen, r.Server))
 		return 1
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -93,7 +93,7 @@
 		if err != nil {
 			select {
 			case s.Closed <- c:
-			default: // a test that does not look
+			default: // the channel is full: the test does not read it
 			}
 			return
 		}
@@ -103,7 +103,7 @@
 		s.mu.Unlock()
 		select {
 		case s.Received <- g:
-		default: // a test that does not look
+		default: // the channel is full: the test does not read it
 		}
 	}
 }
