--- a/internal/faultnet/wrappedlink.go
+++ b/internal/faultnet/wrappedlink.go
@@ -28,29 +28,29 @@
 }
 
 // Cut holds back incoming data, outgoing data or both. Cut(false, false) heals the link.
-func (g *WrappedLink) Cut(in, out bool) { g.change(func() { g.holdIn, g.holdOut = in, out }) }
+func (l *WrappedLink) Cut(in, out bool) { l.change(func() { l.holdIn, l.holdOut = in, out }) }
 
 // Delay sets the delay that is added in each direction.
-func (g *WrappedLink) Delay(d time.Duration) { g.change(func() { g.delay = d }) }
+func (l *WrappedLink) Delay(d time.Duration) { l.change(func() { l.delay = d }) }
 
-func (g *WrappedLink) change(do func()) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	wasCut := g.holdIn || g.holdOut
+func (l *WrappedLink) change(do func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	wasCut := l.holdIn || l.holdOut
 	do()
-	if wasCut && !g.holdIn && !g.holdOut {
-		g.healedAt = time.Now()
+	if wasCut && !l.holdIn && !l.holdOut {
+		l.healedAt = time.Now()
 	}
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // Reset closes the link's connections with a TCP reset. New ones may be opened.
-func (g *WrappedLink) Reset() {
-	g.mu.Lock()
-	conns := g.conns
-	g.conns = map[*wrappedConn]bool{}
-	g.mu.Unlock()
+func (l *WrappedLink) Reset() {
+	l.mu.Lock()
+	conns := l.conns
+	l.conns = map[*wrappedConn]bool{}
+	l.mu.Unlock()
 	for c := range conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
@@ -61,18 +61,18 @@
 
 // HeldWithin reports whether data is held back now or was within the last d. Data that arrived in that
 // time may have been sent long before.
-func (g *WrappedLink) HeldWithin(d time.Duration) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.holdIn || g.holdOut || !g.healedAt.IsZero() && time.Since(g.healedAt) < d
+func (l *WrappedLink) HeldWithin(d time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.holdIn || l.holdOut || !l.healedAt.IsZero() && time.Since(l.healedAt) < d
 }
 
 // Wrap returns c with the link's faults applied. One goroutine may read from it, any number may write.
-func (g *WrappedLink) Wrap(c net.Conn) net.Conn {
-	w := &wrappedConn{Conn: c, link: g, done: make(chan struct{})}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.conns[w] = true
+func (l *WrappedLink) Wrap(c net.Conn) net.Conn {
+	w := &wrappedConn{Conn: c, link: l, done: make(chan struct{})}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conns[w] = true
 	return w
 }
 
--- a/internal/lab/emulator/checker.go
+++ b/internal/lab/emulator/checker.go
@@ -33,24 +33,24 @@
 
 // measureDelay measures this process's scheduling delay. Hundreds of agents share the machine with it, and
 // a message that it reads late may have been sent in time.
-func (k *Checker) measureDelay() {
+func (c *Checker) measureDelay() {
 	const step = 5 * time.Millisecond
 	tick := time.NewTicker(step)
 	defer tick.Stop()
 	for last := time.Now(); ; {
 		select {
-		case <-k.done:
+		case <-c.done:
 			return
 		case <-tick.C:
 		}
 		now := time.Now()
-		k.mu.Lock()
-		i := now.Unix() % int64(len(k.processDelays))
+		c.mu.Lock()
+		i := now.Unix() % int64(len(c.processDelays))
 		if now.Unix() != last.Unix() {
-			k.processDelays[i] = 0
+			c.processDelays[i] = 0
 		}
-		k.processDelays[i] = max(k.processDelays[i], now.Sub(last)-step)
-		k.mu.Unlock()
+		c.processDelays[i] = max(c.processDelays[i], now.Sub(last)-step)
+		c.mu.Unlock()
 		last = now
 	}
 }
@@ -61,16 +61,16 @@
 
 // Starved reports whether the machine was so busy in the last seconds that a missing answer proves no agent's
 // fault.
-func (k *Checker) Starved() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.starved()
+func (c *Checker) Starved() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.starved()
 }
 
-func (k *Checker) starved() bool { return slices.Max(k.processDelays[:]) > maxProcessDelay }
+func (c *Checker) starved() bool { return slices.Max(c.processDelays[:]) > maxProcessDelay }
 
 // slack returns Slack plus the longest recent scheduling delay of this process.
-func (k *Checker) slack() time.Duration { return Slack + slices.Max(k.processDelays[:]) }
+func (c *Checker) slack() time.Duration { return Slack + slices.Max(c.processDelays[:]) }
 
 // callRecord is what the checker knows of a call's attempts.
 type callRecord struct {
@@ -93,41 +93,41 @@
 }
 
 // addCall adds a call that a caller is about to send.
-func (k *Checker) addCall(id isup.CallID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.calls[id] = &callRecord{}
+func (c *Checker) addCall(id isup.CallID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls[id] = &callRecord{}
 }
 
 // removeCall removes a call for which no more messages can arrive.
-func (k *Checker) removeCall(id isup.CallID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.calls, id)
-	delete(k.answers, id)
+func (c *Checker) removeCall(id isup.CallID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.calls, id)
+	delete(c.answers, id)
 }
 
 // recordBroken records a case of a broken rule.
-func (k *Checker) recordBroken(rule, format string, args ...any) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.recordBrokenLocked(rule, format, args...)
+func (c *Checker) recordBroken(rule, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordBrokenLocked(rule, format, args...)
 }
 
 // recordBrokenLocked is recordBroken with c.mu held. It keeps the details of each rule's first five cases.
-func (k *Checker) recordBrokenLocked(rule, format string, args ...any) {
-	if k.counts[rule]++; len(k.broken[rule]) < 5 {
-		k.broken[rule] = append(k.broken[rule], fmt.Sprintf(format, args...))
+func (c *Checker) recordBrokenLocked(rule, format string, args ...any) {
+	if c.counts[rule]++; len(c.broken[rule]) < 5 {
+		c.broken[rule] = append(c.broken[rule], fmt.Sprintf(format, args...))
 	}
 }
 
 // Err returns an error that lists the broken rules, or nil.
-func (k *Checker) Err() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Checker) Err() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var all []string
-	for _, rule := range slices.Sorted(maps.Keys(k.counts)) {
-		all = append(all, fmt.Sprintf("%s: %d times: %s", rule, k.counts[rule], strings.Join(k.broken[rule], "; ")))
+	for _, rule := range slices.Sorted(maps.Keys(c.counts)) {
+		all = append(all, fmt.Sprintf("%s: %d times: %s", rule, c.counts[rule], strings.Join(c.broken[rule], "; ")))
 	}
 	if all == nil {
 		return nil
@@ -136,80 +136,80 @@
 }
 
 // Broken returns how often each rule was broken, by the rule's name.
-func (k *Checker) Broken() map[string]int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return maps.Clone(k.counts)
+func (c *Checker) Broken() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.counts)
 }
 
 // checkSetUp checks a set-up that a server received. The server's lock is held.
-func (k *Checker) checkSetUp(s *Server, agent int, m isup.Message, now time.Time) {
-	d := k.world.Deployment
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	t := k.calls[m.Call]
+func (c *Checker) checkSetUp(s *Server, agent int, m isup.Message, now time.Time) {
+	d := c.world.Deployment
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.calls[m.Call]
 	if t == nil {
-		k.recordBrokenLocked("set-up that no caller sent", "%v at %s by agent %d", m.Call, s.ID, agent)
+		c.recordBrokenLocked("set-up that no caller sent", "%v at %s by agent %d", m.Call, s.ID, agent)
 		return
 	}
-	if t.pendingAt != nil && !linkHeld(t.pendingAt, t.agent) && !k.starved() {
-		k.recordBrokenLocked("second copy", "%v at %s by agent %d, out at %s by agent %d", m.Call, s.ID, agent, t.pendingAt.ID, t.agent)
+	if t.pendingAt != nil && !linkHeld(t.pendingAt, t.agent) && !c.starved() {
+		c.recordBrokenLocked("second copy", "%v at %s by agent %d, out at %s by agent %d", m.Call, s.ID, agent, t.pendingAt.ID, t.agent)
 	}
-	if gap := now.Sub(t.givenUpAt); !t.givenUpAt.IsZero() && gap < d.ClearWait-k.slack() && !linkHeld(t.givenUpServer, t.agent) {
-		k.recordBrokenLocked("release not awaited", "%v at %s by agent %d %v after a bad end", m.Call, s.ID, agent, gap)
+	if gap := now.Sub(t.givenUpAt); !t.givenUpAt.IsZero() && gap < d.ClearWait-c.slack() && !linkHeld(t.givenUpServer, t.agent) {
+		c.recordBrokenLocked("release not awaited", "%v at %s by agent %d %v after a bad end", m.Call, s.ID, agent, gap)
 	}
 	if t.attempts++; t.attempts > d.MaxAttempts {
-		k.recordBrokenLocked("too many attempts", "%v: %d", m.Call, t.attempts)
+		c.recordBrokenLocked("too many attempts", "%v: %d", m.Call, t.attempts)
 	}
-	if at, ok := s.drainAnnounced(agent, now); ok && !linkHeld(s, agent) && now.Sub(at) > d.DrainGrace+50*time.Millisecond+k.slack() {
-		k.recordBrokenLocked("drain not kept", "%v at %s by agent %d, %v after it was told", m.Call, s.ID, agent, now.Sub(at))
+	if at, ok := s.drainAnnounced(agent, now); ok && !linkHeld(s, agent) && now.Sub(at) > d.DrainGrace+50*time.Millisecond+c.slack() {
+		c.recordBrokenLocked("drain not kept", "%v at %s by agent %d, %v after it was told", m.Call, s.ID, agent, now.Sub(at))
 	}
 	t.pendingAt, t.agent = s, agent
 }
 
 // attemptEnded records that a server ends an attempt: it refuses the set-up or goes silent.
-func (k *Checker) attemptEnded(s *Server, agent int, id isup.CallID) {
-	k.closeAttempt(s, agent, id, time.Time{})
+func (c *Checker) attemptEnded(s *Server, agent int, id isup.CallID) {
+	c.closeAttempt(s, agent, id, time.Time{})
 }
 
 // attemptGivenUp records a set-up that its agent gave up, or that ended with its connection.
-func (k *Checker) attemptGivenUp(s *Server, agent int, id isup.CallID) {
-	k.closeAttempt(s, agent, id, time.Now())
+func (c *Checker) attemptGivenUp(s *Server, agent int, id isup.CallID) {
+	c.closeAttempt(s, agent, id, time.Now())
 }
 
 // closeAttempt ends an attempt. givenUpAt is when it was given up; zero: it was not.
-func (k *Checker) closeAttempt(s *Server, agent int, id isup.CallID, givenUpAt time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if t := k.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
+func (c *Checker) closeAttempt(s *Server, agent int, id isup.CallID, givenUpAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if t := c.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
 		t.pendingAt, t.givenUpAt, t.givenUpServer = nil, givenUpAt, s
 	}
 }
 
 // attemptStood records an answer that a server is about to give.
-func (k *Checker) attemptStood(s *Server, agent int, id isup.CallID, description string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.answers[id] == nil {
-		k.answers[id] = map[string]bool{}
+func (c *Checker) attemptStood(s *Server, agent int, id isup.CallID, description string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.answers[id] == nil {
+		c.answers[id] = map[string]bool{}
 	}
-	k.answers[id][description] = true
-	if t := k.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
+	c.answers[id][description] = true
+	if t := c.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
 		t.pendingAt, t.givenUpAt = nil, time.Time{}
 	}
 }
 
 // checkAnswer checks an answer that a caller received. description is that of the call, late is how
 // much later than answerGrace after its deadline it came, and repeated says that there was an answer before.
-func (k *Checker) checkAnswer(id isup.CallID, description string, late time.Duration, repeated bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Checker) checkAnswer(id isup.CallID, description string, late time.Duration, repeated bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case repeated:
-		k.recordBrokenLocked("answered twice", "%v", id)
-	case late > 0 && !k.starved():
-		k.recordBrokenLocked("answered late", "%v: %v after its deadline", id, late)
-	case description != "" && !k.answers[id][description]:
-		k.recordBrokenLocked("served with what no server made", "%v: %q", id, description)
+		c.recordBrokenLocked("answered twice", "%v", id)
+	case late > 0 && !c.starved():
+		c.recordBrokenLocked("answered late", "%v: %v after its deadline", id, late)
+	case description != "" && !c.answers[id][description]:
+		c.recordBrokenLocked("served with what no server made", "%v: %q", id, description)
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -316,7 +316,7 @@
 		}
 		m = s.withReport(m, now)
 		s.world.Check.attemptEnded(s, c.agent, c.id)
-		// A refusal waits for its own work at most 50 ms, not for the queue.
+		// A refusal is sent after at most 50 ms, ahead of the queued work.
 		time.AfterFunc(min(done.Sub(now), 50*time.Millisecond), func() { p.send(m) })
 		return
 	}
--- a/internal/lab/setupserver.go
+++ b/internal/lab/setupserver.go
@@ -34,44 +34,44 @@
 
 // ListenFor starts a listener for one agent and returns its address. The server has a host of its own, so
 // that nobody else takes its ports between Crash and Restart.
-func (o *SetupServer) ListenFor(agent string) (string, error) {
-	if o.host == "" {
+func (s *SetupServer) ListenFor(agent string) (string, error) {
+	if s.host == "" {
 		var err error
-		if o.host, err = faultnet.NewHost(); err != nil {
+		if s.host, err = faultnet.NewHost(); err != nil {
 			return "", err
 		}
 	}
-	return o.listenAt(agent, o.host+":0")
+	return s.listenAt(agent, s.host+":0")
 }
 
-func (o *SetupServer) listenAt(agent, addr string) (string, error) {
+func (s *SetupServer) listenAt(agent, addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	o.mu.Lock()
-	o.listeners[agent] = ln
-	o.mu.Unlock()
+	s.mu.Lock()
+	s.listeners[agent] = ln
+	s.mu.Unlock()
 	go func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go o.serve(agent, conn)
+			go s.serve(agent, conn)
 		}
 	}()
 	return ln.Addr().String(), nil
 }
 
 // Crash closes the listeners and resets all connections, as when a server's process is killed.
-func (o *SetupServer) Crash() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, ln := range o.listeners {
+func (s *SetupServer) Crash() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, ln := range s.listeners {
 		ln.Close()
 	}
-	for conn := range o.conns {
+	for conn := range s.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
@@ -80,15 +80,15 @@
 }
 
 // Restart listens on the same addresses again.
-func (o *SetupServer) Restart() error {
-	o.mu.Lock()
+func (s *SetupServer) Restart() error {
+	s.mu.Lock()
 	at := map[string]string{}
-	for agent, ln := range o.listeners {
+	for agent, ln := range s.listeners {
 		at[agent] = ln.Addr().String()
 	}
-	o.mu.Unlock()
+	s.mu.Unlock()
 	for agent, addr := range at {
-		if _, err := o.listenAt(agent, addr); err != nil {
+		if _, err := s.listenAt(agent, addr); err != nil {
 			return err
 		}
 	}
@@ -96,23 +96,23 @@
 }
 
 // Close closes the server's listeners and connections.
-func (o *SetupServer) Close() { o.Crash() }
+func (s *SetupServer) Close() { s.Crash() }
 
 // Received reports whether the server received a set-up of the call.
-func (o *SetupServer) Received(id isup.CallID) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.sent[id]) > 0
+func (s *SetupServer) Received(id isup.CallID) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.sent[id]) > 0
 }
 
-func (o *SetupServer) serve(agent string, conn net.Conn) {
-	o.mu.Lock()
-	o.conns[conn] = true
-	o.mu.Unlock()
+func (s *SetupServer) serve(agent string, conn net.Conn) {
+	s.mu.Lock()
+	s.conns[conn] = true
+	s.mu.Unlock()
 	defer func() {
-		o.mu.Lock()
-		delete(o.conns, conn)
-		o.mu.Unlock()
+		s.mu.Lock()
+		delete(s.conns, conn)
+		s.mu.Unlock()
 		conn.Close()
 	}()
 	var write sync.Mutex
@@ -130,7 +130,7 @@
 			return
 		}
 		if m.Type == isup.SetUp {
-			if reply, after, ok := o.decide(agent, m.Call); ok {
+			if reply, after, ok := s.decide(agent, m.Call); ok {
 				time.AfterFunc(after, func() { send(reply) })
 			}
 		}
@@ -138,19 +138,19 @@
 }
 
 // decide records a set-up and draws the reply and its delay. ok is false for no reply.
-func (o *SetupServer) decide(agent string, id isup.CallID) (reply isup.Message, after time.Duration, ok bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.sent[id] == nil {
-		o.sent[id] = map[string]int{}
-	}
-	o.sent[id][agent]++
-	n := o.rng.IntN(100)
-	if o.Steady {
+func (s *SetupServer) decide(agent string, id isup.CallID) (reply isup.Message, after time.Duration, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.sent[id] == nil {
+		s.sent[id] = map[string]int{}
+	}
+	s.sent[id][agent]++
+	n := s.rng.IntN(100)
+	if s.Steady {
 		n = 0
 	}
 	if n >= 80 {
-		after = time.Duration(o.rng.IntN(300)) * time.Millisecond
+		after = time.Duration(s.rng.IntN(300)) * time.Millisecond
 	}
 	switch {
 	case n >= 97:
@@ -158,15 +158,15 @@
 	case n >= 94:
 		return isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithText(isup.Note, "overload"), after, true
 	}
-	o.answers++
-	return isup.Message{Type: isup.Answer, Call: id}.WithText(isup.Description, fmt.Sprintf("room %d of %v", o.answers, id)), after, true
+	s.answers++
+	return isup.Message{Type: isup.Answer, Call: id}.WithText(isup.Description, fmt.Sprintf("room %d of %v", s.answers, id)), after, true
 }
 
 // SentByTwoAgents returns the calls that more than one agent sent to this server.
-func (o *SetupServer) SentByTwoAgents() (out []string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for id, by := range o.sent {
+func (s *SetupServer) SentByTwoAgents() (out []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, by := range s.sent {
 		if len(by) > 1 {
 			out = append(out, fmt.Sprintf("%v by %v", id, by))
 		}
