--- a/internal/lab/emulator/checker.go
+++ b/internal/lab/emulator/checker.go
@@ -11,76 +11,78 @@
 	"woodrouter/isup"
 )
 
-// Slack is what the checker allows for the way of a message through a busy machine beside the
-// 50 ms of the rules.
+// Slack is the time that the checker allows for a message's way through a busy machine, in addition to the
+// 50 ms that the rules allow.
 const Slack = 100 * time.Millisecond
 
-// Checker reads the wire and notes broken rules: a second copy, a set-up after a drain was told,
-// one within the wait for a release, too many attempts, a cold server pushed over, a set-up
-// that no caller sent, an answer that is missing, late, double or of nobody's making.
+// Checker checks the messages that servers and callers send and receive, and records broken rules: a second
+// copy of a call, a set-up to a server whose drain was announced, a set-up too soon after the release of the
+// last one, too many attempts, an overloaded cold server, a set-up that no caller sent, and an answer that is
+// missing, late, repeated or that no server gave.
 type Checker struct {
 	world *World
 
 	mu            sync.Mutex
 	calls         map[isup.CallID]*callRecord
-	broken        map[string][]string
-	answers       map[isup.CallID]map[string]bool // what servers answered
-	counts        map[string]int
-	processDelays [4]time.Duration // how late this process was, at the most, in each of the last seconds
+	broken        map[string][]string             // by rule: details of its first cases
+	answers       map[isup.CallID]map[string]bool // descriptions that servers answered with
+	counts        map[string]int                  // by rule: how often it was broken
+	processDelays [4]time.Duration                // longest scheduling delay in each of the last seconds
 	done          chan struct{}
 }
 
-// measureDelay measures how late this process runs: hundreds of agents share the machine with it, and a
-// message that it reads late was sent in time.
-func (k *Checker) measureDelay() {
+// measureDelay measures this process's scheduling delay. Hundreds of agents share the machine with it, and
+// a message that it reads late may have been sent in time.
+func (c *Checker) measureDelay() {
 	const step = 5 * time.Millisecond
 	tick := time.NewTicker(step)
 	defer tick.Stop()
 	for last := time.Now(); ; {
 		select {
-		case <-k.done:
+		case <-c.done:
 			return
 		case <-tick.C:
 		}
 		now := time.Now()
-		k.mu.Lock()
-		i := now.Unix() % int64(len(k.processDelays))
+		c.mu.Lock()
+		i := now.Unix() % int64(len(c.processDelays))
 		if now.Unix() != last.Unix() {
-			k.processDelays[i] = 0
+			c.processDelays[i] = 0
 		}
-		k.processDelays[i] = max(k.processDelays[i], now.Sub(last)-step)
-		k.mu.Unlock()
+		c.processDelays[i] = max(c.processDelays[i], now.Sub(last)-step)
+		c.mu.Unlock()
 		last = now
 	}
 }
 
-// maxProcessDelay is how late this process may run for what it sees to prove anything about who was first:
-// later, the machine had too little time for all, and the agents were late as well.
+// maxProcessDelay is the longest scheduling delay of this process with which the order of messages proves
+// anything. Beyond it the machine was overloaded, and the agents were delayed as well.
 const maxProcessDelay = 150 * time.Millisecond
 
-// Starved tells whether the machine was too busy lately for a missing answer to be an agent's fault.
-func (k *Checker) Starved() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.starved()
+// Starved reports whether the machine was so busy in the last seconds that a missing answer proves no agent's
+// fault.
+func (c *Checker) Starved() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.starved()
 }
 
-func (k *Checker) starved() bool { return slices.Max(k.processDelays[:]) > maxProcessDelay }
+func (c *Checker) starved() bool { return slices.Max(c.processDelays[:]) > maxProcessDelay }
 
-// slack is Slack and how late this process was lately.
-func (k *Checker) slack() time.Duration { return Slack + slices.Max(k.processDelays[:]) }
+// slack returns Slack plus the longest recent scheduling delay of this process.
+func (c *Checker) slack() time.Duration { return Slack + slices.Max(c.processDelays[:]) }
 
-// callRecord is the attempts of one call.
+// callRecord is what the checker knows of a call's attempts.
 type callRecord struct {
-	attempts     int
-	pendingAt    *Server // that an attempt is out at; nil: none
-	agent        int
-	failedTime   time.Time // when an attempt ended badly last,
-	failedServer *Server   // and where
+	attempts      int
+	pendingAt     *Server // the server that has a set-up without an answer; nil: none
+	agent         int
+	givenUpAt     time.Time // when the last attempt ended without its server's answer; zero: it did not
+	givenUpServer *Server   // its server
 }
 
-// linkHeld tells whether a give-up to a server may be on its way still: the link has held it back, or
-// did lately. The agent has written it, and knows no more.
+// linkHeld reports whether an agent's release of a set-up may still be on its way to the server, as the link
+// holds data back or did recently. The agent has sent it and can't know more.
 func linkHeld(s *Server, agent int) bool { return s != nil && s.links[agent].HeldWithin(2*time.Second) }
 
 func newChecker(w *World) *Checker {
@@ -90,40 +92,42 @@
 	return k
 }
 
-// addCall enters a call that a caller is about to send.
-func (k *Checker) addCall(id isup.CallID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.calls[id] = &callRecord{}
+// addCall adds a call that a caller is about to send.
+func (c *Checker) addCall(id isup.CallID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls[id] = &callRecord{}
 }
 
-// removeCall drops a call of which nothing more can come.
-func (k *Checker) removeCall(id isup.CallID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.calls, id)
-	delete(k.answers, id)
+// removeCall removes a call for which no more messages can arrive.
+func (c *Checker) removeCall(id isup.CallID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.calls, id)
+	delete(c.answers, id)
 }
 
-func (k *Checker) recordBroken(rule, format string, args ...any) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.recordBrokenLocked(rule, format, args...)
+// recordBroken records a case of a broken rule.
+func (c *Checker) recordBroken(rule, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.recordBrokenLocked(rule, format, args...)
 }
 
-func (k *Checker) recordBrokenLocked(rule, format string, args ...any) {
-	if k.counts[rule]++; len(k.broken[rule]) < 5 {
-		k.broken[rule] = append(k.broken[rule], fmt.Sprintf(format, args...))
+// recordBrokenLocked is recordBroken with c.mu held. It keeps the details of each rule's first five cases.
+func (c *Checker) recordBrokenLocked(rule, format string, args ...any) {
+	if c.counts[rule]++; len(c.broken[rule]) < 5 {
+		c.broken[rule] = append(c.broken[rule], fmt.Sprintf(format, args...))
 	}
 }
 
-// Err names what was broken; nil for nothing.
-func (k *Checker) Err() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Err returns an error that lists the broken rules, or nil.
+func (c *Checker) Err() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var all []string
-	for _, rule := range slices.Sorted(maps.Keys(k.counts)) {
-		all = append(all, fmt.Sprintf("%s: %d times: %s", rule, k.counts[rule], strings.Join(k.broken[rule], "; ")))
+	for _, rule := range slices.Sorted(maps.Keys(c.counts)) {
+		all = append(all, fmt.Sprintf("%s: %d times: %s", rule, c.counts[rule], strings.Join(c.broken[rule], "; ")))
 	}
 	if all == nil {
 		return nil
@@ -131,79 +135,81 @@
 	return fmt.Errorf("rules broken: %s", strings.Join(all, " | "))
 }
 
-// Broken counts the broken rules by name.
-func (k *Checker) Broken() map[string]int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return maps.Clone(k.counts)
+// Broken returns how often each rule was broken, by the rule's name.
+func (c *Checker) Broken() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.counts)
 }
 
-// checkSetUp checks a set-up as it comes whole. The server's lock is held.
-func (k *Checker) checkSetUp(s *Server, agent int, m isup.Message, now time.Time) {
-	d := k.world.Deployment
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	t := k.calls[m.Call]
+// checkSetUp checks a set-up that a server received. The server's lock is held.
+func (c *Checker) checkSetUp(s *Server, agent int, m isup.Message, now time.Time) {
+	d := c.world.Deployment
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.calls[m.Call]
 	if t == nil {
-		k.recordBrokenLocked("set-up that no caller sent", "%v at %s by agent %d", m.Call, s.ID, agent)
+		c.recordBrokenLocked("set-up that no caller sent", "%v at %s by agent %d", m.Call, s.ID, agent)
 		return
 	}
-	if t.pendingAt != nil && !linkHeld(t.pendingAt, t.agent) && !k.starved() {
-		k.recordBrokenLocked("second copy", "%v at %s by agent %d, out at %s by agent %d", m.Call, s.ID, agent, t.pendingAt.ID, t.agent)
+	if t.pendingAt != nil && !linkHeld(t.pendingAt, t.agent) && !c.starved() {
+		c.recordBrokenLocked("second copy", "%v at %s by agent %d, out at %s by agent %d", m.Call, s.ID, agent, t.pendingAt.ID, t.agent)
 	}
-	if gap := now.Sub(t.failedTime); !t.failedTime.IsZero() && gap < d.ClearWait-k.slack() && !linkHeld(t.failedServer, t.agent) {
-		k.recordBrokenLocked("release not awaited", "%v at %s by agent %d %v after a bad end", m.Call, s.ID, agent, gap)
+	if gap := now.Sub(t.givenUpAt); !t.givenUpAt.IsZero() && gap < d.ClearWait-c.slack() && !linkHeld(t.givenUpServer, t.agent) {
+		c.recordBrokenLocked("release not awaited", "%v at %s by agent %d %v after a bad end", m.Call, s.ID, agent, gap)
 	}
 	if t.attempts++; t.attempts > d.MaxAttempts {
-		k.recordBrokenLocked("too many attempts", "%v: %d", m.Call, t.attempts)
+		c.recordBrokenLocked("too many attempts", "%v: %d", m.Call, t.attempts)
 	}
-	if at, ok := s.drainAnnounced(agent, now); ok && !linkHeld(s, agent) && now.Sub(at) > d.DrainGrace+50*time.Millisecond+k.slack() {
-		k.recordBrokenLocked("drain not kept", "%v at %s by agent %d, %v after it was told", m.Call, s.ID, agent, now.Sub(at))
+	if at, ok := s.drainAnnounced(agent, now); ok && !linkHeld(s, agent) && now.Sub(at) > d.DrainGrace+50*time.Millisecond+c.slack() {
+		c.recordBrokenLocked("drain not kept", "%v at %s by agent %d, %v after it was told", m.Call, s.ID, agent, now.Sub(at))
 	}
 	t.pendingAt, t.agent = s, agent
 }
 
-// attemptEnded notes the end of an attempt that its server is about to write.
-func (k *Checker) attemptEnded(s *Server, agent int, id isup.CallID) {
-	k.closeAttempt(s, agent, id, time.Time{})
+// attemptEnded records that a server ends an attempt: it refuses the set-up or goes silent.
+func (c *Checker) attemptEnded(s *Server, agent int, id isup.CallID) {
+	c.closeAttempt(s, agent, id, time.Time{})
 }
 
-// attemptGivenUp notes a set-up that was given up, or broke on its way.
-func (k *Checker) attemptGivenUp(s *Server, agent int, id isup.CallID) {
-	k.closeAttempt(s, agent, id, time.Now())
+// attemptGivenUp records a set-up that its agent gave up, or that ended with its connection.
+func (c *Checker) attemptGivenUp(s *Server, agent int, id isup.CallID) {
+	c.closeAttempt(s, agent, id, time.Now())
 }
 
-func (k *Checker) closeAttempt(s *Server, agent int, id isup.CallID, bad time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if t := k.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
-		t.pendingAt, t.failedTime, t.failedServer = nil, bad, s
+// closeAttempt ends an attempt. givenUpAt is when it was given up; zero: it was not.
+func (c *Checker) closeAttempt(s *Server, agent int, id isup.CallID, givenUpAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if t := c.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
+		t.pendingAt, t.givenUpAt, t.givenUpServer = nil, givenUpAt, s
 	}
 }
 
-// attemptStood notes an answer that a server is about to give.
-func (k *Checker) attemptStood(s *Server, agent int, id isup.CallID, room string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.answers[id] == nil {
-		k.answers[id] = map[string]bool{}
+// attemptStood records an answer that a server is about to give.
+func (c *Checker) attemptStood(s *Server, agent int, id isup.CallID, description string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.answers[id] == nil {
+		c.answers[id] = map[string]bool{}
 	}
-	k.answers[id][room] = true
-	if t := k.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
-		t.pendingAt, t.failedTime = nil, time.Time{}
+	c.answers[id][description] = true
+	if t := c.calls[id]; t != nil && t.pendingAt == s && t.agent == agent {
+		t.pendingAt, t.givenUpAt = nil, time.Time{}
 	}
 }
 
-// checkAnswer checks what a caller was told: room is the description of a call that stands.
-func (k *Checker) checkAnswer(id isup.CallID, room string, late time.Duration, again bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// checkAnswer checks an answer that a caller received. description is that of the call, late is how
+// much later than answerGrace after its deadline it came, and repeated says that there was an answer before.
+func (c *Checker) checkAnswer(id isup.CallID, description string, late time.Duration, repeated bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
-	case again:
-		k.recordBrokenLocked("answered twice", "%v", id)
-	case late > 0 && !k.starved():
-		k.recordBrokenLocked("answered late", "%v: %v after its deadline", id, late)
-	case room != "" && !k.answers[id][room]:
-		k.recordBrokenLocked("served with what no server made", "%v: %q", id, room)
+	case repeated:
+		c.recordBrokenLocked("answered twice", "%v", id)
+	case late > 0 && !c.starved():
+		c.recordBrokenLocked("answered late", "%v: %v after its deadline", id, late)
+	case description != "" && !c.answers[id][description]:
+		c.recordBrokenLocked("served with what no server made", "%v: %q", id, description)
 	}
 }
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -33,26 +33,27 @@
 	d := emulator.Campus()
 	ctx, cancel := context.WithTimeout(ctx, c.For+time.Minute)
 	defer cancel()
-	k, err := cluster.Start(ctx, cluster.Config{Bin: bin, Dir: dir, Deployment: d, Agents: 2, Servers: 3, Seed: 1})
+	agents, err := cluster.Start(ctx, cluster.Config{Bin: bin, Dir: dir, Deployment: d, Agents: 2, Servers: 3, Seed: 1})
 	if err != nil {
 		return err
 	}
-	defer k.Close()
-	fmt.Fprintf(out, "two call agents at %s and %s, three setup servers, %.0f calls a second\n", k.Addr(0), k.Addr(1), 0.6*d.Total(3))
-	calls := k.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(2, 0.6*d.Total(3), 1), Seed: 1, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
+	defer agents.Close()
+	fmt.Fprintf(out, "two call agents at %s and %s, three setup servers, %.0f calls a second\n", agents.Addr(0), agents.Addr(1), 0.6*d.Total(3))
+	calls := agents.StartCallers(ctx, emulator.Load{Rates: emulator.UnevenRates(2, 0.6*d.Total(3), 1), Seed: 1, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
 	fleetlab.Pause(ctx, c.For)
 	calls.Wait()
 	sum, _ := calls.Tally()
 	fmt.Fprintf(out, "%d calls: %d stood in time, %d late, %d tries refused, %d failed; %.1f%% of their worth served\n",
 		sum.Calls, sum.Served, sum.Late, sum.Refused, sum.Failed, 100*sum.Share())
-	for _, s := range k.World.Listed() {
+	for _, s := range agents.World.Listed() {
 		n := s.Counts()
 		fmt.Fprintf(out, "setup server %s: %d set-ups, %d stood, %d turned away\n", s.ID, n.SetUps, n.Stood, n.TurnedAway)
 	}
-	return k.World.Check.Err()
+	return agents.World.Check.Err()
 }
 
-// run plays one run for each policy and tells of each.
+// run plays one run for each policy and reports each. It fails if an agents' run breaks a rule; the reference
+// policies may.
 func (c fleetCommand) run(ctx context.Context, bin, dir string, out io.Writer) error {
 	broken := 0
 	for _, policy := range c.Policy {
@@ -75,10 +76,12 @@
 	return nil
 }
 
+// isReference reports whether a policy is one that the agents' policy is compared with.
 func isReference(policy string) bool {
 	return policy == fleetlab.Random || policy == fleetlab.Least || policy == fleetlab.Dispatcher
 }
 
+// newRun returns the run for one value of --policy.
 func (c fleetCommand) newRun(policy, bin, dir string) (fleetlab.Run, error) {
 	r := fleetlab.Run{Bin: bin, Dir: dir, Seed: c.Seed, Agents: c.Agents, Servers: c.Servers, Load: c.Load, Choice: c.Choice, Calm: c.Calm, Faults: c.Faults}
 	if len(c.Faults) == 1 && c.Faults[0] == "none" {
