--- a/internal/lab/chainlab/chain_test.go
+++ b/internal/lab/chainlab/chain_test.go
@@ -33,40 +33,40 @@
 	const calls = 60
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := newRig(bin, t.TempDir())
+	bed, err := newTestbed(bin, t.TempDir())
 	require.NoError(t, err)
-	defer r.close()
-	for w, between := range map[way]int{agents: 3, relays: 3, direct: 0} {
-		t.Run(w.String(), func(t *testing.T) {
-			c, err := r.chain(ctx, 3, w)
+	defer bed.close()
+	for v, between := range map[variant]int{withAgents: 3, withRelays: 3, direct: 0} {
+		t.Run(v.String(), func(t *testing.T) {
+			c, err := bed.startChain(ctx, 3, v)
 			require.NoError(t, err)
 			defer c.close()
-			require.Len(t, c.agents, between)
-			got, err := c.play(ctx, load{rate: 200, span: time.Minute, most: calls, seed: 1})
+			require.Len(t, c.processes, between)
+			got, err := c.runLoad(ctx, load{rate: 200, span: time.Minute, maxCalls: calls, seed: 1})
 			require.NoError(t, err)
-			require.NoError(t, got.err())
+			require.NoError(t, got.check())
 			assert.Equal(t, []int{calls, calls, 0, 0}, []int{got.asked, got.answered, got.refused, got.lost})
 			assert.EqualValues(t, calls, got.latency.TotalCount())
 			assert.EqualValues(t, 3*calls, got.hops.TotalCount(), "each hop of each call")
-			for k, p := range c.peers {
-				assert.EqualValues(t, calls, p.setUps.Load(), "set-ups at server %d", k)
-				assert.Zero(t, p.twice.Load()+p.refused.Load(), "server %d", k)
+			for k, server := range c.servers {
+				assert.EqualValues(t, calls, server.setUps.Load(), "set-ups at server %d", k)
+				assert.Zero(t, server.duplicates.Load()+server.refused.Load(), "server %d", k)
 				last := int64(0)
 				if k == 2 {
 					last = calls
 				}
-				assert.Equal(t, last, p.last.Load(), "answered by server %d itself", k)
+				assert.Equal(t, last, server.answeredHere.Load(), "answered by server %d itself", k)
 			}
-			for _, a := range c.agents {
+			for _, a := range c.processes {
 				spent, err := processorTime(a.PID())
 				assert.NoError(t, err)
-				did, err := workOf(a.PID())
+				did, err := readWork(a.PID())
 				assert.NoError(t, err)
 				assert.InDelta(t, spent.Seconds(), did.processor.Seconds(), 0.1, "two accounts of one thing")
-				assert.True(t, did.writes >= 2*calls && did.reads > 0 && did.wakes > 0, "%+v: a set-up and an answer are written for each call", did)
-				rss, err := resident(a.PID())
+				assert.True(t, did.writes >= 2*calls && did.reads > 0 && did.wakeUps > 0, "%+v: a set-up and an answer are written for each call", did)
+				rss, err := residentBytes(a.PID())
 				assert.NoError(t, err)
-				fds, err := descriptors(a.PID())
+				fds, err := countDescriptors(a.PID())
 				assert.NoError(t, err)
 				assert.True(t, spent >= 0 && rss > 1<<20 && fds > 3, "%v, %d bytes, %d descriptors", spent, rss, fds)
 				if t.Failed() {
@@ -84,37 +84,37 @@
 func TestLists(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := newRig(bin, t.TempDir())
+	bed, err := newTestbed(bin, t.TempDir())
 	require.NoError(t, err)
-	defer r.close()
-	var servers []*peer
+	defer bed.close()
+	var servers []*chainServer
 	for range 100 {
-		p, err := r.peer("")
+		p, err := bed.startServer("")
 		require.NoError(t, err)
 		defer p.close()
 		servers = append(servers, p)
 	}
-	m := Lists{Settle: 10 * time.Second, Calm: 100 * time.Millisecond, Patience: 5 * time.Second}
-	few, err := m.play(ctx, r, servers[:8], 64)
+	m := Lists{SettleTimeout: 10 * time.Second, QuietSpan: 100 * time.Millisecond, CallTimeout: 5 * time.Second}
+	few, err := m.run(ctx, bed, servers[:8], 64)
 	require.NoError(t, err)
-	assert.Equal(t, 8, few.held)
+	assert.Equal(t, 8, few.connected)
 	assert.Equal(t, 21, few.callers)
 	assert.Equal(t, outcomes{answered: 21}, few.first)
 	assert.Equal(t, outcomes{answered: 21}, few.second)
 	assert.Zero(t, few.demand.asked, "each has a connection")
-	m.Settle = time.Second // it can't have them all
-	many, err := m.play(ctx, r, servers, 64)
+	m.SettleTimeout = time.Second // it can't have them all
+	many, err := m.run(ctx, bed, servers, 64)
 	require.NoError(t, err)
-	assert.LessOrEqual(t, max(many.held, many.heldAfter), 14, "its part of the descriptors")
-	assert.LessOrEqual(t, max(many.descriptors, many.used), 64)
-	assert.NotZero(t, many.ready)
+	assert.LessOrEqual(t, max(many.connected, many.connectedAfter), 14, "its part of the descriptors")
+	assert.LessOrEqual(t, max(many.descriptors, many.descriptorsAfter), 64)
+	assert.NotZero(t, many.readyAfter)
 	assert.Equal(t, outcomes{answered: 21}, many.first)
 	assert.Equal(t, outcomes{answered: 21}, many.second)
-	assert.NotZero(t, many.demand.there)
-	assert.LessOrEqual(t, many.demand.elsewhere, many.demand.asked-many.demand.there)
-	assert.Equal(t, []int{16, 0}, []int{many.stood.asked, many.stood.refused})
-	assert.NotZero(t, many.stood.elsewhere, "there are fourteen places, and calls stand at them")
-	assert.Equal(t, " 0 0 0 0 0", many.log, "none was out of descriptors, none turned away")
+	assert.NotZero(t, many.demand.answeredThere)
+	assert.LessOrEqual(t, many.demand.elsewhere, many.demand.asked-many.demand.answeredThere)
+	assert.Equal(t, []int{16, 0}, []int{many.standing.asked, many.standing.refused})
+	assert.NotZero(t, many.standing.elsewhere, "there are fourteen places, and calls stand at them")
+	assert.Equal(t, " 0 0 0 0 0", many.logCounts, "none was out of descriptors, none turned away")
 	t.Logf("%+v\n%+v", few, many)
 }
 
@@ -126,7 +126,7 @@
 	var out strings.Builder
 	require.NoError(t, Path{Bin: bin, Former: bin, Dir: t.TempDir(), Lengths: []int{1, 2}, Rate: 100, Rounds: 2, Span: 300 * time.Millisecond}.Run(ctx, &out))
 	require.NoError(t, Ramp{Bin: bin, Dir: t.TempDir(), Lengths: []int{1}, Base: 64, First: 100, Factor: 2, Steps: 2, Span: 300 * time.Millisecond}.Run(ctx, &out))
-	require.NoError(t, Memory{Bin: bin, Dir: t.TempDir(), Step: 100, Looks: 2, Repeats: 1, MemoryMB: 64, CallRate: 1000}.Run(ctx, &out))
+	require.NoError(t, Memory{Bin: bin, Dir: t.TempDir(), Step: 100, Samples: 2, Repeats: 1, MemoryMB: 64, CallRate: 1000}.Run(ctx, &out))
 	for _, want := range []string{"chain of 1\n", "chain of 2\n", "by relays", "ours, former", "highest rate that held", "calls that stand", "calls that wait for their answer", "idle connections of callers"} {
 		assert.Contains(t, out.String(), want)
 	}
--- a/internal/lab/chainlab/lists.go
+++ b/internal/lab/chainlab/lists.go
@@ -21,201 +21,201 @@
 // part of the descriptors, and callers may have a third of the limit. Where it keeps a subset, calls
 // whose first choice has no connection tell what a dial on demand adds to them.
 type Lists struct {
-	Bin, Dir string
-	Servers  []int
-	Sockets  []int
-	Target   int           // servers that the plan has
-	Settle   time.Duration // most that an agent gets for its connections to come up
-	Calm     time.Duration // counted without callers
-	Patience time.Duration // of a caller
+	Bin, Dir      string
+	Servers       []int
+	Sockets       []int
+	Target        int           // servers that the plan has
+	SettleTimeout time.Duration // most that an agent gets for its connections to come up
+	QuietSpan     time.Duration // counted without callers
+	CallTimeout   time.Duration // of a caller
 }
 
-// callerPart is what callers may have of the descriptors: one in so many.
-const callerPart = 3
+// callerDivisor is what callers may have of the descriptors: one in so many.
+const callerDivisor = 3
 
-// cell is what one agent showed.
-type cell struct {
-	ready                    time.Duration // until a test was passed; 0: never within Settle
-	held, descriptors        int           // before callers came
-	processor                float64       // cores, then
-	polls                    int64         // of the bulletin, then
-	callers, heldAfter, used int
-	first, second            outcomes // each caller's first call, and its next 1 s later
-	rss                      int64
-	log                      string
-	demand                   demand
-	stood                    demand // calls that were not released, at more servers than the agent has places for
+// listResult is what one agent showed.
+type listResult struct {
+	readyAfter                                time.Duration // until a test was passed; 0: never within Settle
+	connected, descriptors                    int           // before callers came
+	cores                                     float64       // cores, then
+	polls                                     int64         // of the bulletin, then
+	callers, connectedAfter, descriptorsAfter int
+	first, second                             outcomes // each caller's first call, and its next 1 s later
+	rss                                       int64
+	logCounts                                 string
+	demand                                    demandResult
+	standing                                  demandResult // calls that were not released, at more servers than the agent has places for
 }
 
-// demand is what calls whose first choice had no connection showed, and the next call to each of those
+// demandResult is what calls whose first choice had no connection showed, and the next call to each of those
 // servers, which had one then.
-type demand struct {
-	asked, there, elsewhere int // answered by the server asked for, by another
-	refused                 int // or not at all
-	dialled, connected      []time.Duration
+type demandResult struct {
+	asked, answeredThere, elsewhere int // answered by the server asked for, by another
+	refused                         int // or not at all
+	dialTimes, connectedTimes       []time.Duration
 }
 
-// demandMost is how many servers without a connection are asked for.
-const demandMost = 20
+// maxDemandCalls is how many servers without a connection are asked for.
+const maxDemandCalls = 20
 
 // outcomes counts what callers were told.
-type outcomes struct{ answered, refused, ended, unheard int }
+type outcomes struct{ answered, refused, ended, unanswered int }
 
 func (o outcomes) String() string {
-	return fmt.Sprintf("%d/%d/%d/%d", o.answered, o.refused, o.ended, o.unheard)
+	return fmt.Sprintf("%d/%d/%d/%d", o.answered, o.refused, o.ended, o.unanswered)
 }
 
 // Run plays every list with every limit.
 func (m Lists) Run(ctx context.Context, out io.Writer) error {
-	r, err := newRig(m.Bin, m.Dir)
+	bed, err := newTestbed(m.Bin, m.Dir)
 	if err != nil {
 		return err
 	}
-	defer r.close()
+	defer bed.close()
 	most := 0
 	for _, n := range m.Servers {
 		most = max(most, n)
 	}
-	var servers []*peer
+	var servers []*chainServer
 	for range most {
-		p, err := r.peer("")
+		server, err := bed.startServer("")
 		if err != nil {
 			return err
 		}
-		defer p.close()
-		servers = append(servers, p)
+		defer server.close()
+		servers = append(servers, server)
 	}
-	fmt.Fprintf(out, "agents that the system holds to their descriptors (ulimit -n); callers' connections: one in %d of the limit, dialled over 1 s, a call each, 1 s later another over 1 s, and held until the last; outcomes: answered/refused/connection ended/unheard after %v\n", callerPart, m.Patience)
+	fmt.Fprintf(out, "agents that the system holds to their descriptors (ulimit -n); callers' connections: one in %d of the limit, dialled over 1 s, a call each, 1 s later another over 1 s, and held until the last; outcomes: answered/refused/connection ended/unheard after %v\n", callerDivisor, m.CallTimeout)
 	fmt.Fprintf(out, "  %7s %7s | %6s %5s %5s %6s %5s | %7s %5s %5s %-17s %-17s | %6s | log: server not reached, accept failed, turned away, ended for a new one, bulletin\n", "sockets", "servers",
 		"ready", "held", "fds", "cores", "polls", "callers", "held", "fds", "first call", "second call", "MB")
 	for _, sockets := range m.Sockets {
 		var x, y []float64
 		base := 0
 		for _, n := range m.Servers {
-			c, err := m.play(ctx, r, servers[:n], sockets)
+			res, err := m.run(ctx, bed, servers[:n], sockets)
 			if err != nil {
 				return err
 			}
 			ready := "never"
-			if c.ready > 0 {
-				ready = c.ready.Round(time.Millisecond).String()
+			if res.readyAfter > 0 {
+				ready = res.readyAfter.Round(time.Millisecond).String()
 			}
-			fmt.Fprintf(out, "  %7d %7d | %6s %5d %5d %6.3f %5d | %7d %5d %5d %-17s %-17s | %6.1f |%s\n", sockets, n, ready, c.held, c.descriptors, c.processor, c.polls,
-				c.callers, c.heldAfter, c.used, c.first, c.second, float64(c.rss)/(1<<20), c.log)
-			if d := c.demand; d.asked > 0 {
+			fmt.Fprintf(out, "  %7d %7d | %6s %5d %5d %6.3f %5d | %7d %5d %5d %-17s %-17s | %6.1f |%s\n", sockets, n, ready, res.connected, res.descriptors, res.cores, res.polls,
+				res.callers, res.connectedAfter, res.descriptorsAfter, res.first, res.second, float64(res.rss)/(1<<20), res.logCounts)
+			if demand := res.demand; demand.asked > 0 {
 				fmt.Fprintf(out, "  %7s %7s   first choice without a connection: %d asked for, %d answered there, %d elsewhere; answer after %s, the next call to the same after %s (p50, longest)\n",
-					"", "", d.asked, d.there, d.elsewhere, spanOf(d.dialled), spanOf(d.connected))
-				s := c.stood
+					"", "", demand.asked, demand.answeredThere, demand.elsewhere, formatTimes(demand.dialTimes), formatTimes(demand.connectedTimes))
+				standing := res.standing
 				fmt.Fprintf(out, "  %7s %7s   the same, all left standing: %d asked for, %d answered there, %d elsewhere, %d not; answer there after %s, elsewhere after %s\n",
-					"", "", s.asked, s.there, s.elsewhere, s.refused, spanOf(s.dialled), spanOf(s.connected))
+					"", "", standing.asked, standing.answeredThere, standing.elsewhere, standing.refused, formatTimes(standing.dialTimes), formatTimes(standing.connectedTimes))
 			}
-			if c.held == n {
-				base = c.descriptors - c.held
-				x, y = append(x, float64(n)), append(y, float64(c.rss))
+			if res.connected == n {
+				base = res.descriptors - res.connected
+				x, y = append(x, float64(n)), append(y, float64(res.rss))
 			}
 		}
 		if base > 0 {
-			edge := sockets - sockets/callerPart - base
+			edge := sockets - sockets/callerDivisor - base
 			fmt.Fprintf(out, "  %7d: %d descriptors beside servers and callers: by count a third for callers fits up to %d servers, %.0f%% of %d\n",
 				sockets, base, edge, 100*min(float64(edge)/float64(m.Target), 1), m.Target)
 		}
 		if len(x) > 1 {
-			fmt.Fprintf(out, "  %7d: bytes = a + b × servers, with its callers, where all are held: %s\n", sockets, fit(x, y))
+			fmt.Fprintf(out, "  %7d: bytes = a + b × servers, with its callers, where all are held: %s\n", sockets, formatFit(x, y))
 		}
 	}
 	return nil
 }
 
-func connections(servers []*peer) (n int) {
-	for _, p := range servers {
-		n += int(p.open.Load())
+func countConnections(servers []*chainServer) (n int) {
+	for _, server := range servers {
+		n += int(server.openConns.Load())
 	}
 	return n
 }
 
-func (m Lists) play(ctx context.Context, r *rig, servers []*peer, sockets int) (c cell, err error) {
-	a, err := r.agent(servers, limits{sockets: sockets, held: true})
+func (m Lists) run(ctx context.Context, bed *testbed, servers []*chainServer, sockets int) (res listResult, err error) {
+	process, err := bed.startAgent(servers, limits{sockets: sockets, enforceSockets: true})
 	if err != nil {
-		return c, err
+		return res, err
 	}
 	defer func() {
-		a.Kill()
-		for until := time.Now().Add(2 * time.Second); connections(servers) > 0 && time.Now().Before(until); {
+		process.Kill()
+		for until := time.Now().Add(2 * time.Second); countConnections(servers) > 0 && time.Now().Before(until); {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}()
 	began := time.Now()
-	if a.ready(ctx, m.Settle) == nil {
-		c.ready = time.Since(began)
+	if process.awaitReady(ctx, m.SettleTimeout) == nil {
+		res.readyAfter = time.Since(began)
 	}
-	if ctx.Err() != nil || !a.Running() {
-		return c, fmt.Errorf("agent with %d servers and %d descriptors: %s", len(servers), sockets, a.Log())
+	if ctx.Err() != nil || !process.Running() {
+		return res, fmt.Errorf("agent with %d servers and %d descriptors: %s", len(servers), sockets, process.Log())
 	}
-	for until := began.Add(m.Settle); connections(servers) < len(servers) && time.Now().Before(until); {
+	for until := began.Add(m.SettleTimeout); countConnections(servers) < len(servers) && time.Now().Before(until); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(500 * time.Millisecond)
-	before, err := processorTime(a.PID())
+	before, err := processorTime(process.PID())
 	if err != nil {
-		return c, err
+		return res, err
 	}
-	polls := r.polls.Load()
-	time.Sleep(m.Calm)
-	after, err := processorTime(a.PID())
+	polls := bed.polls.Load()
+	time.Sleep(m.QuietSpan)
+	after, err := processorTime(process.PID())
 	if err != nil {
-		return c, err
+		return res, err
 	}
-	c.processor, c.polls = (after-before).Seconds()/m.Calm.Seconds(), r.polls.Load()-polls
-	c.held = connections(servers)
-	if c.descriptors, err = descriptors(a.PID()); err != nil {
-		return c, err
+	res.cores, res.polls = (after-before).Seconds()/m.QuietSpan.Seconds(), bed.polls.Load()-polls
+	res.connected = countConnections(servers)
+	if res.descriptors, err = countDescriptors(process.PID()); err != nil {
+		return res, err
 	}
-	if c.demand, err = m.onDemand(ctx, a.addr, servers); err != nil {
-		return c, err
+	if res.demand, err = m.measureDemand(ctx, process.addr, servers); err != nil {
+		return res, err
 	}
-	c.callers = sockets / callerPart
+	res.callers = sockets / callerDivisor
 	var each sync.WaitGroup
 	var mu sync.Mutex
-	again, leave := make(chan struct{}), make(chan struct{}) // closed: the second calls come, callers may go
+	secondCalls, leave := make(chan struct{}), make(chan struct{}) // closed: the second calls come, callers may go
 	var firsts, seconds sync.WaitGroup
-	firsts.Add(c.callers)
-	seconds.Add(c.callers)
-	for i := range c.callers {
+	firsts.Add(res.callers)
+	seconds.Add(res.callers)
+	for i := range res.callers {
 		each.Go(func() {
-			turn := time.Second * time.Duration(i) / time.Duration(c.callers)
+			turn := time.Second * time.Duration(i) / time.Duration(res.callers)
 			time.Sleep(turn)
-			k := &single{addr: a.addr, patience: m.Patience}
-			defer k.close()
-			k.call(&mu, &c.first)
+			caller := &singleCaller{addr: process.addr, timeout: m.CallTimeout}
+			defer caller.close()
+			caller.countCall(&mu, &res.first)
 			firsts.Done()
-			<-again
+			<-secondCalls
 			time.Sleep(turn)
-			k.call(&mu, &c.second)
+			caller.countCall(&mu, &res.second)
 			seconds.Done()
 			<-leave // a connection that ends makes room for another's
 		})
 	}
 	firsts.Wait()
-	c.heldAfter = connections(servers)
-	if c.used, err = descriptors(a.PID()); err == nil {
-		c.rss, err = resident(a.PID())
+	res.connectedAfter = countConnections(servers)
+	if res.descriptorsAfter, err = countDescriptors(process.PID()); err == nil {
+		res.rss, err = residentBytes(process.PID())
 	}
 	time.Sleep(time.Second)
-	close(again)
+	close(secondCalls)
 	seconds.Wait()
-	if c.demand.asked > 0 {
-		c.stood = m.standing(ctx, a.addr, servers, sockets/standingPart)
+	if res.demand.asked > 0 {
+		res.standing = m.measureStanding(ctx, process.addr, servers, sockets/standingDivisor)
 	}
 	close(leave)
 	each.Wait()
 	for _, line := range []string{"setup server not reached", "accept failed", "caller turned away", "ended for a new one", "bulletin"} {
-		c.log += fmt.Sprint(" ", strings.Count(a.Log(), line))
+		res.logCounts += fmt.Sprint(" ", strings.Count(process.Log(), line))
 	}
-	return c, err
+	return res, err
 }
 
-// spanOf words the median and the longest of some times.
-func spanOf(all []time.Duration) string {
+// formatTimes words the median and the longest of some times.
+func formatTimes(all []time.Duration) string {
 	if len(all) == 0 {
 		return "-"
 	}
@@ -223,39 +223,39 @@
 	return fmt.Sprintf("%v, %v", all[len(all)/2].Round(time.Microsecond), all[len(all)-1].Round(time.Microsecond))
 }
 
-// onDemand places two calls, one after the other, to each of some servers to which the agent has no
+// measureDemand places two calls, one after the other, to each of some servers to which the agent has no
 // connection. Each is released once it is answered. The agent may take the places of the
 // connections made here again after that.
-func (m Lists) onDemand(ctx context.Context, addr string, servers []*peer) (d demand, err error) {
-	k := &single{addr: addr, patience: m.Patience}
-	defer k.close()
-	for i, p := range servers {
-		if d.asked == demandMost || ctx.Err() != nil {
+func (m Lists) measureDemand(ctx context.Context, addr string, servers []*chainServer) (d demandResult, err error) {
+	caller := &singleCaller{addr: addr, timeout: m.CallTimeout}
+	defer caller.close()
+	for i, server := range servers {
+		if d.asked == maxDemandCalls || ctx.Err() != nil {
 			break
 		}
-		if p.open.Load() > 0 {
+		if server.openConns.Load() > 0 {
 			continue
 		}
 		d.asked++
-		k.figures = fmt.Sprintf("dest:%d;%s", i, figures)
+		caller.figures = fmt.Sprintf("dest:%d;%s", i, setUpFigures)
 		for range 2 {
-			before, began := p.setUps.Load(), time.Now()
-			id, what := k.ask()
+			before, began := server.setUps.Load(), time.Now()
+			id, ending := caller.placeCall()
 			took := time.Since(began)
-			if what != isup.Answer {
-				return d, fmt.Errorf("call to server %d without a connection: not answered (%d)", i, what)
+			if ending != isup.Answer {
+				return d, fmt.Errorf("call to server %d without a connection: not answered (%d)", i, ending)
 			}
-			there := p.setUps.Load() > before
+			there := server.setUps.Load() > before
 			switch {
-			case len(d.dialled) == len(d.connected) && there:
-				d.there++
-				d.dialled = append(d.dialled, took)
+			case len(d.dialTimes) == len(d.connectedTimes) && there:
+				d.answeredThere++
+				d.dialTimes = append(d.dialTimes, took)
 			case there:
-				d.connected = append(d.connected, took)
+				d.connectedTimes = append(d.connectedTimes, took)
 			default:
 				d.elsewhere++
 			}
-			if err := k.release(id); err != nil {
+			if err := caller.release(id); err != nil {
 				return d, err
 			}
 			if !there {
@@ -269,111 +269,111 @@
 	return d, ctx.Err()
 }
 
-// standingPart is the part of the descriptors, one in so many, that is the number of calls left standing.
-const standingPart = 4
+// standingDivisor is the part of the descriptors, one in so many, that is the number of calls left standing.
+const standingDivisor = 4
 
-// standing places a call to each of some servers to which the agent has no connection, and leaves it
+// measureStanding places a call to each of some servers to which the agent has no connection, and leaves it
 // standing. connected are the answers of other servers than were asked for.
-func (m Lists) standing(ctx context.Context, addr string, servers []*peer, most int) (d demand) {
-	k := &single{addr: addr, patience: m.Patience}
-	defer k.close()
-	for i, p := range servers {
+func (m Lists) measureStanding(ctx context.Context, addr string, servers []*chainServer, most int) (d demandResult) {
+	caller := &singleCaller{addr: addr, timeout: m.CallTimeout}
+	defer caller.close()
+	for i, server := range servers {
 		if d.asked == most || ctx.Err() != nil {
 			break
 		}
-		if p.open.Load() > 0 {
+		if server.openConns.Load() > 0 {
 			continue
 		}
 		d.asked++
-		k.figures = fmt.Sprintf("dest:%d;%s", i, figures)
-		before, began := p.setUps.Load(), time.Now()
-		_, what := k.ask()
+		caller.figures = fmt.Sprintf("dest:%d;%s", i, setUpFigures)
+		before, began := server.setUps.Load(), time.Now()
+		_, ending := caller.placeCall()
 		took := time.Since(began)
 		switch {
-		case what != isup.Answer:
+		case ending != isup.Answer:
 			d.refused++
-		case p.setUps.Load() > before:
-			d.there++
-			d.dialled = append(d.dialled, took)
+		case server.setUps.Load() > before:
+			d.answeredThere++
+			d.dialTimes = append(d.dialTimes, took)
 		default:
 			d.elsewhere++
-			d.connected = append(d.connected, took)
+			d.connectedTimes = append(d.connectedTimes, took)
 		}
 	}
 	return d
 }
 
-// single is a caller with a connection and one call at a time.
-type single struct {
-	addr     string
-	patience time.Duration
-	conn     net.Conn
-	in       *bufio.Reader
-	dead     bool   // nothing can come any more
-	figures  string // of its set-ups; "": no first choice
+// singleCaller is a caller with a connection and one call at a time.
+type singleCaller struct {
+	addr    string
+	timeout time.Duration
+	conn    net.Conn
+	in      *bufio.Reader
+	failed  bool   // nothing can come any more
+	figures string // of its set-ups; "": no first choice
 }
 
-func (k *single) close() {
-	if k.conn != nil {
-		k.conn.Close()
+func (c *singleCaller) close() {
+	if c.conn != nil {
+		c.conn.Close()
 	}
 }
 
-// call places a call and counts what came of it.
-func (k *single) call(mu *sync.Mutex, to *outcomes) {
-	_, what := k.ask()
+// countCall places a call and counts what came of it.
+func (c *singleCaller) countCall(mu *sync.Mutex, to *outcomes) {
+	_, ending := c.placeCall()
 	mu.Lock()
 	defer mu.Unlock()
-	switch what {
+	switch ending {
 	case isup.Answer:
 		to.answered++
 	case isup.Release:
 		to.refused++
 	case 0:
-		to.unheard++
+		to.unanswered++
 	default:
 		to.ended++
 	}
 }
 
 // release ends a call that stands.
-func (k *single) release(id isup.CallID) error {
-	return (&wire{Conn: k.conn}).say(isup.Message{Type: isup.Release, Call: id}.WithCause(isup.Normal))
+func (c *singleCaller) release(id isup.CallID) error {
+	return (&messageConn{Conn: c.conn}).send(isup.Message{Type: isup.Release, Call: id}.WithCause(isup.Normal))
 }
 
-// ask places a call and returns the type of what ended its set-up; 0: nothing did in time, 255: its
+// placeCall places a call and returns the type of what ended its set-up; 0: nothing did in time, 255: its
 // connection ended, or none was to be had.
-func (k *single) ask() (id isup.CallID, what isup.Type) {
+func (c *singleCaller) placeCall() (id isup.CallID, ending isup.Type) {
 	const ended = 255
-	if k.dead {
+	if c.failed {
 		return 0, ended
 	}
-	if k.conn == nil {
-		conn, err := net.DialTimeout("tcp", k.addr, k.patience)
+	if c.conn == nil {
+		conn, err := net.DialTimeout("tcp", c.addr, c.timeout)
 		if err != nil {
-			k.dead = true
+			c.failed = true
 			return 0, ended
 		}
-		k.conn, k.in = conn, bufio.NewReader(conn)
+		c.conn, c.in = conn, bufio.NewReader(conn)
 	}
-	id = isup.CallID(ids.Add(1))
-	k.conn.SetDeadline(time.Now().Add(k.patience))
-	w := &wire{Conn: k.conn}
-	m := setUpMessage(id, class, left, id.String(), "offer")
-	if k.figures != "" {
-		m.Values[3].Data = []byte(k.figures)
+	id = isup.CallID(lastCallID.Add(1))
+	c.conn.SetDeadline(time.Now().Add(c.timeout))
+	w := &messageConn{Conn: c.conn}
+	m := setUpMessage(id, class, timeLeftMs, id.String(), "offer")
+	if c.figures != "" {
+		m.Values[3].Data = []byte(c.figures)
 	}
-	if err := w.say(m); err != nil {
-		k.dead = true
+	if err := w.send(m); err != nil {
+		c.failed = true
 		return id, ended
 	}
 	for {
-		m, err := isup.Read(k.in)
+		m, err := isup.Read(c.in)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return id, 0
 		case err != nil:
-			k.dead = true
+			c.failed = true
 			return id, ended
 		case m.Call == id && (m.Type == isup.Answer || m.Type == isup.Release):
 			return id, m.Type
--- a/internal/lab/chainlab/load.go
+++ b/internal/lab/chainlab/load.go
@@ -19,21 +19,21 @@
 
 // load is calls that come whether or not the chain keeps up.
 type load struct {
-	rate float64       // calls a second, Poisson
-	warm time.Duration // not counted
-	span time.Duration
-	most int // most calls; 0: as many as come
-	keep bool
-	seed uint64
+	rate         float64       // calls a second, Poisson
+	warmUp       time.Duration // not counted
+	span         time.Duration
+	maxCalls     int // most calls; 0: as many as come
+	keepStanding bool
+	seed         uint64
 }
 
 // result is what came of a load's calls. Latencies count from the moment at which a call was due,
 // so that a caller or chain that falls behind does not hide its own delay.
 type result struct {
 	asked, answered, refused, lost int // of the counted calls
-	twice, wrong                   int // answers of a call that has one; of a wrong depth
-	all                            int // calls sent, those of the warm-up too
-	latency, late                  *hdrhistogram.Histogram
+	answeredTwice, wrongDepth      int // answers of a call that has one; of a wrong depth
+	sent                           int // calls sent, those of the warm-up too
+	latency, lateness              *hdrhistogram.Histogram
 	hops                           *hdrhistogram.Histogram
 	took                           time.Duration // of the counted span
 	work                           work          // of all agents in it
@@ -41,114 +41,114 @@
 
 // answerMost is how long the last calls of a load are waited for; left is what calls are told.
 const (
-	answerMost = 3 * time.Second
-	left       = "9000"
+	drainTimeout = 3 * time.Second
+	timeLeftMs   = "9000"
 )
 
-// spin is how long before a call is due its goroutine stops sleeping and looks at the clock: sleeps
+// spinTime is how long before a call is due its goroutine stops sleeping and looks at the clock: sleeps
 // end late by some 50 µs.
-const spin = 80 * time.Microsecond
+const spinTime = 80 * time.Microsecond
 
-// ids are never used twice in a process: agents remember them.
-var ids atomic.Uint64
+// lastCallID are never used twice in a process: agents remember them.
+var lastCallID atomic.Uint64
 
-// call is one call of the table.
-type call struct {
+// placedCall is one call of the table.
+type placedCall struct {
 	due, sent time.Time
 	counted   bool
 	over      bool
 }
 
-// callers is one connection with its calls.
-type callers struct {
-	wire  *wire
-	depth int
-	keep  bool // calls that stand are kept; else each is released at once
+// callerConn is one connection with its calls.
+type callerConn struct {
+	conn         *messageConn
+	depth        int
+	keepStanding bool // calls that stand are kept; else each is released at once
 
 	mu      sync.Mutex
-	calls   map[isup.CallID]*call
-	open    int
-	none    chan struct{} // closed when nothing is open, once it is set
-	res     *result
+	calls   map[isup.CallID]*placedCall
+	pending int
+	drained chan struct{} // closed when nothing is open, once it is set
+	result  *result
 	readers sync.WaitGroup
 }
 
-func dial(addr string, depth int, keep bool) (*callers, error) {
+func dialCallers(addr string, depth int, keep bool) (*callerConn, error) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	c := &callers{wire: &wire{Conn: conn}, depth: depth, keep: keep, calls: map[isup.CallID]*call{},
-		res: &result{latency: newHistogram(), late: newHistogram(), hops: newHistogram()}}
-	c.readers.Go(func() { c.wire.each(c.hear) })
+	c := &callerConn{conn: &messageConn{Conn: conn}, depth: depth, keepStanding: keep, calls: map[isup.CallID]*placedCall{},
+		result: &result{latency: newHistogram(), lateness: newHistogram(), hops: newHistogram()}}
+	c.readers.Go(func() { c.conn.readAll(c.handle) })
 	return c, nil
 }
 
-// play has calls come to a chain and tells what came of them.
-func (c *chain) play(ctx context.Context, l load) (result, error) {
-	k, err := dial(c.entry, len(c.peers), l.keep)
+// runLoad has calls come to a chain and tells what came of them.
+func (c *chain) runLoad(ctx context.Context, l load) (result, error) {
+	caller, err := dialCallers(c.entryAddr, len(c.servers), l.keepStanding)
 	if err != nil {
 		return result{}, err
 	}
-	defer func() { k.wire.Close(); k.readers.Wait() }()
+	defer func() { caller.conn.Close(); caller.readers.Wait() }()
 	var before work
 	count := func() {
-		for _, p := range c.peers {
-			p.record(true)
+		for _, p := range c.servers {
+			p.recordHops(true)
 		}
-		before, err = c.work()
+		before, err = c.totalWork()
 	}
-	k.send(ctx, l, count)
+	caller.placeCalls(ctx, l, count)
 	if err != nil {
 		return result{}, err
 	}
-	after, err := c.work()
+	after, err := c.totalWork()
 	if err != nil {
 		return result{}, err
 	}
-	k.drain()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, p := range c.peers {
-		if h := p.record(false); h != nil {
-			k.res.hops.Merge(h)
+	caller.awaitAnswers()
+	caller.mu.Lock()
+	defer caller.mu.Unlock()
+	for _, p := range c.servers {
+		if h := p.recordHops(false); h != nil {
+			caller.result.hops.Merge(h)
 		}
 	}
-	k.res.work = after.plus(before, -1)
-	k.res.lost = k.res.asked - k.res.answered - k.res.refused
-	return *k.res, ctx.Err()
+	caller.result.work = after.addScaled(before, -1)
+	caller.result.lost = caller.result.asked - caller.result.answered - caller.result.refused
+	return *caller.result, ctx.Err()
 }
 
-// send sends calls when they are due; count is called as the warm-up ends.
-func (c *callers) send(ctx context.Context, l load, count func()) {
+// placeCalls sends calls when they are due; count is called as the warm-up ends.
+func (c *callerConn) placeCalls(ctx context.Context, l load, count func()) {
 	runtime.LockOSThread() // sleeps by the system: the runtime's timers are late by up to 1 ms
 	defer runtime.UnlockOSThread()
 	rng := rand.New(rand.NewPCG(l.seed, 41))
 	began := time.Now()
 	due, counting := began, false
-	for n := 0; l.most == 0 || n < l.most; n++ {
+	for n := 0; l.maxCalls == 0 || n < l.maxCalls; n++ {
 		due = due.Add(time.Duration(rng.ExpFloat64() / l.rate * float64(time.Second)))
-		if due.Sub(began) > l.warm+l.span || ctx.Err() != nil {
+		if due.Sub(began) > l.warmUp+l.span || ctx.Err() != nil {
 			break
 		}
-		if !counting && due.Sub(began) >= l.warm {
-			sleepUntil(began.Add(l.warm))
+		if !counting && due.Sub(began) >= l.warmUp {
+			sleepUntil(began.Add(l.warmUp))
 			count()
 			counting = true
 		}
 		sleepUntil(due)
 		c.place(due, counting)
 	}
-	if l.most == 0 && ctx.Err() == nil {
-		sleepUntil(began.Add(l.warm + l.span))
+	if l.maxCalls == 0 && ctx.Err() == nil {
+		sleepUntil(began.Add(l.warmUp + l.span))
 	}
 	c.mu.Lock()
-	c.res.took = time.Since(began) - l.warm
+	c.result.took = time.Since(began) - l.warmUp
 	c.mu.Unlock()
 }
 
 func sleepUntil(t time.Time) {
-	if d := time.Until(t) - spin; d > 0 {
+	if d := time.Until(t) - spinTime; d > 0 {
 		ts := syscall.NsecToTimespec(int64(d))
 		syscall.Nanosleep(&ts, nil) // cut short by a signal: the clock is looked at all the same
 	}
@@ -156,86 +156,86 @@
 	}
 }
 
-func (c *callers) place(due time.Time, counted bool) {
-	id := isup.CallID(ids.Add(1))
-	m := setUpMessage(id, class, left, id.String(), "offer")
-	k := &call{due: due, counted: counted, sent: time.Now()}
+func (c *callerConn) place(due time.Time, counted bool) {
+	id := isup.CallID(lastCallID.Add(1))
+	m := setUpMessage(id, class, timeLeftMs, id.String(), "offer")
+	placed := &placedCall{due: due, counted: counted, sent: time.Now()}
 	c.mu.Lock()
-	c.calls[id] = k
-	c.open++
-	c.res.all++
+	c.calls[id] = placed
+	c.pending++
+	c.result.sent++
 	if counted {
-		c.res.asked++
-		c.res.late.RecordValue(int64(k.sent.Sub(due)))
+		c.result.asked++
+		c.result.lateness.RecordValue(int64(placed.sent.Sub(due)))
 	}
 	c.mu.Unlock()
-	c.wire.say(m) // one that is gone shows in the calls that are lost
+	c.conn.send(m) // one that is gone shows in the calls that are lost
 }
 
-func (c *callers) hear(m isup.Message) {
+func (c *callerConn) handle(m isup.Message) {
 	now := time.Now()
 	if m.Type != isup.Answer && m.Type != isup.Release {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.calls[m.Call]
-	if k == nil {
+	placed := c.calls[m.Call]
+	if placed == nil {
 		return
 	}
-	if k.over {
+	if placed.over {
 		if m.Type == isup.Answer {
-			c.res.twice++
+			c.result.answeredTwice++
 		}
 		return
 	}
-	k.over = true
-	if c.open--; c.open == 0 && c.none != nil {
-		close(c.none)
-		c.none = nil
+	placed.over = true
+	if c.pending--; c.pending == 0 && c.drained != nil {
+		close(c.drained)
+		c.drained = nil
 	}
 	if m.Type == isup.Release {
-		if k.counted {
-			c.res.refused++
+		if placed.counted {
+			c.result.refused++
 		}
 		return
 	}
-	depth, below, err := readAnswer(m)
+	depth, below, err := parseAnswer(m)
 	if err != nil || depth != c.depth {
-		c.res.wrong++
+		c.result.wrongDepth++
 	}
-	if k.counted {
-		c.res.answered++
-		c.res.latency.RecordValue(int64(now.Sub(k.due)))
-		c.res.hops.RecordValue(int64(now.Sub(k.sent) - below))
+	if placed.counted {
+		c.result.answered++
+		c.result.latency.RecordValue(int64(now.Sub(placed.due)))
+		c.result.hops.RecordValue(int64(now.Sub(placed.sent) - below))
 	}
-	if !c.keep {
-		c.wire.say(isup.Message{Type: isup.Release, Call: m.Call}.WithCause(isup.Normal))
+	if !c.keepStanding {
+		c.conn.send(isup.Message{Type: isup.Release, Call: m.Call}.WithCause(isup.Normal))
 	}
 }
 
-// drain waits until every call has its answer, for a while.
-func (c *callers) drain() {
+// awaitAnswers waits until every call has its answer, for a while.
+func (c *callerConn) awaitAnswers() {
 	c.mu.Lock()
 	none := make(chan struct{})
-	if c.open == 0 {
+	if c.pending == 0 {
 		close(none)
 	} else {
-		c.none = none
+		c.drained = none
 	}
 	c.mu.Unlock()
 	select {
 	case <-none:
-	case <-time.After(answerMost):
+	case <-time.After(drainTimeout):
 	}
 }
 
-// err is what no chain may do, at any load.
-func (r result) err() error {
-	if r.twice > 0 || r.wrong > 0 {
-		return fmt.Errorf("%d calls: %d answered twice, %d of a wrong depth", r.all, r.twice, r.wrong)
+// check is what no chain may do, at any load.
+func (r result) check() error {
+	if r.answeredTwice > 0 || r.wrongDepth > 0 {
+		return fmt.Errorf("%d calls: %d answered twice, %d of a wrong depth", r.sent, r.answeredTwice, r.wrongDepth)
 	}
 	return nil
 }
 
-func us(ns int64) string { return strconv.FormatFloat(float64(ns)/1e3, 'f', 0, 64) }
+func formatMicros(ns int64) string { return strconv.FormatFloat(float64(ns)/1e3, 'f', 0, 64) }
--- a/internal/lab/chainlab/process.go
+++ b/internal/lab/chainlab/process.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// tick is the unit of processor time in /proc/PID/stat (USER_HZ, 100 on all of Linux's builds for
+// clockTick is the unit of processor time in /proc/PID/stat (USER_HZ, 100 on all of Linux's builds for
 // this architecture).
-const tick = 10 * time.Millisecond
+const clockTick = 10 * time.Millisecond
 
 // processorTime is what a process has had of processors, user and system.
 func processorTime(pid int) (time.Duration, error) {
@@ -33,22 +33,22 @@
 		}
 		sum += n
 	}
-	return time.Duration(sum) * tick, nil
+	return time.Duration(sum) * clockTick, nil
 }
 
 // work is what processes have done since their start.
 type work struct {
 	processor     time.Duration // to the nanosecond, of the threads there are
-	wakes         int64         // times that a thread gave its processor up to wait, and came back
+	wakeUps       int64         // times that a thread gave its processor up to wait, and came back
 	reads, writes int64         // system calls of these kinds
 }
 
-func (w work) plus(v work, times int64) work {
-	return work{w.processor + time.Duration(times)*v.processor, w.wakes + times*v.wakes, w.reads + times*v.reads, w.writes + times*v.writes}
+func (w work) addScaled(v work, times int64) work {
+	return work{w.processor + time.Duration(times)*v.processor, w.wakeUps + times*v.wakeUps, w.reads + times*v.reads, w.writes + times*v.writes}
 }
 
-// workOf reads a process's work. Go ends no thread, so that all threads' together is the process's.
-func workOf(pid int) (w work, err error) {
+// readWork reads a process's work. Go ends no thread, so that all threads' together is the process's.
+func readWork(pid int) (w work, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
 	if err != nil {
 		return w, err
@@ -62,21 +62,21 @@
 		if err != nil {
 			return w, err
 		}
-		waits, err := figure(t+"/status", "voluntary_ctxt_switches:")
+		switches, err := readNumber(t+"/status", "voluntary_ctxt_switches:")
 		if err != nil {
 			return w, err
 		}
-		w.processor, w.wakes = w.processor+time.Duration(ran), w.wakes+waits
+		w.processor, w.wakeUps = w.processor+time.Duration(ran), w.wakeUps+switches
 	}
 	io := fmt.Sprintf("/proc/%d/io", pid)
-	if w.reads, err = figure(io, "syscr:"); err == nil {
-		w.writes, err = figure(io, "syscw:")
+	if w.reads, err = readNumber(io, "syscr:"); err == nil {
+		w.writes, err = readNumber(io, "syscw:")
 	}
 	return w, err
 }
 
-// figure is the number behind a word at the beginning of a line.
-func figure(path, word string) (int64, error) {
+// readNumber is the number behind a word at the beginning of a line.
+func readNumber(path, word string) (int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
@@ -89,21 +89,21 @@
 	return 0, fmt.Errorf("%s has no %s", path, word)
 }
 
-// resident is a process's resident memory in bytes.
-func resident(pid int) (int64, error) {
-	kb, err := figure(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
+// residentBytes is a process's resident memory in bytes.
+func residentBytes(pid int) (int64, error) {
+	kb, err := readNumber(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 	return kb << 10, err
 }
 
-// descriptors is how many a process has open.
-func descriptors(pid int) (int, error) {
+// countDescriptors is how many a process has open.
+func countDescriptors(pid int) (int, error) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(list), err
 }
 
-// keepOwn has no agent inherit the descriptors that this process was itself started with: an
+// closeInheritedOnExec has no agent inherit the descriptors that this process was itself started with: an
 // agent's are counted. What Go opens is not inherited.
-func keepOwn() error {
+func closeInheritedOnExec() error {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return err
--- a/internal/lab/chainlab/relay.go
+++ b/internal/lab/chainlab/relay.go
@@ -14,10 +14,10 @@
 // that it goes on by, and writes it. It chooses nothing, sets no timer and looks after no
 // connection; it ends with its server's.
 type relay struct {
-	server *wire
+	server *messageConn
 
 	mu      sync.Mutex
-	callers map[isup.CallID]*wire // by what is open or stands
+	callers map[isup.CallID]*messageConn // by what is open or stands
 }
 
 // Relay passes calls from whoever connects at listen on to the one server, and what the server
@@ -34,9 +34,9 @@
 		return err
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	r := &relay{server: &wire{Conn: conn}, callers: map[isup.CallID]*wire{}}
+	r := &relay{server: &messageConn{Conn: conn}, callers: map[isup.CallID]*messageConn{}}
 	go r.accept(ln)
-	r.server.each(r.back)
+	r.server.readAll(r.handleServer)
 	return errors.New("the server's connection has ended")
 }
 
@@ -49,16 +49,16 @@
 		if err != nil {
 			continue
 		}
-		w := &wire{Conn: conn}
+		w := &messageConn{Conn: conn}
 		go func() {
-			w.each(func(m isup.Message) { r.take(w, m) })
+			w.readAll(func(m isup.Message) { r.handleCaller(w, m) })
 			w.Close()
 		}()
 	}
 }
 
-// take passes a caller's message on.
-func (r *relay) take(from *wire, m isup.Message) {
+// handleCaller passes a caller's message on.
+func (r *relay) handleCaller(from *messageConn, m isup.Message) {
 	r.mu.Lock()
 	switch m.Type {
 	case isup.SetUp:
@@ -68,15 +68,15 @@
 	}
 	r.mu.Unlock()
 	if m.Type == isup.Test {
-		from.say(isup.Message{Type: isup.TestResult, Call: m.Call}.WithCause(isup.Passed))
+		from.send(isup.Message{Type: isup.TestResult, Call: m.Call}.WithCause(isup.Passed))
 		return
 	}
-	r.server.say(m)
+	r.server.send(m)
 }
 
-// back passes the server's message of a call to its caller. The rest, such as the group's state,
+// handleServer passes the server's message of a call to its caller. The rest, such as the group's state,
 // is for a call agent.
-func (r *relay) back(m isup.Message) {
+func (r *relay) handleServer(m isup.Message) {
 	r.mu.Lock()
 	to := r.callers[m.Call]
 	if m.Type == isup.Release {
@@ -84,6 +84,6 @@
 	}
 	r.mu.Unlock()
 	if to != nil {
-		to.say(m)
+		to.send(m)
 	}
 }
--- a/internal/lab/chainlab/rig.go
+++ b/internal/lab/chainlab/rig.go
@@ -29,11 +29,11 @@
 // Where a run's parts are: agents from this number of its octet on, peers and the bulletin from
 // theirs.
 const (
-	agentsAt   = 0x0100
-	peersAt    = 0x1000
-	bulletinAt = 0x0001
-	agentPort  = 5070
-	peerPort   = 5060
+	agentsOffset   = 0x0100
+	serversOffset  = 0x1000
+	bulletinOffset = 0x0001
+	agentPort      = 5070
+	serverPort     = 5060
 )
 
 // class is the one class of calls.
@@ -47,64 +47,68 @@
 	return d
 }
 
-// rig is the addresses of a run and its bulletin, which lists nothing new.
-type rig struct {
-	Bin, Dir string
-	former   string // the program of former agents
-	octet    *faultnet.Octet
-	peers    int // addresses taken
-	agents   int
-	bulletin *http.Server
-	book     string
-	polls    atomic.Int64 // that the bulletin has answered
+// testbed is the addresses of a run and its bulletin, which lists nothing new.
+type testbed struct {
+	Bin, Dir     string
+	former       string // the program of former agents
+	addresses    *faultnet.Octet
+	serverCount  int // addresses taken
+	processCount int
+	bulletin     *http.Server
+	bulletinAddr string
+	polls        atomic.Int64 // that the bulletin has answered
 }
 
-func newRig(bin, dir string) (*rig, error) {
-	if err := keepOwn(); err != nil {
+func newTestbed(bin, dir string) (*testbed, error) {
+	if err := closeInheritedOnExec(); err != nil {
 		return nil, err
 	}
-	o, err := faultnet.ReserveOctet()
+	addresses, err := faultnet.ReserveOctet()
 	if err != nil {
 		return nil, err
 	}
-	r := &rig{Bin: bin, Dir: dir, octet: o}
-	ln, err := net.Listen("tcp", o.Host(bulletinAt)+":0")
+	bed := &testbed{Bin: bin, Dir: dir, addresses: addresses}
+	ln, err := net.Listen("tcp", addresses.Host(bulletinOffset)+":0")
 	if err != nil {
-		o.Release()
+		addresses.Release()
 		return nil, err
 	}
-	r.book = ln.Addr().String()
-	r.bulletin = &http.Server{Handler: r}
-	go r.bulletin.Serve(ln)
-	return r, nil
+	bed.bulletinAddr = ln.Addr().String()
+	bed.bulletin = &http.Server{Handler: bed}
+	go bed.bulletin.Serve(ln)
+	return bed, nil
 }
 
 // ServeHTTP answers a long poll: the one event there is, or after its patience nothing.
-func (r *rig) ServeHTTP(out http.ResponseWriter, q *http.Request) {
+func (t *testbed) ServeHTTP(out http.ResponseWriter, q *http.Request) {
 	patience, _ := strconv.Atoi(q.URL.Query().Get("patience"))
 	select {
 	case <-q.Context().Done():
 		return
 	case <-time.After(time.Duration(patience) * time.Millisecond):
 	}
-	r.polls.Add(1)
+	t.polls.Add(1)
 	json.NewEncoder(out).Encode(map[string]any{"no": 1, "items": []any{}})
 }
 
-func (r *rig) close() {
-	r.bulletin.Close()
-	r.octet.Release()
+func (t *testbed) close() {
+	t.bulletin.Close()
+	t.addresses.Release()
 }
 
-// peer starts a peer at an address of its own.
-func (r *rig) peer(next string) (*peer, error) { return newPeer(r.peerAddr(), next, false) }
+// startServer starts a peer at an address of its own.
+func (t *testbed) startServer(next string) (*chainServer, error) {
+	return newChainServer(t.nextServerAddr(), next, false)
+}
 
-// mutePeer starts one that takes set-ups and does not answer.
-func (r *rig) mutePeer() (*peer, error) { return newPeer(r.peerAddr(), "", true) }
+// startMuteServer starts one that takes set-ups and does not answer.
+func (t *testbed) startMuteServer() (*chainServer, error) {
+	return newChainServer(t.nextServerAddr(), "", true)
+}
 
-func (r *rig) peerAddr() string {
-	r.peers++
-	return fmt.Sprintf("%s:%d", r.octet.Host(peersAt+r.peers), peerPort)
+func (t *testbed) nextServerAddr() string {
+	t.serverCount++
+	return fmt.Sprintf("%s:%d", t.addresses.Host(serversOffset+t.serverCount), serverPort)
 }
 
 // agent is one call agent.
@@ -116,61 +120,61 @@
 // limits are an agent's bounds.
 type limits struct {
 	memoryMB, sockets int
-	held              bool   // the system holds it to its descriptors, as the platform does
+	enforceSockets    bool   // the system holds it to its descriptors, as the platform does
 	bin               string // another program than the rig's
 }
 
-// agent starts an agent that knows these servers.
-func (r *rig) agent(servers []*peer, l limits) (*agent, error) {
-	r.agents++
-	host := r.octet.Host(agentsAt + r.agents)
+// startAgent starts an agent that knows these servers.
+func (t *testbed) startAgent(servers []*chainServer, l limits) (*agent, error) {
+	t.processCount++
+	host := t.addresses.Host(agentsOffset + t.processCount)
 	var list []map[string]any
 	for i, s := range servers {
 		list = append(list, map[string]any{"name": fmt.Sprintf("s%d", i), "address": s.addr(), "zone": "campus", "type": "std",
 			"group": i, "status": "up", "weight": 1, "since_ms": 0})
 	}
-	name := fmt.Sprintf("a%d", r.agents)
-	a := &agent{addr: fmt.Sprintf("%s:%d", host, agentPort)}
-	text, err := json.Marshal(map[string]any{"name": name, "listen": a.addr, "seed": fmt.Sprintf("%016x", r.agents),
+	name := fmt.Sprintf("a%d", t.processCount)
+	process := &agent{addr: fmt.Sprintf("%s:%d", host, agentPort)}
+	text, err := json.Marshal(map[string]any{"name": name, "listen": process.addr, "seed": fmt.Sprintf("%016x", t.processCount),
 		"limits":   map[string]any{"cores": 1, "memory_mb": cmp.Or(l.memoryMB, 192), "sockets": cmp.Or(l.sockets, 1024)},
-		"bulletin": r.book, "settings": deployment().Settings(0, 1, len(servers)),
+		"bulletin": t.bulletinAddr, "settings": deployment().Settings(0, 1, len(servers)),
 		"known": map[string]any{"no": 1, "items": []any{map[string]any{"no": 1, "roster": map[string]any{"index": 1, "snapshot": true, "endpoints": list}}}}})
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(r.Dir, name+".json")
+	path := filepath.Join(t.Dir, name+".json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
-	a.Proc = &faultnet.Proc{Name: name, Bin: cmp.Or(l.bin, r.Bin), Env: append(os.Environ(), "PROXY_CONFIG="+path, "WOODROUTER_SOURCE="+host, "GOMAXPROCS=1")}
-	if l.held { // the shell sets its own bound and becomes the agent
-		a.Proc.Bin, a.Proc.Args = "/bin/sh", []string{"-c", `ulimit -n "$0" && exec "$1"`, strconv.Itoa(l.sockets), a.Proc.Bin}
+	process.Proc = &faultnet.Proc{Name: name, Bin: cmp.Or(l.bin, t.Bin), Env: append(os.Environ(), "PROXY_CONFIG="+path, "WOODROUTER_SOURCE="+host, "GOMAXPROCS=1")}
+	if l.enforceSockets { // the shell sets its own bound and becomes the agent
+		process.Proc.Bin, process.Proc.Args = "/bin/sh", []string{"-c", `ulimit -n "$0" && exec "$1"`, strconv.Itoa(l.sockets), process.Proc.Bin}
 	}
-	return a, a.Proc.Start()
+	return process, process.Proc.Start()
 }
 
-// relay starts a Relay, which cmd/woodlab and this package's tests are when asked for it.
-func (r *rig) relay(server *peer) (*agent, error) {
+// startRelay starts a Relay, which cmd/woodlab and this package's tests are when asked for it.
+func (t *testbed) startRelay(server *chainServer) (*agent, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	r.agents++
-	a := &agent{addr: fmt.Sprintf("%s:%d", r.octet.Host(agentsAt+r.agents), agentPort)}
-	a.Proc = &faultnet.Proc{Name: fmt.Sprintf("a%d", r.agents), Bin: self, Args: []string{"chain", "relay", a.addr, server.addr()},
+	t.processCount++
+	process := &agent{addr: fmt.Sprintf("%s:%d", t.addresses.Host(agentsOffset+t.processCount), agentPort)}
+	process.Proc = &faultnet.Proc{Name: fmt.Sprintf("a%d", t.processCount), Bin: self, Args: []string{"chain", "relay", process.addr, server.addr()},
 		Env: append(os.Environ(), "GOMAXPROCS=1")}
-	return a, a.Proc.Start()
+	return process, process.Proc.Start()
 }
 
-// readyMost bounds an agent's start on a busy machine.
-const readyMost = 30 * time.Second
+// readyTimeout bounds an agent's start on a busy machine.
+const readyTimeout = 30 * time.Second
 
-// ready waits until an agent passes a test, as the platform's front asks.
-func (a *agent) ready(ctx context.Context, most time.Duration) error {
+// awaitReady waits until an agent passes a test, as the platform's front asks.
+func (a *agent) awaitReady(ctx context.Context, most time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	for {
-		err := a.test()
+		err := a.probe()
 		if err == nil {
 			return nil
 		}
@@ -186,15 +190,15 @@
 
 var errNotReady = errors.New("the test was not passed")
 
-func (a *agent) test() error {
+func (a *agent) probe() error {
 	conn, err := net.DialTimeout("tcp", a.addr, time.Second)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
-	w := &wire{Conn: conn}
-	if err := w.say(isup.Message{Type: isup.Test, Call: 1}.WithCause(isup.NotPassed)); err != nil {
+	w := &messageConn{Conn: conn}
+	if err := w.send(isup.Message{Type: isup.Test, Call: 1}.WithCause(isup.NotPassed)); err != nil {
 		return err
 	}
 	m, err := isup.Read(bufio.NewReader(conn))
@@ -207,82 +211,82 @@
 	return nil
 }
 
-// way is what lies before each peer of a chain.
-type way int
+// variant is what lies before each peer of a chain.
+type variant int
 
 // The ways. What relays add is what any process in between adds on this machine.
 const (
-	agents way = iota
-	former     // agents of another program, an earlier one
-	relays
+	withAgents variant = iota
+	withFormer         // agents of another program, an earlier one
+	withRelays
 	direct // nothing
-	wayCount
+	variantCount
 )
 
-func (w way) String() string { return [...]string{"with agents", "former", "relays", "direct"}[w] }
+func (v variant) String() string { return [...]string{"with agents", "former", "relays", "direct"}[v] }
 
 // chain is peers in a row, with a process before each or none.
 type chain struct {
-	peers  []*peer  // the first is met first
-	agents []*agent // or relays
-	entry  string   // where callers connect
+	servers   []*chainServer // the first is met first
+	processes []*agent       // or relays
+	entryAddr string         // where callers connect
 }
 
-// chain starts one of n hops.
-func (r *rig) chain(ctx context.Context, n int, w way) (*chain, error) {
-	c := &chain{peers: make([]*peer, n)}
+// startChain starts one of n hops.
+func (t *testbed) startChain(ctx context.Context, n int, v variant) (*chain, error) {
+	row := &chain{servers: make([]*chainServer, n)}
 	for k := n - 1; k >= 0; k-- { // the last first: each must know the next
-		p, err := r.peer(c.entry)
+		server, err := t.startServer(row.entryAddr)
 		if err != nil {
-			c.close()
+			row.close()
 			return nil, err
 		}
-		c.peers[k], c.entry = p, p.addr()
+		row.servers[k], row.entryAddr = server, server.addr()
 		var a *agent
-		switch w {
-		case agents:
-			a, err = r.agent([]*peer{p}, limits{})
-		case former:
-			a, err = r.agent([]*peer{p}, limits{bin: r.former})
-		case relays:
-			a, err = r.relay(p)
+		switch v {
+		case withAgents:
+			a, err = t.startAgent([]*chainServer{server}, limits{})
+		case withFormer:
+			a, err = t.startAgent([]*chainServer{server}, limits{bin: t.former})
+		case withRelays:
+			a, err = t.startRelay(server)
 		default:
 			continue
 		}
 		if err != nil {
-			c.close()
+			row.close()
 			return nil, err
 		}
-		c.agents, c.entry = append(c.agents, a), a.addr
+		row.processes, row.entryAddr = append(row.processes, a), a.addr
 	}
-	for _, a := range c.agents {
-		if err := a.ready(ctx, readyMost); err != nil {
-			c.close()
+	for _, a := range row.processes {
+		if err := a.awaitReady(ctx, readyTimeout); err != nil {
+			row.close()
 			return nil, err
 		}
 	}
-	return c, nil
+	return row, nil
 }
 
 func (c *chain) close() {
-	for _, a := range c.agents {
+	for _, a := range c.processes {
 		a.Kill()
 	}
-	for _, p := range c.peers {
+	for _, p := range c.servers {
 		if p != nil {
 			p.close()
 		}
 	}
 }
 
-// work is what the chain's agents or relays have done, together.
-func (c *chain) work() (sum work, err error) {
-	for _, a := range c.agents {
-		w, err := workOf(a.PID())
+// totalWork is what the chain's agents or relays have done, together.
+func (c *chain) totalWork() (sum work, err error) {
+	for _, a := range c.processes {
+		w, err := readWork(a.PID())
 		if err != nil {
 			return sum, err
 		}
-		sum = sum.plus(w, 1)
+		sum = sum.addScaled(w, 1)
 	}
 	return sum, nil
 }
--- a/internal/lab/fleetlab/fleet_test.go
+++ b/internal/lab/fleetlab/fleet_test.go
@@ -26,15 +26,15 @@
 			t.Parallel()
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 			defer cancel()
-			r := Run{Bin: bin, Dir: t.TempDir(), Seed: 5, Agents: 12, Servers: 5, Load: 0.6, Choice: -1, Calm: 3 * time.Second, Policy: Agent,
+			r := Scenario{Bin: bin, Dir: t.TempDir(), Seed: 5, Agents: 12, Servers: 5, Load: 0.6, Choice: -1, FaultSpan: 3 * time.Second, Policy: PolicyAgent,
 				Faults: []string{"links lost", "agents stalled", "a tenth restarted", "gossip cut", "six in ten replaced"}}
-			require.NoError(t, r.Mode(mode))
-			report, err := r.Play(ctx)
+			require.NoError(t, r.SetMode(mode))
+			report, err := r.Run(ctx)
 			require.NoError(t, err)
 			require.NoError(t, report.Err)
-			assert.Greater(t, report.Sum.Share(), 0.6)
-			assert.Equal(t, mode == "common", len(report.Said) > 0 && report.Said[:2] == "in", report.Said)
-			report.Tell(testWriter{t}, mode, true)
+			assert.Greater(t, report.Outcome.Share(), 0.6)
+			assert.Equal(t, mode == "common", len(report.SpreadStatus) > 0 && report.SpreadStatus[:2] == "in", report.SpreadStatus)
+			report.Print(testWriter{t}, mode, true)
 		})
 	}
 }
--- a/internal/lab/fleetlab/reference.go
+++ b/internal/lab/fleetlab/reference.go
@@ -15,29 +15,29 @@
 // The references: what simple rules do on the same seeds. They keep no rule but one attempt at a
 // time, know every change of the list at once and the true capacities, and run in this process.
 const (
-	Random     = "random"     // weighted by capacity
-	Least      = "least"      // fewest unanswered set-ups of this agent, drawn by capacity among equals
-	Dispatcher = "dispatcher" // one that sees every queue as it is
+	PolicyRandom     = "random"     // weighted by capacity
+	PolicyLeast      = "least"      // fewest unanswered set-ups of this agent, drawn by capacity among equals
+	PolicyDispatcher = "dispatcher" // one that sees every queue as it is
 )
 
-// reference is all agents in one: a listener for each, and one connection to each server.
-type reference struct {
-	c      *cluster.Cluster
-	policy string
-	lns    []net.Listener
-
-	mu    sync.Mutex
-	rng   *rand.Rand
-	trunk map[*emulator.Server]*refTrunk
-	calls map[isup.CallID]*refCall
-	out   map[int]map[*emulator.Server]int // unanswered, by agent
+// referenceAgents is all agents in one: a listener for each, and one connection to each server.
+type referenceAgents struct {
+	running   *cluster.Cluster
+	policy    string
+	listeners []net.Listener
+
+	mu      sync.Mutex
+	rng     *rand.Rand
+	conns   map[*emulator.Server]*referenceConn
+	calls   map[isup.CallID]*referenceCall
+	pending map[int]map[*emulator.Server]int // unanswered, by agent
 }
 
-type refTrunk struct {
+type referenceConn struct {
 	conn net.Conn
 }
 
-type refCall struct {
+type referenceCall struct {
 	agent    int
 	caller   net.Conn
 	setup    isup.Message
@@ -47,32 +47,32 @@
 	stands   bool
 }
 
-func startReference(r Run, d emulator.Deployment) (*cluster.Cluster, error) {
-	c := &cluster.Cluster{Config: cluster.Config{Deployment: d, Agents: r.Agents, Servers: r.Servers, Seed: r.Seed}}
+func startReference(r Scenario, deployment emulator.Deployment) (*cluster.Cluster, error) {
+	running := &cluster.Cluster{Config: cluster.Config{Deployment: deployment, Agents: r.Agents, Servers: r.Servers, Seed: r.Seed}}
 	var err error
-	if c.Net, err = emulator.NewLoopbackNet(); err != nil {
+	if running.Net, err = emulator.NewLoopbackNet(); err != nil {
 		return nil, err
 	}
-	if c.World, err = emulator.NewWorld(d, c.Net, r.Agents, r.Servers, r.Seed); err != nil {
-		c.Net.Release()
+	if running.World, err = emulator.NewWorld(deployment, running.Net, r.Agents, r.Servers, r.Seed); err != nil {
+		running.Net.Release()
 		return nil, err
 	}
-	ref := &reference{c: c, policy: r.Policy, rng: rand.New(rand.NewPCG(r.Seed, 41)), trunk: map[*emulator.Server]*refTrunk{},
-		calls: map[isup.CallID]*refCall{}, out: map[int]map[*emulator.Server]int{}}
+	ref := &referenceAgents{running: running, policy: r.Policy, rng: rand.New(rand.NewPCG(r.Seed, 41)), conns: map[*emulator.Server]*referenceConn{},
+		calls: map[isup.CallID]*referenceCall{}, pending: map[int]map[*emulator.Server]int{}}
 	for i := range r.Agents {
-		ref.out[i] = map[*emulator.Server]int{}
-		ln, err := net.Listen("tcp", c.Addr(i))
+		ref.pending[i] = map[*emulator.Server]int{}
+		ln, err := net.Listen("tcp", running.Addr(i))
 		if err != nil {
-			c.Close()
+			running.Close()
 			return nil, err
 		}
-		ref.lns = append(ref.lns, ln)
+		ref.listeners = append(ref.listeners, ln)
 		go ref.accept(i, ln)
 	}
-	return c, nil
+	return running, nil
 }
 
-func (f *reference) accept(agent int, ln net.Listener) {
+func (f *referenceAgents) accept(agent int, ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -85,74 +85,74 @@
 					conn.Close()
 					return
 				}
-				f.ask(agent, conn, m)
+				f.handleCaller(agent, conn, m)
 			}
 		}()
 	}
 }
 
-func (f *reference) ask(agent int, conn net.Conn, m isup.Message) {
+func (f *referenceAgents) handleCaller(agent int, conn net.Conn, m isup.Message) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch m.Type {
 	case isup.SetUp:
-		k := &refCall{agent: agent, caller: conn, setup: m, tried: map[*emulator.Server]bool{}}
+		k := &referenceCall{agent: agent, caller: conn, setup: m, tried: map[*emulator.Server]bool{}}
 		f.calls[m.Call] = k
-		f.send(m.Call, k)
+		f.sendSetUp(m.Call, k)
 	case isup.Release:
 		if k := f.calls[m.Call]; k != nil {
 			f.forget(m.Call, k)
-			if t := f.trunk[k.server]; t != nil {
-				say(t.conn, m)
+			if t := f.conns[k.server]; t != nil {
+				writeMessage(t.conn, m)
 			}
 		}
 	}
 }
 
-func (f *reference) forget(id isup.CallID, k *refCall) {
+func (f *referenceAgents) forget(id isup.CallID, k *referenceCall) {
 	if !k.stands && k.server != nil {
-		f.out[k.agent][k.server]--
+		f.pending[k.agent][k.server]--
 	}
 	delete(f.calls, id)
 }
 
-// send gives a call to a server, or refuses it.
-func (f *reference) send(id isup.CallID, k *refCall) {
-	for k.attempts < min(f.c.Deployment.MaxAttempts, 3) {
-		s := f.pick(k)
+// sendSetUp gives a call to a server, or refuses it.
+func (f *referenceAgents) sendSetUp(id isup.CallID, k *referenceCall) {
+	for k.attempts < min(f.running.Deployment.MaxAttempts, 3) {
+		s := f.pickServer(k)
 		if s == nil {
 			break
 		}
 		k.attempts++
 		k.tried[s] = true
 		k.server = s
-		f.out[k.agent][s]++
-		t, err := f.reach(s)
+		f.pending[k.agent][s]++
+		t, err := f.connect(s)
 		if err == nil {
-			say(t.conn, isup.Message{Type: isup.SetUp, Call: id, Values: k.setup.Values})
+			writeMessage(t.conn, isup.Message{Type: isup.SetUp, Call: id, Values: k.setup.Values})
 			return
 		}
-		f.out[k.agent][s]--
+		f.pending[k.agent][s]--
 		k.server = nil
 	}
 	delete(f.calls, id)
-	say(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithMillis(isup.RetryAfter, time.Second))
+	writeMessage(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithMillis(isup.RetryAfter, time.Second))
 }
 
-func (f *reference) pick(k *refCall) (best *emulator.Server) {
+func (f *referenceAgents) pickServer(k *referenceCall) (best *emulator.Server) {
 	var sum, least float64
-	for _, s := range f.c.World.Listed() {
+	for _, s := range f.running.World.Listed() {
 		if k.tried[s] || !s.Up() {
 			continue
 		}
 		switch f.policy {
-		case Random:
+		case PolicyRandom:
 			sum += s.Rate
 			if f.rng.Float64()*sum < s.Rate {
 				best = s
 			}
-		case Least:
-			n := float64(f.out[k.agent][s])
+		case PolicyLeast:
+			n := float64(f.pending[k.agent][s])
 			switch {
 			case best == nil || n < least:
 				best, least, sum = s, n, s.Rate
@@ -161,60 +161,60 @@
 					best = s
 				}
 			}
-		case Dispatcher:
+		case PolicyDispatcher:
 			done, ok := s.ExpectedAnswer()
 			if ok && (best == nil || done.Seconds() < least) {
 				best, least = s, done.Seconds()
 			}
 		}
 	}
-	if f.policy == Dispatcher && best != nil && least > f.c.Deployment.Classes[0].Aim.Seconds() {
+	if f.policy == PolicyDispatcher && best != nil && least > f.running.Deployment.Classes[0].Aim.Seconds() {
 		return nil // it would come too late
 	}
 	return best
 }
 
-// reach is the one connection to a server.
-func (f *reference) reach(s *emulator.Server) (*refTrunk, error) {
-	if t := f.trunk[s]; t != nil {
+// connect is the one connection to a server.
+func (f *referenceAgents) connect(s *emulator.Server) (*referenceConn, error) {
+	if t := f.conns[s]; t != nil {
 		return t, nil
 	}
-	d := net.Dialer{Timeout: 200 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.c.Net.Host(0))}}
+	d := net.Dialer{Timeout: 200 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.running.Net.Host(0))}}
 	conn, err := d.Dial("tcp", s.Addr())
 	if err != nil {
 		return nil, err
 	}
-	t := &refTrunk{conn}
-	f.trunk[s] = t
+	t := &referenceConn{conn}
+	f.conns[s] = t
 	go func() {
 		for in := bufio.NewReader(conn); ; {
 			m, err := isup.Read(in)
 			if err != nil {
-				f.broken(s, t)
+				f.connectionLost(s, t)
 				return
 			}
-			f.hear(s, m)
+			f.handleServer(s, m)
 		}
 	}()
 	return t, nil
 }
 
-func (f *reference) broken(s *emulator.Server, t *refTrunk) {
+func (f *referenceAgents) connectionLost(s *emulator.Server, t *referenceConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.conn.Close()
-	if f.trunk[s] == t {
-		delete(f.trunk, s)
+	if f.conns[s] == t {
+		delete(f.conns, s)
 	}
 	for id, k := range f.calls {
 		if k.server == s {
 			f.forget(id, k)
-			say(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.TempFailure))
+			writeMessage(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.TempFailure))
 		}
 	}
 }
 
-func (f *reference) hear(s *emulator.Server, m isup.Message) {
+func (f *referenceAgents) handleServer(s *emulator.Server, m isup.Message) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.calls[m.Call]
@@ -224,19 +224,19 @@
 	switch {
 	case m.Type == isup.Answer:
 		k.stands = true
-		f.out[k.agent][s]--
-		say(k.caller, m)
+		f.pending[k.agent][s]--
+		writeMessage(k.caller, m)
 	case m.Type == isup.Release && k.stands:
 		delete(f.calls, m.Call)
-		say(k.caller, m)
+		writeMessage(k.caller, m)
 	case m.Type == isup.Release:
-		f.out[k.agent][s]--
+		f.pending[k.agent][s]--
 		k.server = nil
-		f.send(m.Call, k)
+		f.sendSetUp(m.Call, k)
 	}
 }
 
-func say(conn net.Conn, m isup.Message) {
+func writeMessage(conn net.Conn, m isup.Message) {
 	if b, err := m.Append(nil); err == nil {
 		conn.Write(b) // a connection that is gone shows at its reader
 	}
--- a/internal/lab/fleetlab/run.go
+++ b/internal/lab/fleetlab/run.go
@@ -22,25 +22,25 @@
 	"woodrouter/internal/lab/emulator"
 )
 
-// Run is one run: equal runs draw equal loads and faults.
-type Run struct {
-	Bin, Dir string
-	Seed     uint64
-	Agents   int
-	Servers  int
-	Load     float64 // of what the servers can take together
-	Choice   float64 // how unevenly calls name a first choice; negative: they name none
-	Window   time.Duration
-	Calm     time.Duration // before the first fault, and the span of each fault with what follows it
-	Faults   []string      // by name, in order; nil: all
-	Burst    float64       // load in the burst, as a multiple
-	Policy   string        // Agent, or a reference
-	Env      func(c *cluster.Cluster, agent int) ([]string, error)
-	Gossip   bool // agents talk: the gossip can be cut
+// Scenario is one run: equal runs draw equal loads and faults.
+type Scenario struct {
+	Bin, Dir    string
+	Seed        uint64
+	Agents      int
+	Servers     int
+	Load        float64 // of what the servers can take together
+	Choice      float64 // how unevenly calls name a first choice; negative: they name none
+	Window      time.Duration
+	FaultSpan   time.Duration // before the first fault, and the span of each fault with what follows it
+	Faults      []string      // by name, in order; nil: all
+	BurstFactor float64       // load in the burst, as a multiple
+	Policy      string        // Agent, or a reference
+	Env         func(c *cluster.Cluster, agent int) ([]string, error)
+	Gossip      bool // agents talk: the gossip can be cut
 }
 
-// Agent is the program itself; the references stand in reference.go.
-const Agent = "agent"
+// PolicyAgent is the program itself; the references stand in reference.go.
+const PolicyAgent = "agent"
 
 // Deployment is the fleet's: one campus of servers that differ in capacity by four to one.
 func Deployment(servers int) emulator.Deployment {
@@ -57,132 +57,132 @@
 	return d
 }
 
-// Frame is what one window showed.
-type Frame struct {
-	At         time.Duration
-	Fault      string  // that began in it, or the window before
-	Offered    float64 // set-ups that came to servers, a second
-	Dispersion float64 // of set-ups over servers by capacity: 1 is an independent random draw
-	Peak       float64 // the largest server's load over its share
-	Idle       float64 // server-seconds without a set-up for over idleMost while healthy
-	Full       float64 // share of set-ups turned away
-	Attempts   float64 // set-ups for each try of a caller
-	Handshakes int
-	Probes     int
-	Open       int // connections
-	Lost       int
-	Share      float64 // of the worth asked for, served
-	P99        time.Duration
+// WindowStats is what one window showed.
+type WindowStats struct {
+	At             time.Duration
+	Fault          string  // that began in it, or the window before
+	SetUpRate      float64 // set-ups that came to servers, a second
+	Dispersion     float64 // of set-ups over servers by capacity: 1 is an independent random draw
+	PeakLoad       float64 // the largest server's load over its share
+	IdleSeconds    float64 // server-seconds without a set-up for over idleMost while healthy
+	FullShare      float64 // share of set-ups turned away
+	AttemptsPerTry float64 // set-ups for each try of a caller
+	Handshakes     int
+	Probes         int
+	Connections    int // connections
+	Lost           int
+	WorthShare     float64 // of the worth asked for, served
+	P99            time.Duration
 }
 
 // Report is what a run showed.
 type Report struct {
-	Run
-	Frames []Frame
-	Sum    emulator.Outcome
-	Broken map[string]int
-	Err    error // rules broken
-	Said   string
+	Scenario
+	Windows      []WindowStats
+	Outcome      emulator.Outcome
+	BrokenRules  map[string]int
+	Err          error // rules broken
+	SpreadStatus string
 }
 
-// idleMost is how long a healthy server may get no set-up before that counts.
-const idleMost = 2 * time.Second
+// maxIdle is how long a healthy server may get no set-up before that counts.
+const maxIdle = 2 * time.Second
 
-// Play starts the fleet, plays the faults with callers at work, and reports.
-func (r Run) Play(ctx context.Context) (Report, error) {
+// Run starts the fleet, plays the faults with callers at work, and reports.
+func (r Scenario) Run(ctx context.Context) (Report, error) {
 	r.Window = cmp.Or(r.Window, 5*time.Second)
-	r.Calm = cmp.Or(r.Calm, 15*time.Second)
+	r.FaultSpan = cmp.Or(r.FaultSpan, 15*time.Second)
 	if r.Faults == nil {
-		r.Faults = Names()
+		r.Faults = FaultNames()
 	}
-	out := Report{Run: r}
-	d := Deployment(r.Servers)
+	report := Report{Scenario: r}
+	deployment := Deployment(r.Servers)
 	agents := r.Agents
-	c := &cluster.Cluster{}
+	running := &cluster.Cluster{}
 	var err error
-	if r.Policy == Agent || r.Policy == "" {
-		c, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: d, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
+	if r.Policy == PolicyAgent || r.Policy == "" {
+		running, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: deployment, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
 	} else {
-		c, err = startReference(r, d)
+		running, err = startReference(r, deployment)
 	}
 	if err != nil {
-		return out, err
+		return report, err
 	}
-	defer c.Close()
+	defer running.Close()
 	if r.Gossip {
-		if err := settled(ctx, c); err != nil {
-			return out, err
+		if err := awaitGossip(ctx, running); err != nil {
+			return report, err
 		}
 	}
-	p := &player{Run: r, c: c, rng: rand.New(rand.NewPCG(r.Seed, 31)), began: time.Now()}
-	loadCtx, stop := context.WithCancel(ctx)
-	defer stop()
-	p.calls = c.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*d.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
-	frames := make(chan []Frame)
-	seen, done := context.WithCancel(ctx)
-	go func() { frames <- p.watch(seen) }()
-	err = p.faults(ctx)
-	done()
-	out.Frames = <-frames
-	p.calls.Wait()
-	out.Sum, _ = p.calls.Tally()
-	out.Broken, out.Err = c.World.Check.Broken(), c.World.Check.Err()
-	if len(c.Procs) > 0 {
-		out.Said = c.ConsoleCommand(0, "SPREAD")
+	run := &activeRun{Scenario: r, running: running, rng: rand.New(rand.NewPCG(r.Seed, 31)), startedAt: time.Now()}
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	run.callers = running.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*deployment.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
+	windows := make(chan []WindowStats)
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	go func() { windows <- run.recordWindows(watchCtx) }()
+	err = run.injectFaults(ctx)
+	stopWatching()
+	report.Windows = <-windows
+	run.callers.Wait()
+	report.Outcome, _ = run.callers.Tally()
+	report.BrokenRules, report.Err = running.World.Check.Broken(), running.World.Check.Err()
+	if len(running.Procs) > 0 {
+		report.SpreadStatus = running.ConsoleCommand(0, "SPREAD")
 	}
-	return out, err
+	return report, err
 }
 
-// settleMost bounds how long agents may take to find one another.
-const settleMost = 90 * time.Second
+// maxSettleTime bounds how long agents may take to find one another.
+const maxSettleTime = 90 * time.Second
 
-var heardLine = regexp.MustCompile(`(\d+) agents heard`)
+var agentsHeard = regexp.MustCompile(`(\d+) agents heard`)
 
-// settled waits until an agent hears of nearly all that load is spread in common.
-func settled(ctx context.Context, c *cluster.Cluster) error {
-	ctx, cancel := context.WithTimeout(ctx, settleMost)
+// awaitGossip waits until an agent hears of nearly all that load is spread in common.
+func awaitGossip(ctx context.Context, running *cluster.Cluster) error {
+	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	for {
-		said := c.ConsoleCommand(c.Agents-1, "SPREAD")
-		if m := heardLine.FindStringSubmatch(said); m != nil {
-			if n, _ := strconv.Atoi(m[1]); n >= c.Agents*95/100 {
+		status := running.ConsoleCommand(running.Agents-1, "SPREAD")
+		if m := agentsHeard.FindStringSubmatch(status); m != nil {
+			if n, _ := strconv.Atoi(m[1]); n >= running.Agents*95/100 {
 				return nil
 			}
 		}
 		if pause(ctx, 200*time.Millisecond); ctx.Err() != nil {
-			return fmt.Errorf("fleet: agents have not found one another in %v: %s", settleMost, said)
+			return fmt.Errorf("fleet: agents have not found one another in %v: %s", maxSettleTime, status)
 		}
 	}
 }
 
-// player is a run under way.
-type player struct {
-	Run
-	c     *cluster.Cluster
-	calls *emulator.Callers
-	rng   *rand.Rand
-	began time.Time
-	fault atomic.Value // string: the one under way
+// activeRun is a run under way.
+type activeRun struct {
+	Scenario
+	running      *cluster.Cluster
+	callers      *emulator.Callers
+	rng          *rand.Rand
+	startedAt    time.Time
+	currentFault atomic.Value // string: the one under way
 }
 
-// snapshot is the counters at a moment.
-type snapshot struct {
+// counters is the counters at a moment.
+type counters struct {
 	servers map[*emulator.Server]emulator.Counts
 	sum     emulator.Outcome
 }
 
-func (p *player) look() snapshot {
-	s := snapshot{servers: map[*emulator.Server]emulator.Counts{}}
-	for _, v := range p.c.World.All() {
+func (p *activeRun) readCounters() counters {
+	s := counters{servers: map[*emulator.Server]emulator.Counts{}}
+	for _, v := range p.running.World.All() {
 		s.servers[v] = v.Counts()
 	}
 	return s
 }
 
-// watch makes a frame of each window until ctx ends.
-func (p *player) watch(ctx context.Context) (frames []Frame) {
-	before := p.look()
-	before.sum, _ = p.calls.Tally()
+// recordWindows makes a frame of each window until ctx ends.
+func (p *activeRun) recordWindows(ctx context.Context) (windows []WindowStats) {
+	before := p.readCounters()
+	before.sum, _ = p.callers.Tally()
 	idle := 0.0
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
@@ -190,10 +190,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return frames
+			return windows
 		case now := <-tick.C:
-			for _, s := range p.c.World.Listed() {
-				if n := s.Counts(); s.Healthy(3*time.Second) && !n.LastSetUp.IsZero() && now.Sub(n.LastSetUp) > idleMost || s.Healthy(3*time.Second) && n.LastSetUp.IsZero() && now.Sub(p.began) > idleMost {
+			for _, s := range p.running.World.Listed() {
+				if n := s.Counts(); s.Healthy(3*time.Second) && !n.LastSetUp.IsZero() && now.Sub(n.LastSetUp) > maxIdle || s.Healthy(3*time.Second) && n.LastSetUp.IsZero() && now.Sub(p.startedAt) > maxIdle {
 					idle += 0.1
 				}
 			}
@@ -201,72 +201,72 @@
 				continue
 			}
 			ends = ends.Add(p.Window)
-			after := p.look()
+			after := p.readCounters()
 			var waits []time.Duration
-			after.sum, waits = p.calls.Tally()
-			f := p.frame(before, after, waits)
-			f.At, f.Idle = now.Sub(p.began).Round(100*time.Millisecond), idle
-			frames = append(frames, f)
+			after.sum, waits = p.callers.Tally()
+			window := p.windowStats(before, after, waits)
+			window.At, window.IdleSeconds = now.Sub(p.startedAt).Round(100*time.Millisecond), idle
+			windows = append(windows, window)
 			before, idle = after, 0
 		}
 	}
 }
 
-func (p *player) frame(a, b snapshot, waits []time.Duration) Frame {
-	f := Frame{}
-	f.Fault, _ = p.fault.Load().(string)
-	var n, capacity, full float64
-	for s, now := range b.servers {
-		was := a.servers[s]
-		n += float64(now.SetUps - was.SetUps)
+func (p *activeRun) windowStats(before, after counters, waits []time.Duration) WindowStats {
+	window := WindowStats{}
+	window.Fault, _ = p.currentFault.Load().(string)
+	var setUps, capacity, full float64
+	for s, now := range after.servers {
+		was := before.servers[s]
+		setUps += float64(now.SetUps - was.SetUps)
 		full += float64(now.TurnedAway - was.TurnedAway)
 		capacity += now.Capacity - was.Capacity
-		f.Handshakes += now.Handshakes - was.Handshakes
-		f.Probes += now.Probes - was.Probes
-		f.Open += s.Connections()
+		window.Handshakes += now.Handshakes - was.Handshakes
+		window.Probes += now.Probes - was.Probes
+		window.Connections += s.Connections()
 	}
 	chi, servers := 0.0, 0
-	for s, now := range b.servers {
-		was := a.servers[s]
+	for s, now := range after.servers {
+		was := before.servers[s]
 		part := (now.Capacity - was.Capacity) / max(capacity, 1e-9)
 		if part <= 0 {
 			continue
 		}
-		got, due := float64(now.SetUps-was.SetUps), n*part
+		got, due := float64(now.SetUps-was.SetUps), setUps*part
 		chi += (got - due) * (got - due) / max(due, 1e-9)
 		servers++
 		if due >= 5 {
-			f.Peak = max(f.Peak, got/due)
+			window.PeakLoad = max(window.PeakLoad, got/due)
 		}
 	}
-	f.Offered = n / p.Window.Seconds()
-	f.Dispersion = chi / float64(max(servers-1, 1))
-	f.Full = full / max(n, 1)
-	f.Attempts = n / math.Max(float64(b.sum.Tries-a.sum.Tries), 1)
-	f.Lost = b.sum.Lost - a.sum.Lost
-	f.Share = (b.sum.Worth - a.sum.Worth) / max(b.sum.Offered-a.sum.Offered, 1e-9)
+	window.SetUpRate = setUps / p.Window.Seconds()
+	window.Dispersion = chi / float64(max(servers-1, 1))
+	window.FullShare = full / max(setUps, 1)
+	window.AttemptsPerTry = setUps / math.Max(float64(after.sum.Tries-before.sum.Tries), 1)
+	window.Lost = after.sum.Lost - before.sum.Lost
+	window.WorthShare = (after.sum.Worth - before.sum.Worth) / max(after.sum.Offered-before.sum.Offered, 1e-9)
 	slices.Sort(waits)
 	if len(waits) > 0 {
-		f.P99 = waits[len(waits)*99/100].Round(time.Millisecond)
+		window.P99 = waits[len(waits)*99/100].Round(time.Millisecond)
 	}
-	return f
+	return window
 }
 
-// faults plays the calm and then each fault with a calm behind it.
-func (p *player) faults(ctx context.Context) error {
-	pause(ctx, p.Calm)
+// injectFaults plays the calm and then each fault with a calm behind it.
+func (p *activeRun) injectFaults(ctx context.Context) error {
+	pause(ctx, p.FaultSpan)
 	for _, name := range p.Faults {
 		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 		if i < 0 {
-			return fmt.Errorf("fleet: no fault %q: one of %v", name, Names())
+			return fmt.Errorf("fleet: no fault %q: one of %v", name, FaultNames())
 		}
-		p.fault.Store(name)
-		until := time.Now().Add(p.Calm)
-		if err := faults[i].play(p, ctx); err != nil {
+		p.currentFault.Store(name)
+		until := time.Now().Add(p.FaultSpan)
+		if err := faults[i].inject(p, ctx); err != nil {
 			return fmt.Errorf("fleet: %s: %w", name, err)
 		}
 		pause(ctx, time.Until(until))
-		p.fault.Store("")
+		p.currentFault.Store("")
 		if ctx.Err() != nil {
 			return errors.New("fleet: stopped")
 		}
@@ -282,8 +282,8 @@
 }
 
 // Worst is the largest figure of the frames picked.
-func (r Report) Worst(pick func(Frame) bool, of func(Frame) float64) (most float64) {
-	for _, f := range r.Frames {
+func (r Report) Worst(pick func(WindowStats) bool, of func(WindowStats) float64) (most float64) {
+	for _, f := range r.Windows {
 		if pick(f) {
 			most = max(most, of(f))
 		}
@@ -292,9 +292,9 @@
 }
 
 // Mean is the mean figure of the frames picked.
-func (r Report) Mean(pick func(Frame) bool, of func(Frame) float64) float64 {
+func (r Report) Mean(pick func(WindowStats) bool, of func(WindowStats) float64) float64 {
 	sum, n := 0.0, 0
-	for _, f := range r.Frames {
+	for _, f := range r.Windows {
 		if pick(f) {
 			sum, n = sum+of(f), n+1
 		}
--- a/internal/lab/labcli/chain.go
+++ b/internal/lab/labcli/chain.go
@@ -65,16 +65,16 @@
 	switch part {
 	case "chain path":
 		p := c.Path
-		return chainlab.Path{Bin: bin, Dir: dir, Former: p.Former, Lengths: p.Agents, Rate: p.Rate, Rounds: p.Rounds, Warm: p.Warm, Span: p.Span, Seed: p.Seed}.Run(ctx, out)
+		return chainlab.Path{Bin: bin, Dir: dir, Former: p.Former, Lengths: p.Agents, Rate: p.Rate, Rounds: p.Rounds, WarmUp: p.Warm, Span: p.Span, Seed: p.Seed}.Run(ctx, out)
 	case "chain ramp":
 		r := c.Ramp
 		return chainlab.Ramp{Bin: bin, Dir: dir, Lengths: r.Agents, Base: r.Base, First: r.First, Factor: r.Factor, Steps: r.Steps,
-			Warm: r.Warm, Span: r.Span, Seed: r.Seed}.Run(ctx, out)
+			WarmUp: r.Warm, Span: r.Span, Seed: r.Seed}.Run(ctx, out)
 	case "chain memory":
 		m := c.Memory
-		return chainlab.Memory{Bin: bin, Dir: dir, Step: m.Step, Looks: m.Looks, Repeats: m.Repeats, MemoryMB: m.Memory, CallRate: m.Rate, SettleAfter: m.Settle}.Run(ctx, out)
+		return chainlab.Memory{Bin: bin, Dir: dir, Step: m.Step, Samples: m.Looks, Repeats: m.Repeats, MemoryMB: m.Memory, CallRate: m.Rate, SettleAfter: m.Settle}.Run(ctx, out)
 	default:
 		l := c.Lists
-		return chainlab.Lists{Bin: bin, Dir: dir, Servers: l.Servers, Sockets: l.Sockets, Target: l.Target, Settle: l.Settle, Calm: l.Calm, Patience: l.Patience}.Run(ctx, out)
+		return chainlab.Lists{Bin: bin, Dir: dir, Servers: l.Servers, Sockets: l.Sockets, Target: l.Target, SettleTimeout: l.Settle, QuietSpan: l.Calm, CallTimeout: l.Patience}.Run(ctx, out)
 	}
 }
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -61,11 +61,11 @@
 		if err != nil {
 			return err
 		}
-		report, err := r.Play(ctx)
+		report, err := r.Run(ctx)
 		if err != nil {
 			return err
 		}
-		report.Tell(out, policy, c.Windows)
+		report.Print(out, policy, c.Windows)
 		if report.Err != nil && !isReference(policy) {
 			broken++
 		}
@@ -78,25 +78,25 @@
 
 // isReference reports whether a policy is one that the agents' policy is compared with.
 func isReference(policy string) bool {
-	return policy == fleetlab.Random || policy == fleetlab.Least || policy == fleetlab.Dispatcher
+	return policy == fleetlab.PolicyRandom || policy == fleetlab.PolicyLeast || policy == fleetlab.PolicyDispatcher
 }
 
 // newRun returns the run for one value of --policy.
-func (c fleetCommand) newRun(policy, bin, dir string) (fleetlab.Run, error) {
-	r := fleetlab.Run{Bin: bin, Dir: dir, Seed: c.Seed, Agents: c.Agents, Servers: c.Servers, Load: c.Load, Choice: c.Choice, Calm: c.Calm, Faults: c.Faults}
+func (c fleetCommand) newRun(policy, bin, dir string) (fleetlab.Scenario, error) {
+	r := fleetlab.Scenario{Bin: bin, Dir: dir, Seed: c.Seed, Agents: c.Agents, Servers: c.Servers, Load: c.Load, Choice: c.Choice, FaultSpan: c.Calm, Faults: c.Faults}
 	if len(c.Faults) == 1 && c.Faults[0] == "none" {
 		r.Faults = []string{}
 	}
 	switch {
-	case policy == fleetlab.Agent:
-		r.Policy = fleetlab.Agent
+	case policy == fleetlab.PolicyAgent:
+		r.Policy = fleetlab.PolicyAgent
 	case policy == "alone" || policy == "common":
-		r.Policy = fleetlab.Agent
-		return r, r.Mode(policy)
+		r.Policy = fleetlab.PolicyAgent
+		return r, r.SetMode(policy)
 	case isReference(policy):
 		r.Policy = policy
 	default:
-		return r, fmt.Errorf("--policy %s: agent, alone, common, %s", policy, strings.Join([]string{fleetlab.Random, fleetlab.Least, fleetlab.Dispatcher}, ", "))
+		return r, fmt.Errorf("--policy %s: agent, alone, common, %s", policy, strings.Join([]string{fleetlab.PolicyRandom, fleetlab.PolicyLeast, fleetlab.PolicyDispatcher}, ", "))
 	}
 	return r, nil
 }
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -142,9 +142,9 @@
 		case "rollout schedules":
 			err = cli.Rollout.Schedules.run(ctx, cli.Bin, dir, out)
 		case "zones model":
-			err = zonelab.Report(out, cli.Zones.Model.Seed, cli.Zones.Model.Plot)
+			err = zonelab.ReportFaults(out, cli.Zones.Model.Seed, cli.Zones.Model.Plot)
 		case "zones cost":
-			err = zonelab.Costs(ctx, out, cli.Zones.Cost.Span)
+			err = zonelab.ReportMembership(ctx, out, cli.Zones.Cost.Span)
 		case "promises agents":
 			err = cli.Promises.Agents.run(ctx, cli.Bin, dir, out)
 		case "promises measure":
@@ -209,7 +209,7 @@
 	t := scheduleSummary{out: out}
 	operations, promised, lost := 0, 0, 0
 	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
-		r, err := promiselab.Schedule{Seed: seed, Members: c.Members, Steps: c.Steps, Clients: c.Clients}.Play(ctx, bin, where)
+		r, err := promiselab.Schedule{Seed: seed, Members: c.Members, Steps: c.Steps, Clients: c.Clients}.Run(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(err, r.Err()), func() string {
 			operations, promised, lost = operations+r.Operations, promised+r.Promised, lost+len(r.Lost)
 			if report != nil {
@@ -226,10 +226,10 @@
 	t := scheduleSummary{out: out}
 	asked, kept := 0, 0
 	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
-		r, err := promiselab.AgentSchedule{Seed: seed, Agents: c.Agents, Steps: c.Steps, Callers: c.Callers}.Play(ctx, bin, where)
+		r, err := promiselab.AgentSchedule{Seed: seed, Agents: c.Agents, Steps: c.Steps, Callers: c.Callers}.Run(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(err, r.Err()), func() string {
-			asked, kept = asked+r.Asked, kept+r.Calls
-			return fmt.Sprintf("%d asked, %d served, %d turned away, %d unheard, %d calls read back", r.Asked, r.Served, r.Turned, r.Unheard, r.Calls)
+			asked, kept = asked+r.Asked, kept+r.ServedCalls
+			return fmt.Sprintf("%d asked, %d served, %d turned away, %d unheard, %d calls read back", r.Asked, r.Served, r.Refused, r.Unanswered, r.ServedCalls)
 		})
 	})
 	return t.printTotals(fmt.Sprintf("%d set-ups asked for, %d served calls read back", asked, kept))
@@ -240,13 +240,13 @@
 	t := scheduleSummary{out: out}
 	calls, moved, back := 0, hdrhistogram.New(1, 60_000, 3), hdrhistogram.New(1, 60_000, 3) // ms
 	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
-		r, err := zonelab.ZoneSchedule{Seed: seed, Agents: c.Agents, Steps: c.Steps}.Play(ctx, bin, where)
+		r, err := zonelab.ZoneSchedule{Seed: seed, Agents: c.Agents, Steps: c.Steps}.Run(ctx, bin, where)
 		t.add(seed, r.Faults, r.Took, errors.Join(err, r.Err()), func() string {
 			calls += r.Calls
-			for _, d := range r.Moved {
+			for _, d := range r.MoveTimes {
 				moved.RecordValue(d.Milliseconds())
 			}
-			for _, d := range r.Back {
+			for _, d := range r.RecoveryTimes {
 				back.RecordValue(d.Milliseconds())
 			}
 			return fmt.Sprintf("%d calls, %d stood", r.Calls, r.Stood)
--- a/internal/lab/promiselab/agents.go
+++ b/internal/lab/promiselab/agents.go
@@ -27,20 +27,20 @@
 // AgentReport is what a schedule showed.
 type AgentReport struct {
 	AgentSchedule
-	Faults                []string
-	Asked, Served, Turned int      // set-ups of callers; answered; refused or failed
-	Unheard               int      // of which no answer came: the agent died, or was cut off
-	Calls                 int      // that some caller heard served
-	Twice                 []string // calls that two agents sent on
-	Differ                []string // calls served with two descriptions
-	Lost                  []string // served calls that no agent answers so after the faults
-	Took                  time.Duration
+	Faults                 []string
+	Asked, Served, Refused int      // set-ups of callers; answered; refused or failed
+	Unanswered             int      // of which no answer came: the agent died, or was cut off
+	ServedCalls            int      // that some caller heard served
+	SentTwice              []string // calls that two agents sent on
+	Conflicting            []string // calls served with two descriptions
+	Lost                   []string // served calls that no agent answers so after the faults
+	Took                   time.Duration
 }
 
 // Err names what the run broke; nil for none.
 func (r AgentReport) Err() error {
 	var all []error
-	for what, calls := range map[string][]string{"sent on by two agents": r.Twice, "served in two ways": r.Differ, "served, and lost": r.Lost} {
+	for what, calls := range map[string][]string{"sent on by two agents": r.SentTwice, "served in two ways": r.Conflicting, "served, and lost": r.Lost} {
 		if len(calls) > 0 {
 			all = append(all, fmt.Errorf("%d calls %s: %s", len(calls), what, strings.Join(calls[:min(len(calls), 5)], "; ")))
 		}
@@ -48,10 +48,10 @@
 	return errors.Join(all...)
 }
 
-// town is the agents, the setup server, and what callers heard.
-type town struct {
+// agentRun is the agents, the setup server, and what callers heard.
+type agentRun struct {
 	*lab.Fleet
-	office *lab.SetupServer
+	server *lab.SetupServer
 	rng    *rand.Rand
 
 	mu     sync.Mutex
@@ -60,87 +60,87 @@
 }
 
 var agentFaults = []struct {
-	name string
-	play func(*town, context.Context) error
+	name   string
+	inject func(*agentRun, context.Context) error
 }{
-	{"agent killed", (*town).kill},
-	{"agent and disk lost, and mended", (*town).lose},
-	{"agent cut off", (*town).cutOne},
-	{"two agents cut off", (*town).cutTwo},
-	{"agents restarted in turn", (*town).restart},
-	{"all agents killed at once", (*town).dark},
-	{"50 ms between all", (*town).slow},
+	{"agent killed", (*agentRun).killAgent},
+	{"agent and disk lost, and mended", (*agentRun).replaceAgent},
+	{"agent cut off", (*agentRun).isolateOne},
+	{"two agents cut off", (*agentRun).isolateTwo},
+	{"agents restarted in turn", (*agentRun).rollingRestart},
+	{"all agents killed at once", (*agentRun).killAll},
+	{"50 ms between all", (*agentRun).delayLinks},
 }
 
-// Play starts the agents under dir, plays the schedule with callers at work, and asks for every
+// Run starts the agents under dir, plays the schedule with callers at work, and asks for every
 // served call again when all is healed.
-func (s AgentSchedule) Play(ctx context.Context, bin, dir string) (AgentReport, error) {
+func (s AgentSchedule) Run(ctx context.Context, bin, dir string) (AgentReport, error) {
 	began := time.Now()
-	o := lab.NewSetupServer(s.Seed)
-	defer o.Close()
-	r := AgentReport{AgentSchedule: s}
-	f, err := lab.StartFleet(bin, dir, s.Agents, s.Seed, lab.FleetConfig{Settings: json.RawMessage(lab.AgentSettings),
+	server := lab.NewSetupServer(s.Seed)
+	defer server.Close()
+	report := AgentReport{AgentSchedule: s}
+	fleet, err := lab.StartFleet(bin, dir, s.Agents, s.Seed, lab.FleetConfig{Settings: json.RawMessage(lab.AgentSettings),
 		Timing: replica.TimingConfig{Heartbeat: "500ms", Election: "500ms", Lease: "300ms"},
 		AgentBulletin: func(name string) (string, any, error) {
-			addr, err := o.ListenFor(name)
+			addr, err := server.ListenFor(name)
 			return lab.NoBulletin, lab.ServerList(map[string]any{"name": "s0", "address": addr, "zone": "z"}), err
 		}})
 	if err != nil {
-		return r, err
+		return report, err
 	}
-	defer f.Close()
-	t := &town{Fleet: f, office: o, rng: rand.New(rand.NewPCG(s.Seed, 2)), served: map[isup.CallID]string{}, report: &r}
-	if err := t.play(ctx, s); err != nil {
-		return r, fmt.Errorf("%w (after %v)\n%s", err, r.Faults, f.Logs())
+	defer fleet.Close()
+	run := &agentRun{Fleet: fleet, server: server, rng: rand.New(rand.NewPCG(s.Seed, 2)), served: map[isup.CallID]string{}, report: &report}
+	if err := run.run(ctx, s); err != nil {
+		return report, fmt.Errorf("%w (after %v)\n%s", err, report.Faults, fleet.Logs())
 	}
-	r.Took = time.Since(began)
-	return r, nil
+	report.Took = time.Since(began)
+	return report, nil
 }
 
-func (t *town) play(whole context.Context, s AgentSchedule) error {
-	ctx, cancel := context.WithTimeout(whole, lab.ScheduleTimeout)
+func (r *agentRun) run(parent context.Context, s AgentSchedule) error {
+	ctx, cancel := context.WithTimeout(parent, lab.ScheduleTimeout)
 	defer cancel()
-	if err := t.settle(ctx); err != nil {
+	if err := r.awaitAllLeaders(ctx); err != nil {
 		return err
 	}
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for n := range s.Callers {
-		callers.Go(func() { t.call(n, s, stop) })
+		callers.Go(func() { r.placeCalls(n, s, stop) })
 	}
-	err := t.faults(ctx, s)
+	err := r.injectFaults(ctx, s)
 	close(stop)
 	callers.Wait()
 	if err != nil {
 		return err
 	}
-	ctx, cancel = context.WithTimeout(whole, lab.ReadBackTimeout)
+	ctx, cancel = context.WithTimeout(parent, lab.ReadBackTimeout)
 	defer cancel()
-	t.Partition()
-	if err := t.restart(ctx); err != nil { // fresh tables: an agent ends a connection that asks for a call it has open
+	r.Partition()
+	if err := r.rollingRestart(ctx); err != nil { // fresh tables: an agent ends a connection that asks for a call it has open
 		return err
 	}
-	t.report.Calls, t.report.Twice, t.report.Lost = len(t.served), t.office.SentByTwoAgents(), t.readBack(ctx)
+	r.report.ServedCalls, r.report.SentTwice, r.report.Lost = len(r.served), r.server.SentByTwoAgents(), r.findLost(ctx)
 	return nil
 }
 
-func (t *town) faults(ctx context.Context, s AgentSchedule) error {
+func (r *agentRun) injectFaults(ctx context.Context, s AgentSchedule) error {
 	for _, i := range lab.DrawFaults(s.Seed, s.Steps, len(agentFaults)) {
-		f := agentFaults[i]
-		if err := t.progress(ctx, 20); err != nil {
+		fault := agentFaults[i]
+		if err := r.awaitServed(ctx, 20); err != nil {
 			return err
 		}
-		if err := lab.RunStep(ctx, func(ctx context.Context) error { return f.play(t, ctx) }); err != nil {
-			return fmt.Errorf("%s: %w", f.name, err)
+		if err := lab.RunStep(ctx, func(ctx context.Context) error { return fault.inject(r, ctx) }); err != nil {
+			return fmt.Errorf("%s: %w", fault.name, err)
 		}
-		t.report.Faults = append(t.report.Faults, f.name)
+		r.report.Faults = append(r.report.Faults, fault.name)
 	}
-	return t.progress(ctx, 20)
+	return r.awaitServed(ctx, 20)
 }
 
-// call is one caller: it asks random agents for calls of which others ask, too, so that most
+// placeCalls is one caller: it asks random agents for calls of which others ask, too, so that most
 // are asked for several times while they are set up, stand, or their agent dies.
-func (t *town) call(n int, s AgentSchedule, stop <-chan struct{}) {
+func (r *agentRun) placeCalls(n int, s AgentSchedule, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(100+n)))
 	for i := 0; ; i++ {
 		select {
@@ -149,55 +149,55 @@
 		default:
 		}
 		id := isup.CallID(1 + i/2 + rng.IntN(4)) // callers move on through the calls together
-		t.note(id, lab.SetUpCall(t.Agents[fmt.Sprintf("a%d", 1+rng.IntN(s.Agents))].Listen, id))
+		r.recordAnswer(id, lab.SetUpCall(r.Agents[fmt.Sprintf("a%d", 1+rng.IntN(s.Agents))].Listen, id))
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
 }
 
-func (t *town) note(id isup.CallID, h lab.CallResult) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.report.Asked++
+func (r *agentRun) recordAnswer(id isup.CallID, answer lab.CallResult) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.report.Asked++
 	switch {
-	case h.Err != nil:
-		t.report.Unheard++
-	case h.Served == "":
-		t.report.Turned++
+	case answer.Err != nil:
+		r.report.Unanswered++
+	case answer.Served == "":
+		r.report.Refused++
 	default:
-		t.report.Served++
-		if was, ok := t.served[id]; ok && was != h.Served {
-			t.report.Differ = append(t.report.Differ, fmt.Sprintf("%v: %q and %q", id, was, h.Served))
+		r.report.Served++
+		if was, ok := r.served[id]; ok && was != answer.Served {
+			r.report.Conflicting = append(r.report.Conflicting, fmt.Sprintf("%v: %q and %q", id, was, answer.Served))
 		}
-		t.served[id] = h.Served
+		r.served[id] = answer.Served
 	}
 }
 
-// readBack asks an agent for every served call again, another where it has none: every answer
+// findLost asks an agent for every served call again, another where it has none: every answer
 // that a caller heard must be given to whoever asks later.
-func (t *town) readBack(ctx context.Context) (lost []string) {
-	names := t.Names()
-	for id, want := range t.served {
-		var h lab.CallResult
+func (r *agentRun) findLost(ctx context.Context) (lost []string) {
+	names := r.Names()
+	for id, want := range r.served {
+		var answer lab.CallResult
 		for i := 0; i < 3*len(names) && ctx.Err() == nil; i++ {
-			if h = lab.SetUpCall(t.Agents[names[(int(id)+i)%len(names)]].Listen, id); h.Served != "" {
+			if answer = lab.SetUpCall(r.Agents[names[(int(id)+i)%len(names)]].Listen, id); answer.Served != "" {
 				break
 			}
-			time.Sleep(min(h.Away, 200*time.Millisecond))
+			time.Sleep(min(answer.Away, 200*time.Millisecond))
 		}
-		if h.Served != want {
-			lost = append(lost, fmt.Sprintf("%v: served %q, now %+v", id, want, h))
+		if answer.Served != want {
+			lost = append(lost, fmt.Sprintf("%v: served %q, now %+v", id, want, answer))
 		}
 	}
 	return lost
 }
 
-func (t *town) any() string { return t.Names()[t.rng.IntN(len(t.Agents))] }
+func (r *agentRun) anyAgent() string { return r.Names()[r.rng.IntN(len(r.Agents))] }
 
-// settle waits until every running agent sees a leader in every group.
-func (t *town) settle(ctx context.Context) error {
-	for _, name := range t.Names() {
-		if t.Agents[name].Running() {
-			if err := t.AwaitLeaders(ctx, name); err != nil {
+// awaitAllLeaders waits until every running agent sees a leader in every group.
+func (r *agentRun) awaitAllLeaders(ctx context.Context) error {
+	for _, name := range r.Names() {
+		if r.Agents[name].Running() {
+			if err := r.AwaitLeaders(ctx, name); err != nil {
 				return err
 			}
 		}
@@ -205,96 +205,98 @@
 	return nil
 }
 
-// progress waits until n more calls were served; an error says who is waited for.
-func (t *town) progress(ctx context.Context, n int) error {
+// awaitServed waits until n more calls were served; an error says who is waited for.
+func (r *agentRun) awaitServed(ctx context.Context, n int) error {
 	return lab.AwaitProgress(ctx, func() int {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		return t.report.Served
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return r.report.Served
 	}, n, "calls served", func() (said string) {
-		for _, name := range t.Names() {
-			said += fmt.Sprintf("%s runs %v: %s", name, t.Agents[name].Running(), t.ConsoleCommand(name, "PROMISES"))
+		for _, name := range r.Names() {
+			said += fmt.Sprintf("%s runs %v: %s", name, r.Agents[name].Running(), r.ConsoleCommand(name, "PROMISES"))
 		}
 		return said
 	})
 }
 
-func (t *town) kill(ctx context.Context) error {
-	name := t.any()
-	t.Agents[name].Kill()
-	if err := t.progress(ctx, 10); err != nil {
+func (r *agentRun) killAgent(ctx context.Context) error {
+	name := r.anyAgent()
+	r.Agents[name].Kill()
+	if err := r.awaitServed(ctx, 10); err != nil {
 		return err
 	}
-	if err := t.Start(name); err != nil {
+	if err := r.Start(name); err != nil {
 		return err
 	}
-	return t.settle(ctx)
+	return r.awaitAllLeaders(ctx)
 }
 
-// lose is an agent's machine gone with its disk; the operators' command brings it back.
-func (t *town) lose(ctx context.Context) error {
-	name := t.any()
-	if err := t.KillAndWipe(name); err != nil {
+// replaceAgent is an agent's machine gone with its disk; the operators' command brings it back.
+func (r *agentRun) replaceAgent(ctx context.Context) error {
+	name := r.anyAgent()
+	if err := r.KillAndWipe(name); err != nil {
 		return err
 	}
-	if err := t.progress(ctx, 10); err != nil {
+	if err := r.awaitServed(ctx, 10); err != nil {
 		return err
 	}
-	if err := t.settle(ctx); err != nil {
+	if err := r.awaitAllLeaders(ctx); err != nil {
 		return err
 	}
-	if err := t.ReplaceLost(ctx, name); err != nil {
+	if err := r.ReplaceLost(ctx, name); err != nil {
 		return err
 	}
-	return t.settle(ctx)
+	return r.awaitAllLeaders(ctx)
 }
 
-func (t *town) cutOne(ctx context.Context) error { return t.cut(ctx, t.any()) }
+func (r *agentRun) isolateOne(ctx context.Context) error { return r.isolate(ctx, r.anyAgent()) }
 
-func (t *town) cutTwo(ctx context.Context) error { return t.cut(ctx, t.any(), t.any()) }
+func (r *agentRun) isolateTwo(ctx context.Context) error {
+	return r.isolate(ctx, r.anyAgent(), r.anyAgent())
+}
 
-func (t *town) cut(ctx context.Context, names ...string) error {
-	t.Partition(names...)
-	if err := t.progress(ctx, 10); err != nil {
+func (r *agentRun) isolate(ctx context.Context, names ...string) error {
+	r.Partition(names...)
+	if err := r.awaitServed(ctx, 10); err != nil {
 		return err
 	}
-	t.Partition()
-	return t.settle(ctx)
+	r.Partition()
+	return r.awaitAllLeaders(ctx)
 }
 
-func (t *town) restart(ctx context.Context) error {
-	for _, name := range t.Names() {
-		t.Agents[name].Stop()
-		if err := t.Start(name); err != nil {
+func (r *agentRun) rollingRestart(ctx context.Context) error {
+	for _, name := range r.Names() {
+		r.Agents[name].Stop()
+		if err := r.Start(name); err != nil {
 			return err
 		}
-		if err := t.settle(ctx); err != nil {
+		if err := r.awaitAllLeaders(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *town) dark(ctx context.Context) error {
+func (r *agentRun) killAll(ctx context.Context) error {
 	var down sync.WaitGroup
-	for _, a := range t.Agents {
+	for _, a := range r.Agents {
 		down.Go(a.Kill)
 	}
 	down.Wait()
-	for _, name := range t.Names() {
-		if err := t.Start(name); err != nil {
+	for _, name := range r.Names() {
+		if err := r.Start(name); err != nil {
 			return err
 		}
 	}
-	return t.settle(ctx)
+	return r.awaitAllLeaders(ctx)
 }
 
-func (t *town) slow(ctx context.Context) error {
+func (r *agentRun) delayLinks(ctx context.Context) error {
 	all := func(string, string) bool { return true }
-	t.Delay(25*time.Millisecond, all)
-	if err := t.progress(ctx, 10); err != nil {
+	r.Delay(25*time.Millisecond, all)
+	if err := r.awaitServed(ctx, 10); err != nil {
 		return err
 	}
-	t.Delay(0, all)
-	return t.settle(ctx)
+	r.Delay(0, all)
+	return r.awaitAllLeaders(ctx)
 }
--- a/internal/lab/promiselab/fleet_test.go
+++ b/internal/lab/promiselab/fleet_test.go
@@ -17,10 +17,10 @@
 // TestAgentSchedule plays one seeded schedule of faults against six agents with callers at work,
 // each fault once. The operators' long run is `woodlab promises agents`.
 func TestAgentSchedule(t *testing.T) {
-	r, err := AgentSchedule{Seed: 5, Agents: 6, Steps: len(agentFaults), Callers: 4}.Play(context.Background(), bin, t.TempDir())
+	r, err := AgentSchedule{Seed: 5, Agents: 6, Steps: len(agentFaults), Callers: 4}.Run(context.Background(), bin, t.TempDir())
 	require.NoError(t, err)
 	require.NoError(t, r.Err())
-	t.Logf("%v: %d asked, %d served, %d turned away, %d unheard, %d calls", r.Took, r.Asked, r.Served, r.Turned, r.Unheard, r.Calls)
+	t.Logf("%v: %d asked, %d served, %d turned away, %d unheard, %d calls", r.Took, r.Asked, r.Served, r.Refused, r.Unanswered, r.ServedCalls)
 }
 
 // TestAgents: six call agents in two groups of three, one setup server. What an agent promised
--- a/internal/lab/promiselab/group.go
+++ b/internal/lab/promiselab/group.go
@@ -25,20 +25,20 @@
 // every directed link between them: the harness of the fault tests and of the operators'
 // long runs (docs/replication.md). Loopback only.
 type Group struct {
-	Dir     string
-	Entries uint64 // entries from snapshot to snapshot
-	Procs   map[string]*faultnet.Proc
-	Mesh    faultnet.Mesh
-	raft    map[string]string // id -> real log address
-	client  map[string]string // id -> client address
-	configs map[string]replica.Config
+	Dir             string
+	SnapshotEntries uint64 // entries from snapshot to snapshot
+	Procs           map[string]*faultnet.Proc
+	Mesh            faultnet.Mesh
+	raftAddrs       map[string]string // id -> real log address
+	clientAddrs     map[string]string // id -> client address
+	configs         map[string]replica.Config
 }
 
 // StartGroup starts n members named n1..nN from bin under dir, bootstrapped together. entries
 // is how many entries lie between snapshots; few, so that a test passes several.
 func StartGroup(bin, dir string, n int, seed, entries uint64) (*Group, error) {
-	g := &Group{Dir: dir, Entries: entries, Procs: map[string]*faultnet.Proc{}, raft: map[string]string{},
-		client: map[string]string{}, configs: map[string]replica.Config{}}
+	g := &Group{Dir: dir, SnapshotEntries: entries, Procs: map[string]*faultnet.Proc{}, raftAddrs: map[string]string{},
+		clientAddrs: map[string]string{}, configs: map[string]replica.Config{}}
 	var boot []replica.Peer
 	host, err := faultnet.NewHost()
 	if err != nil {
@@ -52,26 +52,26 @@
 	}
 	for i := 1; i <= n; i++ {
 		id := fmt.Sprintf("n%d", i)
-		r, err := lab.ReservePort(host, &held)
+		raftAddr, err := lab.ReservePort(host, &held)
 		if err != nil {
 			release()
 			return nil, err
 		}
-		c, err := lab.ReservePort(host, &held)
+		clientAddr, err := lab.ReservePort(host, &held)
 		if err != nil {
 			release()
 			return nil, err
 		}
-		g.raft[id], g.client[id] = r, c
-		boot = append(boot, replica.Peer{ID: id, Raft: r})
+		g.raftAddrs[id], g.clientAddrs[id] = raftAddr, clientAddr
+		boot = append(boot, replica.Peer{ID: id, Raft: raftAddr})
 	}
-	g.Mesh, err = faultnet.NewMesh(g.raft, seed)
+	g.Mesh, err = faultnet.NewMesh(g.raftAddrs, seed)
 	release() // the members take their ports from here
 	if err != nil {
 		return nil, err
 	}
-	for id := range g.raft {
-		if err := g.add(bin, id, id, boot); err != nil {
+	for id := range g.raftAddrs {
+		if err := g.startMember(bin, id, id, boot); err != nil {
 			g.Close()
 			return nil, err
 		}
@@ -79,16 +79,16 @@
 	return g, nil
 }
 
-// add writes a member's file and starts it; name is the process (and its links), id its
+// startMember writes a member's file and starts it; name is the process (and its links), id its
 // id in the group, which a member with a wiped disk takes anew.
-func (g *Group) add(bin, name, id string, boot []replica.Peer) error {
+func (g *Group) startMember(bin, name, id string, boot []replica.Peer) error {
 	links := map[string]string{}
 	for to, l := range g.Mesh[name] {
-		links[g.raft[to]] = l.Addr()
+		links[g.raftAddrs[to]] = l.Addr()
 	}
-	c := replica.Config{ID: id, Raft: g.raft[name], Client: g.client[name], Data: filepath.Join(g.Dir, id),
-		Bootstrap: boot, Links: links, Snapshot: replica.SnapshotConfig{Entries: g.Entries}}
-	data, err := yaml.Marshal(c)
+	config := replica.Config{ID: id, Raft: g.raftAddrs[name], Client: g.clientAddrs[name], Data: filepath.Join(g.Dir, id),
+		Bootstrap: boot, Links: links, Snapshot: replica.SnapshotConfig{Entries: g.SnapshotEntries}}
+	data, err := yaml.Marshal(config)
 	if err != nil {
 		return err
 	}
@@ -96,10 +96,10 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
-	g.configs[name] = c
-	p := &faultnet.Proc{Name: name, Bin: bin, Args: []string{"replica", path}, Data: c.Data}
-	g.Procs[name] = p
-	return p.Start()
+	g.configs[name] = config
+	proc := &faultnet.Proc{Name: name, Bin: bin, Args: []string{"replica", path}, Data: config.Data}
+	g.Procs[name] = proc
+	return proc.Start()
 }
 
 // Replace gives a member whose disk was wiped a new id, with no bootstrap, so that it can't
@@ -110,7 +110,7 @@
 	if err := g.Procs[name].WipeData(); err != nil {
 		return err
 	}
-	if _, err := g.Leader(ctx); err != nil { // the member may have led: wait for the next
+	if _, err := g.AwaitLeader(ctx); err != nil { // the member may have led: wait for the next
 		return err
 	}
 	admin := g.Client()
@@ -118,47 +118,47 @@
 	if err := replica.Retry(ctx, func() error { return admin.Remove(ctx, old.ID) }); err != nil {
 		return fmt.Errorf("remove %s: %w", old.ID, err)
 	}
-	if err := g.add(g.Procs[name].Bin, name, newID, nil); err != nil {
+	if err := g.startMember(g.Procs[name].Bin, name, newID, nil); err != nil {
 		return err
 	}
-	return replica.Retry(ctx, func() error { return admin.Join(ctx, newID, g.raft[name]) })
+	return replica.Retry(ctx, func() error { return admin.Join(ctx, newID, g.raftAddrs[name]) })
 }
 
 // Client reaches the group through every member.
-func (g *Group) Client() *replica.Client { return replica.NewClient(g.client) }
+func (g *Group) Client() *replica.Client { return replica.NewClient(g.clientAddrs) }
 
 // ClientOf reaches the group through one member only, as a caller on its side of a cut.
 func (g *Group) ClientOf(name string) *replica.Client {
-	return replica.NewClient(map[string]string{name: g.client[name]})
+	return replica.NewClient(map[string]string{name: g.clientAddrs[name]})
 }
 
-// statusMost bounds a look at one member: a stalled one says nothing.
-const statusMost = 2 * time.Second
+// statusTimeout bounds a look at one member: a stalled one says nothing.
+const statusTimeout = 2 * time.Second
 
 // Status asks one member for its view.
 func (g *Group) Status(name string) (replica.StatusReply, error) {
 	c := g.ClientOf(name)
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), statusMost)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	return c.Status(ctx, name)
 }
 
-// Leader waits until the running members agree on one leader, and names its process.
-func (g *Group) Leader(ctx context.Context) (string, error) {
+// AwaitLeader waits until the running members agree on one leader, and names its process.
+func (g *Group) AwaitLeader(ctx context.Context) (string, error) {
 	for {
-		if name, ok := g.agreed(); ok {
+		if name, ok := g.agreedLeader(); ok {
 			return name, nil
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("no leader agreed: %w: %s", ctx.Err(), g.states())
+			return "", fmt.Errorf("no leader agreed: %w: %s", ctx.Err(), g.describeMembers())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-func (g *Group) agreed() (string, bool) {
+func (g *Group) agreedLeader() (string, bool) {
 	leaders := map[string]bool{}
 	leader := ""
 	for name, p := range g.Procs {
@@ -177,8 +177,8 @@
 	return leader, len(leaders) == 1 && leader != ""
 }
 
-// states is what each member's process says of itself, for a step that did not end.
-func (g *Group) states() string {
+// describeMembers is what each member's process says of itself, for a step that did not end.
+func (g *Group) describeMembers() string {
 	var out []string
 	for _, name := range g.Names() {
 		s, err := g.Status(name)
@@ -187,8 +187,8 @@
 	return strings.Join(out, "; ")
 }
 
-// CaughtUp waits until a member has applied at least index.
-func (g *Group) CaughtUp(ctx context.Context, name string, index uint64) error {
+// AwaitApplied waits until a member has applied at least index.
+func (g *Group) AwaitApplied(ctx context.Context, name string, index uint64) error {
 	for {
 		if s, err := g.Status(name); err == nil && s.Applied >= index {
 			return nil
--- a/internal/lab/promiselab/history.go
+++ b/internal/lab/promiselab/history.go
@@ -16,64 +16,64 @@
 	"woodrouter/promise"
 )
 
-// op is one client's operation on one call.
-type op struct {
+// operation is one client's operation on one call.
+type operation struct {
 	Kind   promise.Op // OpClaim, OpResolve, or "" for a read
 	Call   string
 	Token  string
 	Answer string // of a resolve
 }
 
-// seen is what a client was told of an operation.
-type seen struct {
-	Claimed bool
-	Answer  string // what stands; "" for a read or a claim that met none
-	Another bool   // a resolve of a call that another has claimed
-	Unknown bool   // not known whether it took effect
+// outcome is what a client was told of an operation.
+type outcome struct {
+	Claimed          bool
+	Answer           string // what stands; "" for a read or a claim that met none
+	ClaimedByAnother bool   // a resolve of a call that another has claimed
+	Unknown          bool   // not known whether it took effect
 }
 
 // history records operations with their times; of one whose end is not known the return lies
 // at the end of time, so that it may take effect at any moment, or never.
 type history struct {
-	mu       sync.Mutex
-	start    time.Time
-	ops      []porcupine.Operation
-	promised map[string]string // call -> answer, of every resolution told as promised
-	claimed  map[string]string // call -> the token told that it alone may send
-	double   []string          // calls that two tokens were told they may send
-	refused  int               // operations answered with no quorum
-	acks     int               // claims and resolutions answered by a quorum
+	mu           sync.Mutex
+	startedAt    time.Time
+	ops          []porcupine.Operation
+	promised     map[string]string // call -> answer, of every resolution told as promised
+	claimed      map[string]string // call -> the token told that it alone may send
+	doubleClaims []string          // calls that two tokens were told they may send
+	refused      int               // operations answered with no quorum
+	acknowledged int               // claims and resolutions answered by a quorum
 }
 
 func newHistory() *history {
-	return &history{start: time.Now(), promised: map[string]string{}, claimed: map[string]string{}}
+	return &history{startedAt: time.Now(), promised: map[string]string{}, claimed: map[string]string{}}
 }
 
-// do plays an operation and records it. It returns the error of one that was not taken.
-func (h *history) do(client int, in op, ask func() (seen, error)) (seen, error) {
-	begin := time.Since(h.start).Nanoseconds()
+// perform plays an operation and records it. It returns the error of one that was not taken.
+func (h *history) perform(client int, in operation, ask func() (outcome, error)) (outcome, error) {
+	begin := time.Since(h.startedAt).Nanoseconds()
 	out, err := ask()
-	end := time.Since(h.start).Nanoseconds()
+	end := time.Since(h.startedAt).Nanoseconds()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case errors.Is(err, promise.ErrEntry):
-		out = seen{Another: true}
+		out = outcome{ClaimedByAnother: true}
 	case errors.Is(err, replica.ErrUnknownOutcome) && in.Kind != "":
-		out, end = seen{Unknown: true}, math.MaxInt64
+		out, end = outcome{Unknown: true}, math.MaxInt64
 	case err != nil: // nothing happened: not taken, or a read without an answer
 		h.refused++
 		return out, err
 	}
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: begin, Output: out, Return: end})
-	h.note(in, out)
+	h.recordPromise(in, out)
 	return out, err
 }
 
-// note keeps what a client was promised, for the check that none of it is lost.
-func (h *history) note(in op, out seen) {
+// recordPromise keeps what a client was promised, for the check that none of it is lost.
+func (h *history) recordPromise(in operation, out outcome) {
 	if in.Kind != "" && !out.Unknown {
-		h.acks++
+		h.acknowledged++
 	}
 	if out.Answer != "" && in.Kind != "" {
 		h.promised[in.Call] = out.Answer
@@ -82,26 +82,26 @@
 		return
 	}
 	if t, ok := h.claimed[in.Call]; ok && t != in.Token {
-		h.double = append(h.double, in.Call)
+		h.doubleClaims = append(h.doubleClaims, in.Call)
 	}
 	h.claimed[in.Call] = in.Token
 }
 
-// count is how many claims and resolutions a quorum has answered so far. Not the calls promised:
+// acknowledgedCount is how many claims and resolutions a quorum has answered so far. Not the calls promised:
 // of those there are only so many, and a fast run has them all before its last fault.
-func (h *history) count() int {
+func (h *history) acknowledgedCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.acks
+	return h.acknowledged
 }
 
-// model is one call as package promise promises it: free, claimed by a token, or resolved.
-var model = porcupine.NondeterministicModel{
-	Partition: byCall,
+// callModel is one call as package promise promises it: free, claimed by a token, or resolved.
+var callModel = porcupine.NondeterministicModel{
+	Partition: partitionByCall,
 	Init:      func() []any { return []any{""} },
 	Step: func(state, in, out any) []any {
-		s, i, o := state.(string), in.(op), out.(seen)
-		next, told := step(s, i)
+		s, i, o := state.(string), in.(operation), out.(outcome)
+		next, told := transition(s, i)
 		if o.Unknown {
 			return []any{s, next}
 		}
@@ -112,33 +112,33 @@
 	},
 }
 
-const claimMark = "claim "
+const claimPrefix = "claim "
 
-// step is the call's next state and what its client must be told.
-func step(state string, in op) (string, seen) {
-	holder, claimed := strings.CutPrefix(state, claimMark)
+// transition is the call's next state and what its client must be told.
+func transition(state string, in operation) (string, outcome) {
+	holder, claimed := strings.CutPrefix(state, claimPrefix)
 	resolved := state != "" && !claimed
 	switch {
 	case in.Kind == "" && resolved:
-		return state, seen{Answer: state}
+		return state, outcome{Answer: state}
 	case in.Kind == "":
-		return state, seen{}
+		return state, outcome{}
 	case resolved:
-		return state, seen{Answer: state}
+		return state, outcome{Answer: state}
 	case in.Kind == promise.OpClaim && claimed && holder != in.Token:
-		return promise.AnswerRefused, seen{Answer: promise.AnswerRefused}
+		return promise.AnswerRefused, outcome{Answer: promise.AnswerRefused}
 	case in.Kind == promise.OpClaim:
-		return claimMark + in.Token, seen{Claimed: true}
+		return claimPrefix + in.Token, outcome{Claimed: true}
 	case claimed && holder != in.Token:
-		return state, seen{Another: true}
+		return state, outcome{ClaimedByAnother: true}
 	}
-	return in.Answer, seen{Answer: in.Answer}
+	return in.Answer, outcome{Answer: in.Answer}
 }
 
-func byCall(ops []porcupine.Operation) (parts [][]porcupine.Operation) {
+func partitionByCall(ops []porcupine.Operation) (parts [][]porcupine.Operation) {
 	by := map[string][]porcupine.Operation{}
 	for _, o := range ops {
-		c := o.Input.(op).Call
+		c := o.Input.(operation).Call
 		by[c] = append(by[c], o)
 	}
 	for _, p := range by {
@@ -147,9 +147,9 @@
 	return parts
 }
 
-// client plays operations on calls drawn from a small set, so that clients race on the same
+// runClient plays operations on calls drawn from a small set, so that clients race on the same
 // calls, until stop is closed: claims, resolutions with and without a claim, and reads.
-func (h *history) client(ctx context.Context, c *replica.Client, n int, seed uint64, stop <-chan struct{}) {
+func (h *history) runClient(ctx context.Context, c *replica.Client, n int, seed uint64, stop <-chan struct{}) {
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	answers := []string{promise.AnswerServed, promise.AnswerRefused, promise.AnswerFailed}
@@ -159,7 +159,7 @@
 			return
 		default:
 		}
-		in := op{Call: fmt.Sprintf("call-%d", rng.IntN(2000)), Token: fmt.Sprintf("c%d-%d", n, i), Answer: answers[rng.IntN(3)]}
+		in := operation{Call: fmt.Sprintf("call-%d", rng.IntN(2000)), Token: fmt.Sprintf("c%d-%d", n, i), Answer: answers[rng.IntN(3)]}
 		var err error
 		switch rng.IntN(4) {
 		case 0:
@@ -167,7 +167,7 @@
 		case 1:
 			_, err = h.propose(ctx, c, n, in, promise.OpResolve)
 		default:
-			var out seen
+			var out outcome
 			if out, err = h.propose(ctx, c, n, in, promise.OpClaim); out.Claimed {
 				_, err = h.propose(ctx, c, n, in, promise.OpResolve)
 			}
@@ -179,14 +179,14 @@
 	}
 }
 
-func (h *history) read(ctx context.Context, c *replica.Client, n int, call string) (seen, error) {
-	return h.do(n, op{Call: call}, func() (seen, error) {
+func (h *history) read(ctx context.Context, c *replica.Client, n int, call string) (outcome, error) {
+	return h.perform(n, operation{Call: call}, func() (outcome, error) {
 		r, _, err := c.Read(ctx, call)
-		return seen{Answer: r.Answer}, err
+		return outcome{Answer: r.Answer}, err
 	})
 }
 
-func (h *history) propose(ctx context.Context, c *replica.Client, n int, in op, kind promise.Op) (seen, error) {
+func (h *history) propose(ctx context.Context, c *replica.Client, n int, in operation, kind promise.Op) (outcome, error) {
 	in.Kind = kind
 	e := promise.Entry{Op: kind, Call: in.Call, Token: in.Token, AtUs: time.Now().UnixMicro()}
 	if kind == promise.OpResolve {
@@ -194,30 +194,30 @@
 	} else {
 		in.Answer = ""
 	}
-	return h.do(n, in, func() (seen, error) {
+	return h.perform(n, in, func() (outcome, error) {
 		r, err := c.Propose(ctx, e)
-		return seen{Claimed: r.Claimed, Answer: r.Resolution.Answer}, err
+		return outcome{Claimed: r.Claimed, Answer: r.Resolution.Answer}, err
 	})
 }
 
-// checkMost bounds the search for an order that explains a history.
-const checkMost = 30 * time.Second
+// checkTimeout bounds the search for an order that explains a history.
+const checkTimeout = 30 * time.Second
 
-// linear tells whether some order of the operations, each between its call and its return,
+// checkLinearizable tells whether some order of the operations, each between its call and its return,
 // explains what every client was told (Herlihy and Wing, "Linearizability: a correctness
 // condition for concurrent objects", ACM TOPLAS 12(3), 1990).
-func (h *history) linear() porcupine.CheckResult {
+func (h *history) checkLinearizable() porcupine.CheckResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	res, _ := porcupine.CheckOperationsVerbose(model.ToModel(), h.ops, checkMost)
+	res, _ := porcupine.CheckOperationsVerbose(callModel.ToModel(), h.ops, checkTimeout)
 	return res
 }
 
-// lost reads every promised resolution back, and names those that are gone or changed.
-func (h *history) lost(ctx context.Context, c *replica.Client) (lost []string) {
+// findLost reads every promised resolution back, and names those that are gone or changed.
+func (h *history) findLost(ctx context.Context, c *replica.Client) (lost []string) {
 	defer c.Close()
 	for call, answer := range h.promised {
-		r, found, err := readBack(ctx, c, call)
+		r, found, err := readWithRetry(ctx, c, call)
 		if err != nil || !found || r.Answer != answer {
 			lost = append(lost, fmt.Sprintf("%s: promised %s, read %q (found %v, %v)", call, answer, r.Answer, found, err))
 		}
@@ -225,8 +225,8 @@
 	return lost
 }
 
-// readBack reads a call, again where the group asks to come back.
-func readBack(ctx context.Context, c *replica.Client, call string) (r promise.Resolution, found bool, err error) {
+// readWithRetry reads a call, again where the group asks to come back.
+func readWithRetry(ctx context.Context, c *replica.Client, call string) (r promise.Resolution, found bool, err error) {
 	err = replica.Retry(ctx, func() error {
 		r, found, err = c.Read(ctx, call)
 		return err
--- a/internal/lab/promiselab/lab_test.go
+++ b/internal/lab/promiselab/lab_test.go
@@ -16,7 +16,7 @@
 // lost, no call is claimed twice, and the history is linearizable. The operators' long run is
 // `woodlab promises schedules`.
 func TestFaults(t *testing.T) {
-	r, err := Schedule{Seed: 7, Members: 3, Clients: 3}.Play(context.Background(), bin, t.TempDir())
+	r, err := Schedule{Seed: 7, Members: 3, Clients: 3}.Run(context.Background(), bin, t.TempDir())
 	if err == nil {
 		err = r.Err()
 	}
--- a/internal/lab/promiselab/measure.go
+++ b/internal/lab/promiselab/measure.go
@@ -28,8 +28,8 @@
 	Only     []string      // of latency, throughput, leader and catch-up; nil: all
 }
 
-// measureMost bounds one figure.
-const measureMost = 5 * time.Minute
+// measureTimeout bounds one figure.
+const measureTimeout = 5 * time.Minute
 
 // Run measures and writes the tables of docs/replication.md, in Markdown, to out.
 func (m Measurement) Run(ctx context.Context, out io.Writer) error {
@@ -41,7 +41,7 @@
 	for _, part := range []struct {
 		name string
 		run  func(context.Context, io.Writer) error
-	}{{"latency", m.latency}, {"throughput", m.throughput}, {"leader", m.newLeader}, {"catch-up", m.catchUp}} {
+	}{{"latency", m.latency}, {"throughput", m.throughput}, {"leader", m.electionTime}, {"catch-up", m.catchUp}} {
 		if m.Only != nil && !slices.Contains(m.Only, part.name) {
 			continue
 		}
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// group runs do against a new group of n members with a leader.
-func (m Measurement) group(ctx context.Context, name string, n int, entries uint64, do func(context.Context, *Group) error) error {
-	ctx, cancel := context.WithTimeout(ctx, measureMost)
+// withGroup runs do against a new group of n members with a leader.
+func (m Measurement) withGroup(ctx context.Context, name string, n int, entries uint64, do func(context.Context, *Group) error) error {
+	ctx, cancel := context.WithTimeout(ctx, measureTimeout)
 	defer cancel()
 	dir := filepath.Join(m.Dir, name)
 	if err := os.MkdirAll(dir, 0o750); err != nil {
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer g.Close()
-	if _, err := g.Leader(ctx); err != nil {
+	if _, err := g.AwaitLeader(ctx); err != nil {
 		return err
 	}
 	if err := do(ctx, g); err != nil {
@@ -80,11 +80,11 @@
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) } // beyond a minute: the context ended
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) } // beyond a minute: the context ended
 
-func millis(us int64) string { return fmt.Sprintf("%.1f ms", float64(us)/1000) }
+func formatMillis(us int64) string { return fmt.Sprintf("%.1f ms", float64(us)/1000) }
 
-func resolution(call string) promise.Entry {
+func newResolution(call string) promise.Entry {
 	return promise.Entry{Op: promise.OpResolve, Call: call, Answer: promise.AnswerServed, Server: "s1",
 		Description: make([]byte, 200), AtUs: time.Now().UnixMicro()}
 }
@@ -94,18 +94,18 @@
 	fmt.Fprintln(out, "| members | link delay, each way | p50 | p99 |\n| --- | --- | --- | --- |")
 	for _, n := range []int{3, 5} {
 		for _, delay := range []time.Duration{0, m.Delay} {
-			err := m.group(ctx, fmt.Sprintf("latency-%d-%v", n, delay), n, 8192, func(ctx context.Context, g *Group) error {
+			err := m.withGroup(ctx, fmt.Sprintf("latency-%d-%v", n, delay), n, 8192, func(ctx context.Context, g *Group) error {
 				g.Mesh.DelayAll(delay)
 				c, h := g.Client(), newHistogram()
 				defer c.Close()
 				for i := range m.Promises {
 					began := time.Now()
-					if _, err := c.Propose(ctx, resolution(fmt.Sprint("l", i))); err != nil {
+					if _, err := c.Propose(ctx, newResolution(fmt.Sprint("l", i))); err != nil {
 						return err
 					}
-					record(h, time.Since(began))
+					recordDuration(h, time.Since(began))
 				}
-				fmt.Fprintf(out, "| %d | %v | %s | %s |\n", n, delay, millis(h.ValueAtQuantile(50)), millis(h.ValueAtQuantile(99)))
+				fmt.Fprintf(out, "| %d | %v | %s | %s |\n", n, delay, formatMillis(h.ValueAtQuantile(50)), formatMillis(h.ValueAtQuantile(99)))
 				return nil
 			})
 			if err != nil {
@@ -121,13 +121,13 @@
 	fmt.Fprintln(out, "| members | proposers | promises a second | p50 | p99 |\n| --- | --- | --- | --- | --- |")
 	for _, n := range []int{3, 5} {
 		for _, proposers := range []int{16, 128} {
-			err := m.group(ctx, fmt.Sprintf("throughput-%d-%d", n, proposers), n, 8192, func(ctx context.Context, g *Group) error {
-				h, took, err := many(ctx, g, proposers, 10*m.Promises)
+			err := m.withGroup(ctx, fmt.Sprintf("throughput-%d-%d", n, proposers), n, 8192, func(ctx context.Context, g *Group) error {
+				h, took, err := resolveConcurrently(ctx, g, proposers, 10*m.Promises)
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(out, "| %d | %d | %.0f | %s | %s |\n", n, proposers, float64(10*m.Promises)/took.Seconds(),
-					millis(h.ValueAtQuantile(50)), millis(h.ValueAtQuantile(99)))
+					formatMillis(h.ValueAtQuantile(50)), formatMillis(h.ValueAtQuantile(99)))
 				return nil
 			})
 			if err != nil {
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// many resolves total calls through proposers at once.
-func many(ctx context.Context, g *Group, proposers, total int) (*hdrhistogram.Histogram, time.Duration, error) {
+// resolveConcurrently resolves total calls through proposers at once.
+func resolveConcurrently(ctx context.Context, g *Group, proposers, total int) (*hdrhistogram.Histogram, time.Duration, error) {
 	var (
 		next  atomic.Int64
 		mu    sync.Mutex
@@ -155,8 +155,8 @@
 			var err error
 			for i := next.Add(1); i <= int64(total) && err == nil; i = next.Add(1) {
 				t0 := time.Now()
-				_, err = c.Propose(ctx, resolution(fmt.Sprint("t", i)))
-				record(h, time.Since(t0))
+				_, err = c.Propose(ctx, newResolution(fmt.Sprint("t", i)))
+				recordDuration(h, time.Since(t0))
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -170,20 +170,20 @@
 	return all, time.Since(began), first
 }
 
-// newLeader is the time from a leader's SIGKILL to the next promise.
-func (m Measurement) newLeader(ctx context.Context, out io.Writer) error {
+// electionTime is the time from a leader's SIGKILL to the next promise.
+func (m Measurement) electionTime(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "| members | leaders killed | p50 | longest |\n| --- | --- | --- | --- |")
 	for _, n := range []int{3, 5} {
-		err := m.group(ctx, fmt.Sprintf("leader-%d", n), n, 8192, func(ctx context.Context, g *Group) error {
+		err := m.withGroup(ctx, fmt.Sprintf("leader-%d", n), n, 8192, func(ctx context.Context, g *Group) error {
 			h := newHistogram()
 			for i := range m.Kills {
-				took, err := g.failOver(ctx, fmt.Sprint("k", i))
+				took, err := g.timeFailover(ctx, fmt.Sprint("k", i))
 				if err != nil {
 					return err
 				}
-				record(h, took)
+				recordDuration(h, took)
 			}
-			fmt.Fprintf(out, "| %d | %d | %s | %s |\n", n, m.Kills, millis(h.ValueAtQuantile(50)), millis(h.Max()))
+			fmt.Fprintf(out, "| %d | %d | %s | %s |\n", n, m.Kills, formatMillis(h.ValueAtQuantile(50)), formatMillis(h.Max()))
 			return nil
 		})
 		if err != nil {
@@ -193,21 +193,21 @@
 	return nil
 }
 
-// failOver kills the leader, takes the time to the next promise, and restarts the member.
-func (g *Group) failOver(ctx context.Context, call string) (time.Duration, error) {
-	leader, err := g.Leader(ctx)
+// timeFailover kills the leader, takes the time to the next promise, and restarts the member.
+func (g *Group) timeFailover(ctx context.Context, call string) (time.Duration, error) {
+	leader, err := g.AwaitLeader(ctx)
 	if err != nil {
 		return 0, err
 	}
 	c := g.Client()
 	defer c.Close()
-	if _, err := c.Propose(ctx, resolution(call+"-before")); err != nil { // so that the client follows it
+	if _, err := c.Propose(ctx, newResolution(call+"-before")); err != nil { // so that the client follows it
 		return 0, err
 	}
 	began := time.Now()
 	g.Procs[leader].Kill()
 	for {
-		if _, err = c.Propose(ctx, resolution(call)); err == nil {
+		if _, err = c.Propose(ctx, newResolution(call)); err == nil {
 			break
 		}
 		if ctx.Err() != nil {
@@ -222,8 +222,8 @@
 // Entries between snapshots while catch-up is measured, and how long the next one is waited for:
 // raft looks every 5 to 10 s whether one is due.
 const (
-	catchUpEntries = 4096
-	snapshotMost   = 15 * time.Second
+	catchUpSnapshotEntries = 4096
+	snapshotTimeout        = 15 * time.Second
 )
 
 // catchUp is the time a member with an empty disk takes to hold what the group holds, from
@@ -231,11 +231,11 @@
 func (m Measurement) catchUp(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "| resolutions held | snapshot | caught up after |\n| --- | --- | --- |")
 	for _, size := range m.Sizes {
-		err := m.group(ctx, fmt.Sprintf("catchup-%d", size), 3, catchUpEntries, func(ctx context.Context, g *Group) error {
-			if _, _, err := many(ctx, g, 128, size); err != nil {
+		err := m.withGroup(ctx, fmt.Sprintf("catchup-%d", size), 3, catchUpSnapshotEntries, func(ctx context.Context, g *Group) error {
+			if _, _, err := resolveConcurrently(ctx, g, 128, size); err != nil {
 				return err
 			}
-			leader, err := g.Leader(ctx)
+			leader, err := g.AwaitLeader(ctx)
 			if err != nil {
 				return err
 			}
@@ -243,7 +243,7 @@
 			if err != nil {
 				return err
 			}
-			for began := time.Now(); size > catchUpEntries && g.snapshotMB(leader) == 0 && time.Since(began) < snapshotMost; {
+			for began := time.Now(); size > catchUpSnapshotEntries && g.snapshotMB(leader) == 0 && time.Since(began) < snapshotTimeout; {
 				time.Sleep(100 * time.Millisecond) // so that it comes from a snapshot, as after a longer time
 			}
 			name := "n1"
@@ -254,10 +254,10 @@
 			if err := g.Replace(ctx, name, name+"-new"); err != nil {
 				return err
 			}
-			if err := g.CaughtUp(ctx, name, held.Applied); err != nil {
+			if err := g.AwaitApplied(ctx, name, held.Applied); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "| %d | %.1f MB | %s |\n", size, g.snapshotMB(leader), millis(time.Since(began).Microseconds()))
+			fmt.Fprintf(out, "| %d | %.1f MB | %s |\n", size, g.snapshotMB(leader), formatMillis(time.Since(began).Microseconds()))
 			return nil
 		})
 		if err != nil {
--- a/internal/lab/promiselab/schedule.go
+++ b/internal/lab/promiselab/schedule.go
@@ -55,146 +55,146 @@
 	return errors.Join(all...)
 }
 
-// scene is what a fault may touch.
-type scene struct {
+// groupRun is what a fault may touch.
+type groupRun struct {
 	*Group
-	h        *history
-	rng      *rand.Rand
-	replaced int
+	history      *history
+	rng          *rand.Rand
+	replacements int
 }
 
-// faults are what a schedule may play, by name.
-var faults = []struct {
-	name string
-	play func(*scene, context.Context) error
+// groupFaults are what a schedule may play, by name.
+var groupFaults = []struct {
+	name   string
+	inject func(*groupRun, context.Context) error
 }{
-	{"leader killed", (*scene).killLeader},
-	{"leader cut off", (*scene).cutLeader},
-	{"200 ms on one link", (*scene).slowLink},
-	{"disk wiped", (*scene).wipe},
-	{"rolling restart", (*scene).rolling},
-	{"one direction cut", (*scene).deaf},
-	{"link flaps under traffic", (*scene).flap},
-	{"all killed at once", (*scene).powerCut},
+	{"leader killed", (*groupRun).killLeader},
+	{"leader cut off", (*groupRun).isolateLeader},
+	{"200 ms on one link", (*groupRun).slowLink},
+	{"disk wiped", (*groupRun).wipeDisk},
+	{"rolling restart", (*groupRun).rollingRestart},
+	{"one direction cut", (*groupRun).cutOneDirection},
+	{"link flaps under traffic", (*groupRun).flapLink},
+	{"all killed at once", (*groupRun).killAll},
 }
 
-// Play starts a group under dir, plays the schedule against it with clients at work, and
+// Run starts a group under dir, plays the schedule against it with clients at work, and
 // checks what they were told. An error is one of the run itself, with the members' logs.
-func (s Schedule) Play(ctx context.Context, bin, dir string) (Report, error) {
+func (s Schedule) Run(ctx context.Context, bin, dir string) (Report, error) {
 	began := time.Now()
-	g, err := StartGroup(bin, dir, s.Members, s.Seed, 64)
+	group, err := StartGroup(bin, dir, s.Members, s.Seed, 64)
 	if err != nil {
 		return Report{}, err
 	}
-	defer g.Close()
-	r := Report{Schedule: s}
-	if err := s.play(ctx, g, &r); err != nil {
-		return r, fmt.Errorf("%w\n%s", err, g.Logs())
+	defer group.Close()
+	report := Report{Schedule: s}
+	if err := s.run(ctx, group, &report); err != nil {
+		return report, fmt.Errorf("%w\n%s", err, group.Logs())
 	}
-	r.Took = time.Since(began)
-	return r, nil
+	report.Took = time.Since(began)
+	return report, nil
 }
 
-func (s Schedule) play(whole context.Context, g *Group, r *Report) error {
-	ctx, cancel := context.WithTimeout(whole, lab.ScheduleTimeout)
+func (s Schedule) run(parent context.Context, group *Group, report *Report) error {
+	ctx, cancel := context.WithTimeout(parent, lab.ScheduleTimeout)
 	defer cancel()
-	if _, err := g.Leader(ctx); err != nil {
+	if _, err := group.AwaitLeader(ctx); err != nil {
 		return err
 	}
-	sc := &scene{Group: g, h: newHistory(), rng: rand.New(rand.NewPCG(s.Seed, 2))}
+	run := &groupRun{Group: group, history: newHistory(), rng: rand.New(rand.NewPCG(s.Seed, 2))}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for n := range s.Clients {
-		clients.Go(func() { sc.h.client(ctx, g.Client(), n, s.Seed, stop) })
+		clients.Go(func() { run.history.runClient(ctx, group.Client(), n, s.Seed, stop) })
 	}
-	err := sc.playAll(ctx, s.order(), r)
+	err := run.injectFaults(ctx, s.faultOrder(), report)
 	close(stop)
 	clients.Wait()
 	if err != nil {
 		return err
 	}
-	ctx, cancel = context.WithTimeout(whole, lab.ReadBackTimeout)
+	ctx, cancel = context.WithTimeout(parent, lab.ReadBackTimeout)
 	defer cancel()
-	g.Mesh.Heal()
-	if _, err := g.Leader(ctx); err != nil {
+	group.Mesh.Heal()
+	if _, err := group.AwaitLeader(ctx); err != nil {
 		return err
 	}
-	r.Operations, r.Refused, r.Promised = len(sc.h.ops), sc.h.refused, len(sc.h.promised)
-	r.Lost, r.Double = sc.h.lost(ctx, g.Client()), sc.h.double
-	r.Linear = sc.h.linear() == porcupine.Ok
+	report.Operations, report.Refused, report.Promised = len(run.history.ops), run.history.refused, len(run.history.promised)
+	report.Lost, report.Double = run.history.findLost(ctx, group.Client()), run.history.doubleClaims
+	report.Linear = run.history.checkLinearizable() == porcupine.Ok
 	return nil
 }
 
-// order is which faults are played, by index.
-func (s Schedule) order() (out []int) {
+// faultOrder is which faults are played, by index.
+func (s Schedule) faultOrder() (out []int) {
 	if s.Steps == 0 {
-		for i := range faults {
+		for i := range groupFaults {
 			out = append(out, i)
 		}
 		return out
 	}
 	rng := rand.New(rand.NewPCG(s.Seed, 1))
 	for range s.Steps {
-		out = append(out, rng.IntN(len(faults)))
+		out = append(out, rng.IntN(len(groupFaults)))
 	}
 	return out
 }
 
-func (s *scene) playAll(ctx context.Context, order []int, r *Report) error {
+func (s *groupRun) injectFaults(ctx context.Context, order []int, report *Report) error {
 	for _, i := range order {
 		if ctx.Err() != nil {
-			return fmt.Errorf("not done in %v (after %v)", lab.ScheduleTimeout, r.Faults)
+			return fmt.Errorf("not done in %v (after %v)", lab.ScheduleTimeout, report.Faults)
 		}
-		if err := s.progress(ctx, 50); err != nil { // clients at work before each fault
+		if err := s.awaitAcknowledged(ctx, 50); err != nil { // clients at work before each fault
 			return err
 		}
-		if err := lab.RunStep(ctx, func(ctx context.Context) error { return faults[i].play(s, ctx) }); err != nil {
-			return fmt.Errorf("%s (after %v): %w", faults[i].name, r.Faults, err)
+		if err := lab.RunStep(ctx, func(ctx context.Context) error { return groupFaults[i].inject(s, ctx) }); err != nil {
+			return fmt.Errorf("%s (after %v): %w", groupFaults[i].name, report.Faults, err)
 		}
-		r.Faults = append(r.Faults, faults[i].name)
+		report.Faults = append(report.Faults, groupFaults[i].name)
 	}
-	return s.progress(ctx, 50)
+	return s.awaitAcknowledged(ctx, 50)
 }
 
-// progress waits until a quorum has answered n more operations; an error says who is waited for.
-func (s *scene) progress(ctx context.Context, n int) error {
-	return lab.AwaitProgress(ctx, s.h.count, n, "operations answered by a quorum", s.states)
+// awaitAcknowledged waits until a quorum has answered n more operations; an error says who is waited for.
+func (s *groupRun) awaitAcknowledged(ctx context.Context, n int) error {
+	return lab.AwaitProgress(ctx, s.history.acknowledgedCount, n, "operations answered by a quorum", s.describeMembers)
 }
 
-// settled waits until the members agree on a leader.
-func (s *scene) settled(ctx context.Context) error {
-	_, err := s.Leader(ctx)
+// awaitAgreement waits until the members agree on a leader.
+func (s *groupRun) awaitAgreement(ctx context.Context) error {
+	_, err := s.AwaitLeader(ctx)
 	return err
 }
 
-// other is a member that is not name, by the seed.
-func (s *scene) other(name string) string {
+// otherMember is a member that is not name, by the seed.
+func (s *groupRun) otherMember(name string) string {
 	rest := slices.DeleteFunc(s.Names(), func(n string) bool { return n == name })
 	return rest[s.rng.IntN(len(rest))]
 }
 
-func (s *scene) any() string { return s.Names()[s.rng.IntN(len(s.Names()))] }
+func (s *groupRun) anyMember() string { return s.Names()[s.rng.IntN(len(s.Names()))] }
 
 // killLeader has the others elect one before the dead member comes back.
-func (s *scene) killLeader(ctx context.Context) error {
-	leader, err := s.Leader(ctx)
+func (s *groupRun) killLeader(ctx context.Context) error {
+	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
 	s.Procs[leader].Kill()
-	if err := s.settled(ctx); err != nil {
+	if err := s.awaitAgreement(ctx); err != nil {
 		return err
 	}
-	if err := s.progress(ctx, 10); err != nil {
+	if err := s.awaitAcknowledged(ctx, 10); err != nil {
 		return err
 	}
 	return s.Procs[leader].Start()
 }
 
-// cutLeader puts the leader alone: a caller on its side must be refused with when to come
+// isolateLeader puts the leader alone: a caller on its side must be refused with when to come
 // back, and is never promised anything once the lease is over; the majority serves on.
-func (s *scene) cutLeader(ctx context.Context) error {
-	leader, err := s.Leader(ctx)
+func (s *groupRun) isolateLeader(ctx context.Context) error {
+	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
@@ -205,11 +205,11 @@
 		_, err := alone.Propose(ctx, promise.Entry{Op: promise.OpDrain, Server: "s9"})
 		var later *replica.RetryAfterError
 		if errors.As(err, &later) && errors.Is(err, replica.ErrNoQuorum) && later.After > 0 {
-			if err := s.progress(ctx, 10); err != nil {
+			if err := s.awaitAcknowledged(ctx, 10); err != nil {
 				return err
 			}
 			s.Mesh.Heal()
-			return s.settled(ctx)
+			return s.awaitAgreement(ctx)
 		}
 	}
 	return errors.New("the cut-off member never refused")
@@ -218,83 +218,83 @@
 // slowLink delays one link by 200 ms each way, then heals it. Left in place it would change
 // the next fault: after a kill the two members left may have a 400 ms round trip against
 // 300 ms elections, and no leader until it heals.
-func (s *scene) slowLink(ctx context.Context) error {
-	a := s.any()
-	s.Mesh.Delay(a, s.other(a), 200*time.Millisecond, 20*time.Millisecond)
-	if err := s.progress(ctx, 50); err != nil {
+func (s *groupRun) slowLink(ctx context.Context) error {
+	a := s.anyMember()
+	s.Mesh.Delay(a, s.otherMember(a), 200*time.Millisecond, 20*time.Millisecond)
+	if err := s.awaitAcknowledged(ctx, 50); err != nil {
 		return err
 	}
 	s.Mesh.Heal()
-	return s.settled(ctx)
+	return s.awaitAgreement(ctx)
 }
 
-// wipe loses a member's disk and replaces the member, which then catches up.
-func (s *scene) wipe(ctx context.Context) error {
-	name := s.any()
-	s.replaced++
-	if err := s.Replace(ctx, name, fmt.Sprintf("%s-%d", name, s.replaced)); err != nil {
+// wipeDisk loses a member's disk and replaces the member, which then catches up.
+func (s *groupRun) wipeDisk(ctx context.Context) error {
+	name := s.anyMember()
+	s.replacements++
+	if err := s.Replace(ctx, name, fmt.Sprintf("%s-%d", name, s.replacements)); err != nil {
 		return err
 	}
-	leader, err := s.Leader(ctx)
+	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
-	v, err := s.Status(leader)
+	status, err := s.Status(leader)
 	if err != nil {
 		return err
 	}
-	return s.CaughtUp(ctx, name, v.Applied)
+	return s.AwaitApplied(ctx, name, status.Applied)
 }
 
-// rolling restarts every member in turn, as an upgrade does.
-func (s *scene) rolling(ctx context.Context) error {
+// rollingRestart restarts every member in turn, as an upgrade does.
+func (s *groupRun) rollingRestart(ctx context.Context) error {
 	for _, n := range s.Names() {
 		s.Procs[n].Stop()
 		if err := s.Procs[n].Start(); err != nil {
 			return err
 		}
-		if err := s.settled(ctx); err != nil {
+		if err := s.awaitAgreement(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// deaf cuts one direction of one link only: a member hears another that does not hear it.
-func (s *scene) deaf(ctx context.Context) error {
-	a := s.any()
-	l := s.Mesh[a][s.other(a)]
+// cutOneDirection cuts one direction of one link only: a member hears another that does not hear it.
+func (s *groupRun) cutOneDirection(ctx context.Context) error {
+	a := s.anyMember()
+	l := s.Mesh[a][s.otherMember(a)]
 	l.Set(faultnet.Drop, 0, 0)
 	l.Reset()
-	if err := s.progress(ctx, 50); err != nil {
+	if err := s.awaitAcknowledged(ctx, 50); err != nil {
 		return err
 	}
 	l.Set(faultnet.Pass, 0, 0)
 	l.Reset()
-	return s.settled(ctx)
+	return s.awaitAgreement(ctx)
 }
 
-// flap resets a link's connections under traffic, and drops it, several times in a row.
-func (s *scene) flap(ctx context.Context) error {
-	a := s.any()
-	l := s.Mesh[a][s.other(a)]
+// flapLink resets a link's connections under traffic, and drops it, several times in a row.
+func (s *groupRun) flapLink(ctx context.Context) error {
+	a := s.anyMember()
+	l := s.Mesh[a][s.otherMember(a)]
 	for range 4 {
 		l.Set(faultnet.Drop, 0, 0)
 		l.Reset()
-		if err := s.progress(ctx, 3); err != nil {
+		if err := s.awaitAcknowledged(ctx, 3); err != nil {
 			return err
 		}
 		l.Set(faultnet.Pass, 0, 0)
 		l.Reset()
-		if err := s.progress(ctx, 3); err != nil {
+		if err := s.awaitAcknowledged(ctx, 3); err != nil {
 			return err
 		}
 	}
-	return s.settled(ctx)
+	return s.awaitAgreement(ctx)
 }
 
-// powerCut kills all members at once and starts them again: only their disks are left.
-func (s *scene) powerCut(ctx context.Context) error {
+// killAll kills all members at once and starts them again: only their disks are left.
+func (s *groupRun) killAll(ctx context.Context) error {
 	var down sync.WaitGroup
 	for _, p := range s.Procs {
 		down.Go(p.Kill)
@@ -305,5 +305,5 @@
 			return err
 		}
 	}
-	return s.settled(ctx)
+	return s.awaitAgreement(ctx)
 }
--- a/internal/lab/zonelab/cost.go
+++ b/internal/lab/zonelab/cost.go
@@ -13,24 +13,24 @@
 	"woodrouter/internal/fleet/members"
 )
 
-// Cost is what membership takes of an agent at a size.
-type Cost struct {
-	Agents    int
-	Joined    time.Duration // until all know all
-	Datagrams float64       // an agent sends a second
-	Bytes     float64       // in datagrams, an agent a second
-	Heard     time.Duration // from an epoch's announcement until all have heard of it
-	Fresh     float64       // share of all agents' summaries that a decider holds younger than 5 s
-	Hears     float64       // bytes of summaries that a decider hears a second
+// MembershipCost is what membership takes of an agent at a size.
+type MembershipCost struct {
+	Agents          int
+	JoinTime        time.Duration // until all know all
+	DatagramRate    float64       // an agent sends a second
+	ByteRate        float64       // in datagrams, an agent a second
+	EpochDelay      time.Duration // from an epoch's announcement until all have heard of it
+	FreshShare      float64       // share of all agents' summaries that a decider holds younger than 5 s
+	SummaryByteRate float64       // bytes of summaries that a decider hears a second
 }
 
-// deciders is how many of the agents may decide: a control group's members.
-const deciders = 3
+// controlGroupSize is how many of the agents may decide: a control group's members.
+const controlGroupSize = 3
 
-// Membership runs agents' membership in this process on loopback, real gossip and all, each
+// MeasureMembership runs agents' membership in this process on loopback, real gossip and all, each
 // telling a summary a second, for a while, and measures it.
-func Membership(ctx context.Context, agents int, span time.Duration) (Cost, error) {
-	c := Cost{Agents: agents}
+func MeasureMembership(ctx context.Context, agents int, span time.Duration) (MembershipCost, error) {
+	cost := MembershipCost{Agents: agents}
 	log := slog.New(slog.DiscardHandler)
 	var all []*members.Members
 	defer func() {
@@ -44,79 +44,79 @@
 	for i := range agents {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return c, err
+			return cost, err
 		}
-		at := ln.Addr().String()
+		addr := ln.Addr().String()
 		ln.Close()
-		cfg := members.Config{Bind: at}
+		cfg := members.Config{Bind: addr}
 		if i > 0 {
 			cfg.Seeds = []string{seed}
 		} else {
-			seed = at
+			seed = addr
 		}
-		m, err := members.Open(cfg, members.Member{Name: fmt.Sprint("a", i), Zone: name(i % 4), Region: "r", InControlGroup: i < deciders}, log)
+		m, err := members.Open(cfg, members.Member{Name: fmt.Sprint("a", i), Zone: zoneName(i % 4), Region: "r", InControlGroup: i < controlGroupSize}, log)
 		if err != nil {
-			return c, err
+			return cost, err
 		}
 		all = append(all, m)
 		if _, err := m.Rejoin(); err != nil {
-			return c, err
+			return cost, err
 		}
 	}
 	began := time.Now()
-	if err := until(ctx, all, func(m *members.Members) bool { return m.Size() == agents }); err != nil {
-		return c, fmt.Errorf("joining: %w", err)
+	if err := awaitAll(ctx, all, func(m *members.Members) bool { return m.Size() == agents }); err != nil {
+		return cost, fmt.Errorf("joining: %w", err)
 	}
-	c.Joined = time.Since(began)
-	sent0, bytes0 := traffic(all)
+	cost.JoinTime = time.Since(began)
+	sent0, bytes0 := totalTraffic(all)
 	began = time.Now()
 	for seq := uint64(1); time.Since(began) < span && ctx.Err() == nil; seq++ {
 		for i, m := range all {
-			m.SendSummary(summary(i, seq))
+			m.SendSummary(exampleSummary(i, seq))
 		}
 		time.Sleep(time.Second)
 	}
 	took := time.Since(began).Seconds()
-	sent, bytes := traffic(all)
-	c.Datagrams, c.Bytes = float64(sent-sent0)/took/float64(agents), float64(bytes-bytes0)/took/float64(agents)
-	c.Fresh = fresh(all[:deciders], agents)
-	text, _ := json.Marshal(summary(0, 1))
-	c.Hears = float64(len(text) * agents)
+	sent, bytes := totalTraffic(all)
+	cost.DatagramRate, cost.ByteRate = float64(sent-sent0)/took/float64(agents), float64(bytes-bytes0)/took/float64(agents)
+	cost.FreshShare = freshShare(all[:controlGroupSize], agents)
+	text, _ := json.Marshal(exampleSummary(0, 1))
+	cost.SummaryByteRate = float64(len(text) * agents)
 	began = time.Now()
 	all[0].AnnounceEpoch(1)
-	if err := until(ctx, all, func(m *members.Members) bool { return m.Epoch() == 1 }); err != nil {
-		return c, fmt.Errorf("announcing: %w", err)
+	if err := awaitAll(ctx, all, func(m *members.Members) bool { return m.Epoch() == 1 }); err != nil {
+		return cost, fmt.Errorf("announcing: %w", err)
 	}
-	c.Heard = time.Since(began)
-	return c, nil
+	cost.EpochDelay = time.Since(began)
+	return cost, nil
 }
 
-// summary is one of a usual size: four zones seen, two classes offered.
-func summary(i int, seq uint64) failover.Summary {
-	s := failover.Summary{Agent: fmt.Sprint("a", i), Zone: name(i % 4), Life: 1, Seq: seq,
+// exampleSummary is one of a usual size: four zones seen, two classes offered.
+func exampleSummary(i int, seq uint64) failover.Summary {
+	s := failover.Summary{Agent: fmt.Sprint("a", i), Zone: zoneName(i % 4), Life: 1, Seq: seq,
 		Offered: map[string]float64{"private-lesson": 3.2, "group-lesson": 1.7}, Seen: map[string]failover.Sight{}}
 	for z := range 4 {
-		s.Seen[name(z)] = failover.Sight{Listed: 6, Up: 6, Capacity: 120.5, Tries: 1.25, WaitMs: 21}
+		s.Seen[zoneName(z)] = failover.Sight{Listed: 6, Up: 6, Capacity: 120.5, Tries: 1.25, WaitMs: 21}
 	}
 	return s
 }
 
-// freshAfter is the age up to which a summary counts, as deploy/failover.yaml has it.
-const freshAfter = 5 * time.Second
+// maxSummaryAge is the age up to which a summary counts, as deploy/failover.yaml has it.
+const maxSummaryAge = 5 * time.Second
 
-func fresh(who []*members.Members, of int) float64 {
+func freshShare(receivers []*members.Members, agents int) float64 {
 	n := 0
-	for _, m := range who {
+	for _, m := range receivers {
 		for _, s := range m.Summaries() {
-			if time.Since(time.UnixMicro(s.AtUs)) < freshAfter {
+			if time.Since(time.UnixMicro(s.AtUs)) < maxSummaryAge {
 				n++
 			}
 		}
 	}
-	return float64(n) / float64(len(who)*of)
+	return float64(n) / float64(len(receivers)*agents)
 }
 
-func traffic(all []*members.Members) (sent, bytes int64) {
+func totalTraffic(all []*members.Members) (sent, bytes int64) {
 	for _, m := range all {
 		s, b, _ := m.Traffic()
 		sent, bytes = sent+s, bytes+b
@@ -124,11 +124,11 @@
 	return sent, bytes
 }
 
-// untilMost bounds what the measurement waits for.
-const untilMost = time.Minute
+// maxWait bounds what the measurement waits for.
+const maxWait = time.Minute
 
-func until(ctx context.Context, all []*members.Members, ok func(*members.Members) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, untilMost)
+func awaitAll(ctx context.Context, all []*members.Members, ok func(*members.Members) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	for _, m := range all {
 		for !ok(m) {
--- a/internal/lab/zonelab/report.go
+++ b/internal/lab/zonelab/report.go
@@ -12,28 +12,28 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes are the fleets measured.
-var Sizes = []int{10, 100, 300}
+// FleetSizes are the fleets measured.
+var FleetSizes = []int{10, 100, 300}
 
-// Report measures every fault at every size, in common and alone, and writes the tables of
+// ReportFaults measures every fault at every size, in common and alone, and writes the tables of
 // docs/failover.md in Markdown; the share of calls lost goes to a plot where a file is named.
-func Report(out io.Writer, seed uint64, plotFile string) error {
+func ReportFaults(out io.Writer, seed uint64, plotFile string) error {
 	fmt.Fprintln(out, "| fault | agents | decided | calls lost | kept near | fail over | fail back | mode changes an agent | most over capacity |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	lost := map[string]plotter.XYs{}
 	for _, fault := range Faults {
-		for _, n := range Sizes {
+		for _, n := range FleetSizes {
 			for _, common := range []bool{true, false} {
-				r := Fleet{Agents: n, Zones: 4, Servers: 6, Load: 0.6, Seed: seed, Common: common}.Run(fault)
+				result := Fleet{Agents: n, Zones: 4, Servers: 6, Load: 0.6, Seed: seed, Common: common}.Run(fault)
 				how := "alone"
 				if common {
 					how = "in common"
 				}
 				fmt.Fprintf(out, "| %s | %d | %s | %.2f %% | %.2f %% | %s | %s | %d | %.0f %% |\n", fault.Name, n, how,
-					100*part(r.Lost, r.Calls), 100*part(r.Home, r.Live), seconds(r.FailOver), seconds(r.FailBack), r.Swings, 100*max(r.Over, 0))
-				if fault.Ends > 0 {
+					100*share(result.Lost, result.Calls), 100*share(result.KeptHome, result.FromLiveZones), formatSeconds(result.FailOver), formatSeconds(result.FailBack), result.ModeChanges, 100*max(result.MaxOverload, 0))
+				if fault.EndsAt > 0 {
 					key := fault.Name + ", " + how
-					lost[key] = append(lost[key], plotter.XY{X: float64(n), Y: 100 * part(r.Lost, r.Calls)})
+					lost[key] = append(lost[key], plotter.XY{X: float64(n), Y: 100 * share(result.Lost, result.Calls)})
 				}
 			}
 		}
@@ -41,23 +41,23 @@
 	if plotFile == "" {
 		return nil
 	}
-	return draw(lost, plotFile)
+	return plotLost(lost, plotFile)
 }
 
-func part(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+func share(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// seconds words a time; 0 is one that did not come within the run.
-func seconds(s float64) string {
+// formatSeconds words a time; 0 is one that did not come within the run.
+func formatSeconds(s float64) string {
 	if s == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.0f s", s)
 }
 
-func draw(lost map[string]plotter.XYs, file string) error {
-	p := plot.New()
-	p.Title.Text = "Calls lost to a dead zone"
-	p.X.Label.Text, p.Y.Label.Text = "agents", "share of all calls, %"
+func plotLost(lost map[string]plotter.XYs, file string) error {
+	figure := plot.New()
+	figure.Title.Text = "Calls lost to a dead zone"
+	figure.X.Label.Text, figure.Y.Label.Text = "agents", "share of all calls, %"
 	var lines []any
 	for _, fault := range Faults {
 		for _, how := range []string{"in common", "alone"} {
@@ -66,23 +66,23 @@
 			}
 		}
 	}
-	if err := plotutil.AddLinePoints(p, lines...); err != nil {
+	if err := plotutil.AddLinePoints(figure, lines...); err != nil {
 		return err
 	}
-	p.Y.Min = 0
-	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, file)
+	figure.Y.Min = 0
+	return figure.Save(16*vg.Centimeter, 10*vg.Centimeter, file)
 }
 
-// Costs measures membership at every size and writes its table.
-func Costs(ctx context.Context, out io.Writer, span time.Duration) error {
+// ReportMembership measures membership at every size and writes its table.
+func ReportMembership(ctx context.Context, out io.Writer, span time.Duration) error {
 	fmt.Fprintln(out, "| agents | all know all after | datagrams an agent sends a second | bytes an agent sends a second | an epoch is heard by all after | a decider hears, bytes a second | of all summaries fresh there |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
-	for _, n := range Sizes {
-		c, err := Membership(ctx, n, span)
+	for _, n := range FleetSizes {
+		c, err := MeasureMembership(ctx, n, span)
 		if err != nil {
 			return fmt.Errorf("%d agents: %w", n, err)
 		}
-		fmt.Fprintf(out, "| %d | %.1f s | %.1f | %.0f | %d ms | %.0f | %.1f %% |\n", n, c.Joined.Seconds(), c.Datagrams, c.Bytes, c.Heard.Milliseconds(), c.Hears, 100*c.Fresh)
+		fmt.Fprintf(out, "| %d | %.1f s | %.1f | %.0f | %d ms | %.0f | %.1f %% |\n", n, c.JoinTime.Seconds(), c.DatagramRate, c.ByteRate, c.EpochDelay.Milliseconds(), c.SummaryByteRate, 100*c.FreshShare)
 	}
 	return nil
 }
--- a/internal/lab/zonelab/zonelab.go
+++ b/internal/lab/zonelab/zonelab.go
@@ -28,8 +28,8 @@
 type Fault struct {
 	Name string
 	// Down tells whether the zone's servers are dead at a time, in seconds from the start.
-	Down func(at float64) bool
-	Ends float64 // when it is over for good
+	Down   func(at float64) bool
+	EndsAt float64 // when it is over for good
 }
 
 // Faults are those measured.
@@ -41,273 +41,275 @@
 
 // Result is what a run showed.
 type Result struct {
-	Calls    int
-	Lost     int     // sent to a dead server
-	Home     int     // of those from zones whose servers live, the ones that stayed there
-	Live     int     // calls from zones whose servers live
-	FailOver float64 // seconds from the fault to the first second in which under 5 % of z1's calls were lost
-	FailBack float64 // seconds from its end to the first with over 95 % of z1's calls at home
-	Swings   int     // changes of the home placement's mode, over all agents, per agent
-	Over     float64 // most that a zone was asked beyond its capacity in a second, as a share of it
+	Calls         int
+	Lost          int     // sent to a dead server
+	KeptHome      int     // of those from zones whose servers live, the ones that stayed there
+	FromLiveZones int     // calls from zones whose servers live
+	FailOver      float64 // seconds from the fault to the first second in which under 5 % of z1's calls were lost
+	FailBack      float64 // seconds from its end to the first with over 95 % of z1's calls at home
+	ModeChanges   int     // changes of the home placement's mode, over all agents, per agent
+	MaxOverload   float64 // most that a zone was asked beyond its capacity in a second, as a share of it
 }
 
 // The model's figures. A server takes rate calls a second; a dead one is noticed after timeout.
 const (
-	step    = 0.1 // seconds
-	rate    = 50.0
-	timeout = 0.5
-	length  = 150.0
-	spread  = 0.3 // seconds until a decision is in force at all agents, commit and gossip together
-	every   = 1.0 // seconds between looks
+	stepSeconds        = 0.1 // seconds
+	serverRate         = 50.0
+	timeoutSeconds     = 0.5
+	runSeconds         = 150.0
+	propagationSeconds = 0.3 // seconds until a decision is in force at all agents, commit and gossip together
+	decisionSeconds    = 1.0 // seconds between looks
 )
 
 // agent is one modelled call agent.
 type agentModel struct {
-	zone    int
-	plan    failover.Plan
-	next    failover.Plan // decided in common, in force from nextAt on
-	nextAt  float64
-	bad     [][]int     // by zone and server: attempts in a row that met a dead one
-	badAt   [][]float64 // when last
-	offered int
-	tries   []int  // that ended since the last look, by zone
-	dead    []int  // of these, met a dead server
-	due     []miss // attempts under way to dead servers
+	zone           int
+	plan           failover.Plan
+	nextPlan       failover.Plan // decided in common, in force from nextAt on
+	nextPlanAt     float64
+	failures       [][]int     // by zone and server: attempts in a row that met a dead one
+	lastFailureAt  [][]float64 // when last
+	offered        int
+	attempts       []int            // that ended since the last look, by zone
+	failedAttempts []int            // of these, met a dead server
+	pending        []pendingFailure // attempts under way to dead servers
 }
 
-// miss is an attempt that will be seen to have failed.
-type miss struct {
-	at           float64
+// pendingFailure is an attempt that will be seen to have failed.
+type pendingFailure struct {
+	failsAt      float64
 	zone, server int
 }
 
-// run is one run of the model.
-type run struct {
+// simulation is one run of the model.
+type simulation struct {
 	Fleet
-	f        Fault
-	top      failover.Topology
-	set      failover.Settings
+	fault    Fault
+	topology failover.Topology
+	settings failover.Settings
 	rng      *rand.Rand
 	arrivals distuv.Poisson
 	agents   []*agentModel
 	common   failover.Plan
-	at       float64
-	res      Result
-	second   window
+	now      float64
+	result   Result
+	current  secondCounts
 }
 
-// window counts one second.
-type window struct {
+// secondCounts counts one second.
+type secondCounts struct {
 	z1, z1Lost, z1Home int
-	into               []int
+	byZone             []int
 }
 
 // Run plays a fault against a fleet, in virtual time.
 func (f Fleet) Run(fault Fault) Result {
-	r := &run{Fleet: f, f: fault, set: failover.Defaults, rng: rand.New(rand.NewPCG(f.Seed, 1))}
+	r := &simulation{Fleet: f, fault: fault, settings: failover.Defaults, rng: rand.New(rand.NewPCG(f.Seed, 1))}
 	for z := range f.Zones {
 		region := "r1"
 		if z >= f.Zones/2 {
 			region = "r2"
 		}
-		r.top.Zones = append(r.top.Zones, failover.Zone{Name: name(z), Region: region})
+		r.topology.Zones = append(r.topology.Zones, failover.Zone{Name: zoneName(z), Region: region})
 	}
-	perAgent := f.Load * rate * float64(f.Servers*f.Zones) / float64(f.Agents)
-	r.arrivals = distuv.Poisson{Lambda: perAgent * step, Src: r.rng}
+	perAgent := f.Load * serverRate * float64(f.Servers*f.Zones) / float64(f.Agents)
+	r.arrivals = distuv.Poisson{Lambda: perAgent * stepSeconds, Src: r.rng}
 	for i := range f.Agents {
-		a := &agentModel{zone: i % f.Zones, tries: make([]int, f.Zones), dead: make([]int, f.Zones)}
+		agent := &agentModel{zone: i % f.Zones, attempts: make([]int, f.Zones), failedAttempts: make([]int, f.Zones)}
 		for range f.Zones {
-			a.bad, a.badAt = append(a.bad, make([]int, f.Servers)), append(a.badAt, make([]float64, f.Servers))
+			agent.failures, agent.lastFailureAt = append(agent.failures, make([]int, f.Servers)), append(agent.lastFailureAt, make([]float64, f.Servers))
 		}
-		r.agents = append(r.agents, a)
+		r.agents = append(r.agents, agent)
 	}
-	r.second.into = make([]int, f.Zones)
-	r.play()
-	r.res.Swings /= max(f.Agents, 1)
-	return r.res
+	r.current.byZone = make([]int, f.Zones)
+	r.simulate()
+	r.result.ModeChanges /= max(f.Agents, 1)
+	return r.result
 }
 
-func name(z int) string { return fmt.Sprint("z", z+1) }
+func zoneName(z int) string { return fmt.Sprint("z", z+1) }
 
-func (r *run) play() {
-	steps := int(length / step)
-	perSecond, perLook := int(math.Round(1/step)), int(math.Round(every/step))
+func (r *simulation) simulate() {
+	steps := int(runSeconds / stepSeconds)
+	perSecond, perLook := int(math.Round(1/stepSeconds)), int(math.Round(decisionSeconds/stepSeconds))
 	for i := range steps {
-		r.at = float64(i) * step
+		r.now = float64(i) * stepSeconds
 		for j, a := range r.agents {
-			r.serve(a)
+			r.step(a)
 			if (i+j)%perLook == 0 && !r.Common { // agents' looks are not in step
-				r.alone(a)
+				r.decideAlone(a)
 			}
-			if a.nextAt > 0 && r.at >= a.nextAt {
-				r.adopt(a, a.next)
-				a.nextAt = 0
+			if a.nextPlanAt > 0 && r.now >= a.nextPlanAt {
+				r.adopt(a, a.nextPlan)
+				a.nextPlanAt = 0
 			}
 		}
 		if r.Common && i%perLook == 0 {
-			r.together()
+			r.decideInCommon()
 		}
 		if i%perSecond == perSecond-1 {
-			r.count()
+			r.closeSecond()
 		}
 	}
 }
 
-// serve plays an agent's calls of one step.
-func (r *run) serve(a *agentModel) {
-	keep := a.due[:0]
-	for _, m := range a.due {
-		if m.at > r.at {
+// step plays an agent's calls of one step.
+func (r *simulation) step(a *agentModel) {
+	keep := a.pending[:0]
+	for _, m := range a.pending {
+		if m.failsAt > r.now {
 			keep = append(keep, m)
 			continue
 		}
-		a.tries[m.zone]++
-		a.dead[m.zone]++
-		a.bad[m.zone][m.server]++
-		a.badAt[m.zone][m.server] = r.at
+		a.attempts[m.zone]++
+		a.failedAttempts[m.zone]++
+		a.failures[m.zone][m.server]++
+		a.lastFailureAt[m.zone][m.server] = r.now
 	}
-	a.due = keep
+	a.pending = keep
 	for range int(r.arrivals.Rand()) {
 		a.offered++
-		r.call(a)
+		r.placeCall(a)
 	}
 }
 
-func (r *run) call(a *agentModel) {
-	home := name(a.zone)
+func (r *simulation) placeCall(a *agentModel) {
+	home := zoneName(a.zone)
 	to := a.plan.ChooseZone(home, "call", fmt.Sprintf("%016x", r.rng.Uint64()))
 	z := 0
 	fmt.Sscanf(to, "z%d", &z)
 	z--
-	server := r.pick(a, z)
-	r.res.Calls++
-	r.second.into[z]++
-	dead := z == 0 && r.f.Down(r.at)
-	if a.zone != 0 || !r.f.Down(r.at) {
-		r.res.Live++
+	server := r.pickServer(a, z)
+	r.result.Calls++
+	r.current.byZone[z]++
+	dead := z == 0 && r.fault.Down(r.now)
+	if a.zone != 0 || !r.fault.Down(r.now) {
+		r.result.FromLiveZones++
 		if z == a.zone {
-			r.res.Home++
+			r.result.KeptHome++
 		}
 	}
 	if a.zone == 0 {
-		r.second.z1++
+		r.current.z1++
 		if z == 0 && !dead {
-			r.second.z1Home++
+			r.current.z1Home++
 		}
 	}
 	if dead {
-		r.res.Lost++
+		r.result.Lost++
 		if a.zone == 0 {
-			r.second.z1Lost++
+			r.current.z1Lost++
 		}
-		a.due = append(a.due, miss{r.at + timeout, z, server})
+		a.pending = append(a.pending, pendingFailure{r.now + timeoutSeconds, z, server})
 		return
 	}
-	a.tries[z]++
-	a.bad[z][server] = 0
+	a.attempts[z]++
+	a.failures[z][server] = 0
 }
 
-// pick is a server of a zone that the agent does not hold for dead, or any where it holds all.
-func (r *run) pick(a *agentModel, z int) int {
+// pickServer is a server of a zone that the agent does not hold for dead, or any where it holds all.
+func (r *simulation) pickServer(a *agentModel, z int) int {
 	from := r.rng.IntN(r.Servers)
 	for i := range r.Servers {
-		if s := (from + i) % r.Servers; !r.down(a, z, s) {
+		if s := (from + i) % r.Servers; !r.believedDown(a, z, s) {
 			return s
 		}
 	}
 	return from
 }
 
-// down is agent.Sights' rule: two in a row, for 10 s.
-func (r *run) down(a *agentModel, z, s int) bool { return a.bad[z][s] >= 2 && r.at-a.badAt[z][s] < 10 }
+// believedDown is agent.Sights' rule: two in a row, for 10 s.
+func (r *simulation) believedDown(a *agentModel, z, s int) bool {
+	return a.failures[z][s] >= 2 && r.now-a.lastFailureAt[z][s] < 10
+}
 
-// summary is what an agent tells. In common mode agents look at servers that calls tell nothing
+// takeSummary is what an agent tells. In common mode agents look at servers that calls tell nothing
 // of, as the placer does; alone, an agent has its own calls only.
-func (r *run) summary(i int, a *agentModel) failover.Summary {
-	s := failover.Summary{Agent: fmt.Sprint(i), Zone: name(a.zone), AtUs: r.us(), Offered: map[string]float64{"call": float64(a.offered) / every},
+func (r *simulation) takeSummary(i int, a *agentModel) failover.Summary {
+	s := failover.Summary{Agent: fmt.Sprint(i), Zone: zoneName(a.zone), AtUs: r.nowMicros(), Offered: map[string]float64{"call": float64(a.offered) / decisionSeconds},
 		Seen: map[string]failover.Sight{}}
 	for z := range r.Zones {
-		sight := failover.Sight{Listed: r.Servers, Capacity: 0, Tries: float64(a.tries[z]) / every, Dead: float64(a.dead[z]) / every}
+		sight := failover.Sight{Listed: r.Servers, Capacity: 0, Tries: float64(a.attempts[z]) / decisionSeconds, Dead: float64(a.failedAttempts[z]) / decisionSeconds}
 		for v := range r.Servers {
-			r.check(a, z, v)
-			if !r.down(a, z, v) {
+			r.probe(a, z, v)
+			if !r.believedDown(a, z, v) {
 				sight.Up++
 			}
 		}
-		sight.Capacity = rate * float64(sight.Up)
-		s.Seen[name(z)] = sight
-		a.tries[z], a.dead[z] = 0, 0
+		sight.Capacity = serverRate * float64(sight.Up)
+		s.Seen[zoneName(z)] = sight
+		a.attempts[z], a.failedAttempts[z] = 0, 0
 	}
 	a.offered = 0
 	return s
 }
 
-// check is the placer's look at servers that are down, or in a zone that is lost; alone, an
+// probe is the placer's look at servers that are down, or in a zone that is lost; alone, an
 // agent does not look.
-func (r *run) check(a *agentModel, z, server int) {
-	if !r.Common || a.bad[z][server] < 2 && !a.plan.States[name(z)].Lost {
+func (r *simulation) probe(a *agentModel, z, server int) {
+	if !r.Common || a.failures[z][server] < 2 && !a.plan.States[zoneName(z)].Lost {
 		return
 	}
-	if z == 0 && r.f.Down(r.at) {
-		a.bad[z][server]++
-		a.badAt[z][server] = r.at
+	if z == 0 && r.fault.Down(r.now) {
+		a.failures[z][server]++
+		a.lastFailureAt[z][server] = r.now
 		return
 	}
-	a.bad[z][server] = 0
+	a.failures[z][server] = 0
 }
 
-func (r *run) us() int64 { return int64(r.at*1e6) + 1 }
+func (r *simulation) nowMicros() int64 { return int64(r.now*1e6) + 1 }
 
-// alone has an agent decide on what it sees itself. Its own load is a fleet's to it: it scales
+// decideAlone has an agent decide on what it sees itself. Its own load is a fleet's to it: it scales
 // what it is offered by the agents there are.
-func (r *run) alone(a *agentModel) {
-	s := r.summary(0, a)
+func (r *simulation) decideAlone(a *agentModel) {
+	s := r.takeSummary(0, a)
 	s.Offered["call"] *= float64(r.Agents) / float64(r.Zones)
-	v := failover.Aggregate([]failover.Summary{s}, r.us(), 5e6)
-	if next, changed := failover.Decide(a.plan, r.top, r.set, v, r.us(), "self"); changed {
+	v := failover.Aggregate([]failover.Summary{s}, r.nowMicros(), 5e6)
+	if next, changed := failover.Decide(a.plan, r.topology, r.settings, v, r.nowMicros(), "self"); changed {
 		r.adopt(a, next)
 	}
 }
 
-func (r *run) together() {
+func (r *simulation) decideInCommon() {
 	var all []failover.Summary
 	for i, a := range r.agents {
-		all = append(all, r.summary(i, a))
+		all = append(all, r.takeSummary(i, a))
 	}
-	next, changed := failover.Decide(r.common, r.top, r.set, failover.Aggregate(all, r.us(), 5e6), r.us(), "leader")
+	next, changed := failover.Decide(r.common, r.topology, r.settings, failover.Aggregate(all, r.nowMicros(), 5e6), r.nowMicros(), "leader")
 	if !changed {
 		return
 	}
 	r.common = next
 	for _, a := range r.agents {
-		a.next, a.nextAt = next, r.at+spread
+		a.nextPlan, a.nextPlanAt = next, r.now+propagationSeconds
 	}
 }
 
-func (r *run) adopt(a *agentModel, p failover.Plan) {
-	if was, ok := a.plan.Zones[name(a.zone)]; ok && was.Mode != p.Zones[name(a.zone)].Mode {
-		r.res.Swings++
+func (r *simulation) adopt(a *agentModel, p failover.Plan) {
+	if was, ok := a.plan.Zones[zoneName(a.zone)]; ok && was.Mode != p.Zones[zoneName(a.zone)].Mode {
+		r.result.ModeChanges++
 	}
 	a.plan = p
 }
 
-// count closes a second.
-func (r *run) count() {
-	w := r.second
-	if r.f.Ends > 0 && w.z1 > 0 {
-		if r.res.FailOver == 0 && r.at > 30.5 && float64(w.z1Lost) < 0.05*float64(w.z1) {
-			r.res.FailOver = r.at + step - 30
+// closeSecond closes a second.
+func (r *simulation) closeSecond() {
+	w := r.current
+	if r.fault.EndsAt > 0 && w.z1 > 0 {
+		if r.result.FailOver == 0 && r.now > 30.5 && float64(w.z1Lost) < 0.05*float64(w.z1) {
+			r.result.FailOver = r.now + stepSeconds - 30
 		}
-		if r.res.FailBack == 0 && r.at > r.f.Ends && float64(w.z1Home) > 0.95*float64(w.z1) {
-			r.res.FailBack = r.at + step - r.f.Ends
+		if r.result.FailBack == 0 && r.now > r.fault.EndsAt && float64(w.z1Home) > 0.95*float64(w.z1) {
+			r.result.FailBack = r.now + stepSeconds - r.fault.EndsAt
 		}
 	}
-	for z, n := range w.into {
-		capacity := rate * float64(r.Servers)
-		if z == 0 && r.f.Down(r.at) {
+	for z, n := range w.byZone {
+		capacity := serverRate * float64(r.Servers)
+		if z == 0 && r.fault.Down(r.now) {
 			continue
 		}
-		r.res.Over = max(r.res.Over, float64(n)/capacity-1)
+		r.result.MaxOverload = max(r.result.MaxOverload, float64(n)/capacity-1)
 	}
-	r.second = window{into: make([]int, r.Zones)}
+	r.current = secondCounts{byZone: make([]int, r.Zones)}
 }
--- a/internal/lab/zonelab/zones_test.go
+++ b/internal/lab/zonelab/zones_test.go
@@ -26,38 +26,38 @@
 
 func TestMain(m *testing.M) { os.Exit(lab.BuildAndRun(m, &bin)) }
 
-// world is six agents in four zones of two regions, a setup server in each zone, and a link
+// zoneTest is six agents in four zones of two regions, a setup server in each zone, and a link
 // from each zone's agents to each server.
-type world struct {
-	t       *testing.T
-	f       *lab.Fleet
-	servers map[string]*standin.Server
-	links   map[string]map[string]*faultnet.Link // from agents' zone, to servers' zone
-	mu      sync.Mutex
-	asked   map[isup.CallID]string   // the agent of each call
-	wire    map[isup.CallID][]string // the zones whose server got the call's set-up, in order
-	next    isup.CallID
+type zoneTest struct {
+	t          *testing.T
+	fleet      *lab.Fleet
+	servers    map[string]*standin.Server
+	links      map[string]map[string]*faultnet.Link // from agents' zone, to servers' zone
+	mu         sync.Mutex
+	asked      map[isup.CallID]string   // the agent of each call
+	receivedBy map[isup.CallID][]string // the zones whose server got the call's set-up, in order
+	lastCall   isup.CallID
 }
 
 var zones = []string{"z1", "z2", "z3", "z4"}
 
 func region(zone string) string { return map[string]string{"z1": "r1", "z2": "r1"}[zone] }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, servers: map[string]*standin.Server{}, links: map[string]map[string]*faultnet.Link{},
-		asked: map[isup.CallID]string{}, wire: map[isup.CallID][]string{}}
+func newZoneTest(t *testing.T) *zoneTest {
+	test := &zoneTest{t: t, servers: map[string]*standin.Server{}, links: map[string]map[string]*faultnet.Link{},
+		asked: map[isup.CallID]string{}, receivedBy: map[isup.CallID][]string{}}
 	bulletins := map[string]*standin.Bulletin{}
 	for _, z := range zones {
-		w.serve(z, standin.NewServer(t, ""))
+		test.answerSetUps(z, standin.NewServer(t, ""))
 	}
 	for _, from := range zones {
 		var list []map[string]any
-		w.links[from] = map[string]*faultnet.Link{}
+		test.links[from] = map[string]*faultnet.Link{}
 		for i, to := range zones {
-			l, err := faultnet.NewLink(w.servers[to].Addr, uint64(i))
+			l, err := faultnet.NewLink(test.servers[to].Addr, uint64(i))
 			require.NoError(t, err)
 			t.Cleanup(l.Close)
-			w.links[from][to] = l
+			test.links[from][to] = l
 			e := standin.Endpoint("s-"+to, l.Addr(), i, "up")
 			e["zone"] = to
 			list = append(list, e)
@@ -66,7 +66,7 @@
 	}
 	share := func(v float64) *float64 { return &v }
 	var err error
-	w.f, err = lab.StartFleet(bin, t.TempDir(), 6, 11, lab.FleetConfig{Zones: 4, NoCalls: true,
+	test.fleet, err = lab.StartFleet(bin, t.TempDir(), 6, 11, lab.FleetConfig{Zones: 4, NoCalls: true,
 		Settings: json.RawMessage(strings.Replace(lab.LongDeadlineSettings, "[[0]]", "[[0,1,2,3]]", 1)),
 		Bulletin: func(z string) (string, any) { return bulletins[z].Addr, bulletins[z].EventsAfter(0) },
 		Timing:   lab.SlowTiming,
@@ -75,22 +75,22 @@
 			Settings: placer.SettingsConfig{Dwell: "1500ms", Ramp: "1s", RampFrom: share(0.9), Margin: share(0.1)}}})
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		w.f.Close()
+		test.fleet.Close()
 		if t.Failed() {
-			t.Log(w.f.Logs())
+			t.Log(test.fleet.Logs())
 		}
 	})
-	return w
+	return test
 }
 
-// serve has a zone's server answer every set-up at once, and notes it.
-func (w *world) serve(zone string, s *standin.Server) {
+// answerSetUps has a zone's server answer every set-up at once, and notes it.
+func (w *zoneTest) answerSetUps(zone string, s *standin.Server) {
 	w.servers[zone] = s
 	go func() {
 		for g := range s.Received {
 			if g.Type == isup.SetUp {
 				w.mu.Lock()
-				w.wire[g.Call] = append(w.wire[g.Call], zone)
+				w.receivedBy[g.Call] = append(w.receivedBy[g.Call], zone)
 				w.mu.Unlock()
 				g.Answer(fmt.Sprint("room of ", g.Call))
 			}
@@ -98,15 +98,15 @@
 	}()
 }
 
-// calls has an agent set n calls up, one after another, and returns how many stood and the
+// placeCalls has an agent set n calls up, one after another, and returns how many stood and the
 // zones that got their set-ups.
-func (w *world) calls(agent string, n int) (stood int, got map[string]int) {
-	c := standin.NewCaller(w.t, w.f.Agents[agent].Listen)
+func (w *zoneTest) placeCalls(agent string, n int) (stood int, got map[string]int) {
+	c := standin.NewCaller(w.t, w.fleet.Agents[agent].Listen)
 	got = map[string]int{}
 	for range n {
 		w.mu.Lock()
-		w.next++
-		id := w.next
+		w.lastCall++
+		id := w.lastCall
 		w.asked[id] = agent
 		w.mu.Unlock()
 		c.SetUp(id, "voice", 3*time.Second, 0)
@@ -116,7 +116,7 @@
 			stood++
 		}
 		w.mu.Lock()
-		for _, z := range w.wire[id] {
+		for _, z := range w.receivedBy[id] {
 			got[z]++
 		}
 		w.mu.Unlock()
@@ -124,15 +124,15 @@
 	return stood, got
 }
 
-// all has every agent but those named set n calls up, which must all stand, in these zones; and
+// checkPlacement has every agent but those named set n calls up, which must all stand, in these zones; and
 // what the agent reports of them, home and away, must be what the servers got. (A set-up that
 // was written whole into a connection whose far end has just died is reported too: that is
 // traffic, though no server got it. Here all are alive, or no call goes to them.)
-func (w *world) all(n int, where map[string]string, but ...string) {
+func (w *zoneTest) checkPlacement(n int, where map[string]string, but ...string) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	for name, a := range w.f.Agents {
+	for name, a := range w.fleet.Agents {
 		if strings.Contains(fmt.Sprint(but), name) {
 			continue
 		}
@@ -140,9 +140,9 @@
 		if z, ok := where[want]; ok {
 			want = z
 		}
-		require.NoError(w.t, w.f.AwaitLeaders(ctx, name))
-		home, away := w.reported(name)
-		stood, got := w.calls(name, n)
+		require.NoError(w.t, w.fleet.AwaitLeaders(ctx, name))
+		home, away := w.reportedSetUps(name)
+		stood, got := w.placeCalls(name, n)
 		require.Equal(w.t, map[string]int{want: n}, got, "set-ups of %s", name)
 		require.Equal(w.t, n, stood, name)
 		if want == a.Member.Zone {
@@ -150,30 +150,30 @@
 		} else {
 			away += n
 		}
-		nowHome, nowAway := w.reported(name)
+		nowHome, nowAway := w.reportedSetUps(name)
 		require.Equal(w.t, []int{home, away}, []int{nowHome, nowAway}, "set-ups that %s reports, home and away", name)
 	}
 }
 
-// await waits until each agent, but those named, has a zone's mode in force.
-func (w *world) await(zone, mode string, but ...string) time.Duration {
+// awaitMode waits until each agent, but those named, has a zone's mode in force.
+func (w *zoneTest) awaitMode(zone, mode string, but ...string) time.Duration {
 	w.t.Helper()
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second) // the bound stated in docs/failover.md
 	defer cancel()
-	for name := range w.f.Agents {
+	for name := range w.fleet.Agents {
 		if !strings.Contains(fmt.Sprint(but), name) {
-			require.NoError(w.t, w.f.AwaitConsole(ctx, name, "ZONES", fmt.Sprintf("zone %s: %s ", zone, mode)))
+			require.NoError(w.t, w.fleet.AwaitConsole(ctx, name, "ZONES", fmt.Sprintf("zone %s: %s ", zone, mode)))
 		}
 	}
 	return time.Since(began)
 }
 
-var spoken = regexp.MustCompile(`set-ups of voice: (\d+) home (\d+) away`)
+var setUpCounts = regexp.MustCompile(`set-ups of voice: (\d+) home (\d+) away`)
 
-// reported is what an agent says of its set-ups so far.
-func (w *world) reported(agent string) (home, away int) {
-	m := spoken.FindStringSubmatch(w.f.ConsoleCommand(agent, "ZONES"))
+// reportedSetUps is what an agent says of its set-ups so far.
+func (w *zoneTest) reportedSetUps(agent string) (home, away int) {
+	m := setUpCounts.FindStringSubmatch(w.fleet.ConsoleCommand(agent, "ZONES"))
 	require.NotNil(w.t, m, agent)
 	home, _ = strconv.Atoi(m[1])
 	away, _ = strconv.Atoi(m[2])
@@ -186,69 +186,69 @@
 // and 300 ms between regions change nothing. No call is sent to two zones, and what
 // agents report of traffic across zones is what the wire carried.
 func TestZones(t *testing.T) {
-	w := newWorld(t)
-	w.await("z1", "local")
-	w.all(10, nil)
+	test := newZoneTest(t)
+	test.awaitMode("z1", "local")
+	test.checkPlacement(10, nil)
 
 	across := func(from, to string) bool { return region(from) != region(to) }
-	w.f.Delay(150*time.Millisecond, across) // 300 ms there and back
-	w.all(2, nil)
+	test.fleet.Delay(150*time.Millisecond, across) // 300 ms there and back
+	test.checkPlacement(2, nil)
 
 	began := time.Now()
-	w.servers["z1"].Crash()
-	stood, _ := w.calls("a1", 1) // what is lost is what meets the dead zone before it is seen
-	w.await("z1", "evacuate")
+	test.servers["z1"].Crash()
+	stood, _ := test.placeCalls("a1", 1) // what is lost is what meets the dead zone before it is seen
+	test.awaitMode("z1", "evacuate")
 	t.Logf("z1 lost: new epoch everywhere after %v, %d of 1 call lost", time.Since(began), 1-stood)
-	w.all(2, map[string]string{"z1": "z2"})
-	w.f.Delay(0, across)
+	test.checkPlacement(2, map[string]string{"z1": "z2"})
+	test.fleet.Delay(0, across)
 
-	w.serve("z1", standin.NewServer(t, w.servers["z1"].Addr)) // back, cold
-	t.Logf("z1 back: local everywhere after %v", w.await("z1", "local"))
-	w.all(5, nil)
+	test.answerSetUps("z1", standin.NewServer(t, test.servers["z1"].Addr)) // back, cold
+	t.Logf("z1 back: local everywhere after %v", test.awaitMode("z1", "local"))
+	test.checkPlacement(5, nil)
 
-	decider := w.decider()
+	decider := test.decider()
 	began = time.Now()
-	w.servers["z2"].Crash()
-	w.f.Agents[decider].Kill()
-	w.calls(map[bool]string{true: "a2", false: "a6"}[decider != "a2"], 1)
-	w.await("z2", "evacuate", decider)
+	test.servers["z2"].Crash()
+	test.fleet.Agents[decider].Kill()
+	test.placeCalls(map[bool]string{true: "a2", false: "a6"}[decider != "a2"], 1)
+	test.awaitMode("z2", "evacuate", decider)
 	t.Logf("z2 lost and the decider %s killed: new epoch after %v", decider, time.Since(began))
-	w.all(5, map[string]string{"z2": "z1"}, decider)
-	w.serve("z2", standin.NewServer(t, w.servers["z2"].Addr))
-	require.NoError(t, w.f.Start(decider))
-	w.await("z2", "local")
+	test.checkPlacement(5, map[string]string{"z2": "z1"}, decider)
+	test.answerSetUps("z2", standin.NewServer(t, test.servers["z2"].Addr))
+	require.NoError(t, test.fleet.Start(decider))
+	test.awaitMode("z2", "local")
 
 	for range 4 { // a link that flaps between two regions
-		w.f.Partition("a3")
-		w.f.Partition()
+		test.fleet.Partition("a3")
+		test.fleet.Partition()
 	}
-	w.all(5, nil)
+	test.checkPlacement(5, nil)
 
-	w.cut("z3", "a3")
-	epoch := w.epoch("a3")
-	t.Logf("z3 cut off: new epoch after %v", w.await("z3", "evacuate", "a3"))
-	before := w.servers["z3"].Count(isup.SetUp, 0)
-	w.all(5, nil, "a3")
-	require.Equal(t, before, w.servers["z3"].Count(isup.SetUp, 0), "somebody sent to the zone cut off")
-	require.Equal(t, epoch, w.epoch("a3"), "the minority decided")
-	stood, got := w.calls("a3", 5) // it serves its own callers on, at home
+	test.isolateZone("z3", "a3")
+	epoch := test.epoch("a3")
+	t.Logf("z3 cut off: new epoch after %v", test.awaitMode("z3", "evacuate", "a3"))
+	before := test.servers["z3"].Count(isup.SetUp, 0)
+	test.checkPlacement(5, nil, "a3")
+	require.Equal(t, before, test.servers["z3"].Count(isup.SetUp, 0), "somebody sent to the zone cut off")
+	require.Equal(t, epoch, test.epoch("a3"), "the minority decided")
+	stood, got := test.placeCalls("a3", 5) // it serves its own callers on, at home
 	require.Equal(t, 5, stood)
 	require.Equal(t, map[string]int{"z3": 5}, got)
-	w.heal()
-	w.await("z3", "local")
-	w.all(5, nil)
+	test.heal()
+	test.awaitMode("z3", "local")
+	test.checkPlacement(5, nil)
 
-	w.mu.Lock()
-	for id, zones := range w.wire {
+	test.mu.Lock()
+	for id, zones := range test.receivedBy {
 		require.Len(t, zones, 1, "call %v was sent to %v", id, zones)
 	}
-	w.mu.Unlock()
+	test.mu.Unlock()
 }
 
 // decider is who made the epoch in force.
-func (w *world) decider() string {
-	for name := range w.f.Agents {
-		if m := regexp.MustCompile(`epoch \d+ by (a\d)`).FindStringSubmatch(w.f.ConsoleCommand(name, "ZONES")); m != nil {
+func (w *zoneTest) decider() string {
+	for name := range w.fleet.Agents {
+		if m := regexp.MustCompile(`epoch \d+ by (a\d)`).FindStringSubmatch(w.fleet.ConsoleCommand(name, "ZONES")); m != nil {
 			return m[1]
 		}
 	}
@@ -256,14 +256,14 @@
 	return ""
 }
 
-func (w *world) epoch(agent string) string {
-	first, _, _ := strings.Cut(w.f.ConsoleCommand(agent, "ZONES"), "\n")
+func (w *zoneTest) epoch(agent string) string {
+	first, _, _ := strings.Cut(w.fleet.ConsoleCommand(agent, "ZONES"), "\n")
 	return first
 }
 
-// cut puts a zone with its agents and server on a side of its own.
-func (w *world) cut(zone string, agents ...string) {
-	w.f.Partition(agents...)
+// isolateZone puts a zone with its agents and server on a side of its own.
+func (w *zoneTest) isolateZone(zone string, agents ...string) {
+	w.fleet.Partition(agents...)
 	for from, tos := range w.links {
 		for to, l := range tos {
 			if (from == zone) != (to == zone) {
@@ -274,8 +274,8 @@
 	}
 }
 
-func (w *world) heal() {
-	w.f.Partition()
+func (w *zoneTest) heal() {
+	w.fleet.Partition()
 	for _, tos := range w.links {
 		for _, l := range tos {
 			l.Set(faultnet.Pass, 0, 0)
@@ -287,8 +287,8 @@
 // TestZoneSchedule plays a short seeded schedule of faults with callers at every agent. The
 // operators' long run is `woodlab zones schedules`.
 func TestZoneSchedule(t *testing.T) {
-	r, err := ZoneSchedule{Seed: 2, Agents: 6, Steps: 3}.Play(context.Background(), bin, t.TempDir())
+	r, err := ZoneSchedule{Seed: 2, Agents: 6, Steps: 3}.Run(context.Background(), bin, t.TempDir())
 	require.NoError(t, err)
 	require.NoError(t, r.Err())
-	t.Logf("%v: %v, %d of %d calls stood, moved after %v, back after %v", r.Took, r.Faults, r.Stood, r.Calls, r.Moved, r.Back)
+	t.Logf("%v: %v, %d of %d calls stood, moved after %v, back after %v", r.Took, r.Faults, r.Stood, r.Calls, r.MoveTimes, r.RecoveryTimes)
 }
