--- a/internal/lab/promiselab/agents.go
+++ b/internal/lab/promiselab/agents.go
@@ -15,29 +15,29 @@
 	"woodrouter/isup"
 )
 
-// AgentSchedule is a run of faults against call agents that keep one another's promises, with
-// callers who ask for the same calls of several agents. Equal schedules draw equal faults.
+// AgentSchedule describes a run of faults against call agents that replicate each other's promises,
+// while callers place the same calls at several agents. Equal schedules draw equal faults.
 type AgentSchedule struct {
 	Seed    uint64
-	Agents  int // in groups of three
+	Agents  int // replicated in groups of three
 	Steps   int
 	Callers int
 }
 
-// AgentReport is what a schedule showed.
+// AgentReport is the result of an AgentSchedule.
 type AgentReport struct {
 	AgentSchedule
 	Faults                 []string
-	Asked, Served, Refused int      // set-ups of callers; answered; refused or failed
-	Unanswered             int      // of which no answer came: the agent died, or was cut off
-	ServedCalls            int      // that some caller heard served
-	SentTwice              []string // calls that two agents sent on
-	Conflicting            []string // calls served with two descriptions
-	Lost                   []string // served calls that no agent answers so after the faults
+	Asked, Served, Refused int      // callers' set-ups: all, answered, and refused or failed
+	Unanswered             int      // set-ups without an answer: the agent died or was cut off
+	ServedCalls            int      // calls that at least one caller was told are served
+	SentTwice              []string // calls that two agents sent to the server
+	Conflicting            []string // calls answered with two different descriptions
+	Lost                   []string // served calls that agents answer differently or not at all afterwards
 	Took                   time.Duration
 }
 
-// Err names what the run broke; nil for none.
+// Err returns the guarantees that the run broke, or nil.
 func (r AgentReport) Err() error {
 	var all []error
 	for what, calls := range map[string][]string{"sent on by two agents": r.SentTwice, "served in two ways": r.Conflicting, "served, and lost": r.Lost} {
@@ -48,7 +48,8 @@
 	return errors.Join(all...)
 }
 
-// agentRun is the agents, the setup server, and what callers heard.
+// agentRun is the state of a running AgentSchedule: the agents, the setup server, and the answers
+// that callers received.
 type agentRun struct {
 	*lab.Fleet
 	server *lab.SetupServer
@@ -72,8 +73,8 @@
 	{"50 ms between all", (*agentRun).delayLinks},
 }
 
-// Run starts the agents under dir, plays the schedule with callers at work, and asks for every
-// served call again when all is healed.
+// Run starts the agents under dir, injects the schedule's faults while callers place calls, then heals
+// all faults and asks for every served call again.
 func (s AgentSchedule) Run(ctx context.Context, bin, dir string) (AgentReport, error) {
 	began := time.Now()
 	server := lab.NewSetupServer(s.Seed)
@@ -117,7 +118,8 @@
 	ctx, cancel = context.WithTimeout(parent, lab.ReadBackTimeout)
 	defer cancel()
 	r.Partition()
-	if err := r.rollingRestart(ctx); err != nil { // fresh tables: an agent ends a connection that asks for a call it has open
+	// Restart with empty call tables: an agent closes a connection that asks for a call it has open.
+	if err := r.rollingRestart(ctx); err != nil {
 		return err
 	}
 	r.report.ServedCalls, r.report.SentTwice, r.report.Lost = len(r.served), r.server.SentByTwoAgents(), r.findLost(ctx)
@@ -138,8 +140,9 @@
 	return r.awaitServed(ctx, 20)
 }
 
-// placeCalls is one caller: it asks random agents for calls of which others ask, too, so that most
-// are asked for several times while they are set up, stand, or their agent dies.
+// placeCalls runs caller n until stop is closed. It asks random agents for calls that other callers ask
+// for too, so that most calls are asked for several times: during their set-up, while they stand, or
+// while their agent dies.
 func (r *agentRun) placeCalls(n int, s AgentSchedule, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(100+n)))
 	for i := 0; ; i++ {
@@ -148,7 +151,7 @@
 			return
 		default:
 		}
-		id := isup.CallID(1 + i/2 + rng.IntN(4)) // callers move on through the calls together
+		id := isup.CallID(1 + i/2 + rng.IntN(4)) // callers advance through the calls together
 		r.recordAnswer(id, lab.SetUpCall(r.Agents[fmt.Sprintf("a%d", 1+rng.IntN(s.Agents))].Listen, id))
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
@@ -172,8 +175,8 @@
 	}
 }
 
-// findLost asks an agent for every served call again, another where it has none: every answer
-// that a caller heard must be given to whoever asks later.
+// findLost asks for every served call again, trying other agents where one has no answer. It returns
+// the calls that are not answered as a caller was told before.
 func (r *agentRun) findLost(ctx context.Context) (lost []string) {
 	names := r.Names()
 	for id, want := range r.served {
@@ -193,7 +196,7 @@
 
 func (r *agentRun) anyAgent() string { return r.Names()[r.rng.IntN(len(r.Agents))] }
 
-// awaitAllLeaders waits until every running agent sees a leader in every group.
+// awaitAllLeaders waits until every running agent knows a leader of every group.
 func (r *agentRun) awaitAllLeaders(ctx context.Context) error {
 	for _, name := range r.Names() {
 		if r.Agents[name].Running() {
@@ -205,7 +208,7 @@
 	return nil
 }
 
-// awaitServed waits until n more calls were served; an error says who is waited for.
+// awaitServed waits until n more calls have been served. An error includes the state of every agent.
 func (r *agentRun) awaitServed(ctx context.Context, n int) error {
 	return lab.AwaitProgress(ctx, func() int {
 		r.mu.Lock()
@@ -231,7 +234,7 @@
 	return r.awaitAllLeaders(ctx)
 }
 
-// replaceAgent is an agent's machine gone with its disk; the operators' command brings it back.
+// replaceAgent kills an agent and wipes its disk, then replaces it with the operators' command.
 func (r *agentRun) replaceAgent(ctx context.Context) error {
 	name := r.anyAgent()
 	if err := r.KillAndWipe(name); err != nil {
--- a/internal/lab/promiselab/fleet_test.go
+++ b/internal/lab/promiselab/fleet_test.go
@@ -14,8 +14,8 @@
 	"woodrouter/isup"
 )
 
-// TestAgentSchedule plays one seeded schedule of faults against six agents with callers at work,
-// each fault once. The operators' long run is `woodlab promises agents`.
+// TestAgentSchedule injects each fault once, in an order drawn from a seed, into six agents while
+// callers place calls. The operators' long run is `woodlab promises agents`.
 func TestAgentSchedule(t *testing.T) {
 	r, err := AgentSchedule{Seed: 5, Agents: 6, Steps: len(agentFaults), Callers: 4}.Run(context.Background(), bin, t.TempDir())
 	require.NoError(t, err)
@@ -23,9 +23,10 @@
 	t.Logf("%v: %d asked, %d served, %d turned away, %d unheard, %d calls", r.Took, r.Asked, r.Served, r.Refused, r.Unanswered, r.ServedCalls)
 }
 
-// TestAgents: six call agents in two groups of three, one setup server. What an agent promised
-// outlives its machine and disk; a call it had sent on is never sent again; a drain outlives
-// its process; and an agent cut off from the rest refuses at once while they serve on.
+// TestAgents runs six call agents in two groups of three against one setup server. It guards against
+// losing an agent's promises with its machine and disk, sending a call again that a dead agent had
+// already sent, forgetting a drain at a restart, and an agent that hangs when it is cut off from the
+// others: it must refuse at once while they continue to serve.
 func TestAgents(t *testing.T) {
 	server := standin.NewServer(t, "")
 	bulletin := standin.NewBulletin(t, standin.Endpoint("s0", server.Addr, 0, "up"))
@@ -43,7 +44,7 @@
 	for name := range f.Agents {
 		require.NoError(t, f.AwaitLeaders(ctx, name))
 	}
-	go func() { // calls under 1000 stand at once; others are never answered
+	go func() { // answers calls below 1000 at once and others never
 		for g := range server.Received {
 			if g.Type == isup.SetUp && g.Call < 1000 {
 				g.Answer(fmt.Sprint("room of ", g.Call))
@@ -69,7 +70,7 @@
 		m := ask(agent, id)
 		away, err := m.Millis(isup.RetryAfter)
 		require.Equal(t, isup.Release, m.Type, "%s, call %v", agent, id)
-		require.True(t, err == nil && away > 0, "%s, call %v: stay away %v", agent, id, away)
+		require.True(t, err == nil && away > 0, "%s, call %v: retry after %v", agent, id, away)
 		require.Equal(t, sent, server.Count(isup.SetUp, id))
 	}
 
@@ -80,11 +81,11 @@
 	for i := 2; i <= 6; i++ {
 		require.NoError(t, f.AwaitLeaders(ctx, fmt.Sprint("a", i)))
 	}
-	for id := isup.CallID(1); id <= 20; id++ { // the same answer from others, and no second copy
+	for id := isup.CallID(1); id <= 20; id++ { // other agents give the same answer and send no second copy
 		served(fmt.Sprint("a", 2+int(id%5)), id)
 	}
 
-	for id := isup.CallID(21); id <= 30; id++ { // a server not yet heard of gets one call at a time
+	for id := isup.CallID(21); id <= 30; id++ { // until a4 knows the server, it sends it one call at a time
 		served("a4", id)
 	}
 	dying := standin.NewCaller(t, f.Agents["a4"].Listen)
@@ -96,7 +97,7 @@
 		require.Eventually(t, func() bool { return server.Count(isup.SetUp, id) > 0 }, standin.WaitTimeout, time.Millisecond)
 	}
 	f.Agents["a4"].Kill()
-	for _, id := range open { // sent on, its end not known: closed, never sent again
+	for _, id := range open { // sent with unknown outcome: must be refused and never sent again
 		sent[id] = server.Count(isup.SetUp, id)
 	}
 	require.NoError(t, f.AwaitLeaders(ctx, "a2"))
@@ -107,9 +108,9 @@
 	require.NoError(t, f.Start("a4"))
 	require.NoError(t, f.Start("a1"))
 	require.NoError(t, f.AwaitConsole(ctx, "a1", "READY", "SUCCESS"))
-	served("a1", 5) // as a client of the groups, it hears what it promised itself
+	served("a1", 5) // without its disk, a1 reads its own promise as a client of the groups
 
-	f.Agents["a1"].Kill() // it keeps for others again under a new id, and its group bears another loss
+	f.Agents["a1"].Kill() // a1 joins its group again under a new id, so the group survives another loss
 	require.NoError(t, f.ReplaceLost(ctx, "a1"))
 	f.Agents["a2"].Kill()
 	require.NoError(t, f.AwaitLeaders(ctx, "a3"))
@@ -127,7 +128,7 @@
 	f.Partition("a6")
 	began := time.Now()
 	refused("a6", 900, 0)
-	require.Less(t, time.Since(began), 5*time.Second) // at once, but for a slow machine
+	require.Less(t, time.Since(began), 5*time.Second) // "at once", with room for a slow machine
 	require.Contains(t, f.ConsoleCommand("a6", "DRAIN"), "nothing changed here")
 	require.NoError(t, f.AwaitLeaders(ctx, "a2"))
 	served("a2", 901)
--- a/internal/lab/promiselab/group.go
+++ b/internal/lab/promiselab/group.go
@@ -1,7 +1,6 @@
-// Package promiselab is the laboratory of replicated promises: it starts members and agents as
-// processes of the program, puts faults between them from a seed, checks what clients saw for
-// linearizability, and measures. It runs in tests and behind cmd/woodlab; the daemon does not
-// use it. Loopback only.
+// Package promiselab tests and measures replicated promises. It starts group members and agents as
+// processes of the program on loopback, injects faults drawn from a seed, checks the clients' histories
+// for linearizability, and measures latencies. Tests and cmd/woodlab use it; the daemon does not.
 package promiselab
 
 import (
@@ -21,21 +20,21 @@
 	"woodrouter/internal/lab"
 )
 
-// Group is a group of members, each its own process of the program, with a fault proxy on
-// every directed link between them: the harness of the fault tests and of the operators'
-// long runs (docs/replication.md). Loopback only.
+// Group is a replication group on loopback. Each member is a process of the program, with a fault proxy
+// on every directed link between members. The fault tests and the operators' long runs
+// (docs/replication.md) use it.
 type Group struct {
 	Dir             string
-	SnapshotEntries uint64 // entries from snapshot to snapshot
+	SnapshotEntries uint64 // log entries between snapshots
 	Procs           map[string]*faultnet.Proc
 	Mesh            faultnet.Mesh
-	raftAddrs       map[string]string // id -> real log address
-	clientAddrs     map[string]string // id -> client address
+	raftAddrs       map[string]string // by process name: the member's own Raft address, without a proxy
+	clientAddrs     map[string]string // by process name
 	configs         map[string]replica.Config
 }
 
-// StartGroup starts n members named n1..nN from bin under dir, bootstrapped together. entries
-// is how many entries lie between snapshots; few, so that a test passes several.
+// StartGroup starts n members named n1..nN from bin under dir, bootstrapped together. entries is the
+// number of log entries between snapshots; a small number makes a test go through several snapshots.
 func StartGroup(bin, dir string, n int, seed, entries uint64) (*Group, error) {
 	g := &Group{Dir: dir, SnapshotEntries: entries, Procs: map[string]*faultnet.Proc{}, raftAddrs: map[string]string{},
 		clientAddrs: map[string]string{}, configs: map[string]replica.Config{}}
@@ -66,7 +65,7 @@
 		boot = append(boot, replica.Peer{ID: id, Raft: raftAddr})
 	}
 	g.Mesh, err = faultnet.NewMesh(g.raftAddrs, seed)
-	release() // the members take their ports from here
+	release() // from here on the members listen on these ports
 	if err != nil {
 		return nil, err
 	}
@@ -79,8 +78,8 @@
 	return g, nil
 }
 
-// startMember writes a member's file and starts it; name is the process (and its links), id its
-// id in the group, which a member with a wiped disk takes anew.
+// startMember writes a member's configuration and starts it. name identifies the process and its links;
+// id is its id in the group, which changes when a member with a wiped disk is replaced.
 func (g *Group) startMember(bin, name, id string, boot []replica.Peer) error {
 	links := map[string]string{}
 	for to, l := range g.Mesh[name] {
@@ -102,15 +101,15 @@
 	return proc.Start()
 }
 
-// Replace gives a member whose disk was wiped a new id, with no bootstrap, so that it can't
-// vote twice in a term it forgot; the leader removes the old id and adds the new one.
+// Replace wipes a member's disk and starts it under a new id, without bootstrap, so that it can't vote
+// twice in a term it has forgotten. The leader removes the old id and adds the new one.
 func (g *Group) Replace(ctx context.Context, name, newID string) error {
 	old := g.configs[name]
 	g.Procs[name].Kill()
 	if err := g.Procs[name].WipeData(); err != nil {
 		return err
 	}
-	if _, err := g.AwaitLeader(ctx); err != nil { // the member may have led: wait for the next
+	if _, err := g.AwaitLeader(ctx); err != nil { // the member may have been the leader
 		return err
 	}
 	admin := g.Client()
@@ -124,18 +123,19 @@
 	return replica.Retry(ctx, func() error { return admin.Join(ctx, newID, g.raftAddrs[name]) })
 }
 
-// Client reaches the group through every member.
+// Client returns a client that knows every member.
 func (g *Group) Client() *replica.Client { return replica.NewClient(g.clientAddrs) }
 
-// ClientOf reaches the group through one member only, as a caller on its side of a cut.
+// ClientOf returns a client that knows one member only, like a caller on that member's side of a
+// partition.
 func (g *Group) ClientOf(name string) *replica.Client {
 	return replica.NewClient(map[string]string{name: g.clientAddrs[name]})
 }
 
-// statusTimeout bounds a look at one member: a stalled one says nothing.
+// statusTimeout bounds a status query: a stalled member does not answer.
 const statusTimeout = 2 * time.Second
 
-// Status asks one member for its view.
+// Status returns one member's view of the group.
 func (g *Group) Status(name string) (replica.StatusReply, error) {
 	c := g.ClientOf(name)
 	defer c.Close()
@@ -144,7 +144,7 @@
 	return c.Status(ctx, name)
 }
 
-// AwaitLeader waits until the running members agree on one leader, and names its process.
+// AwaitLeader waits until the running members agree on a leader and returns its process name.
 func (g *Group) AwaitLeader(ctx context.Context) (string, error) {
 	for {
 		if name, ok := g.agreedLeader(); ok {
@@ -177,7 +177,7 @@
 	return leader, len(leaders) == 1 && leader != ""
 }
 
-// describeMembers is what each member's process says of itself, for a step that did not end.
+// describeMembers returns the status of every member, for the error of a step that timed out.
 func (g *Group) describeMembers() string {
 	var out []string
 	for _, name := range g.Names() {
@@ -201,7 +201,7 @@
 	}
 }
 
-// Names are the members' process names, in order.
+// Names returns the members' process names, sorted.
 func (g *Group) Names() []string {
 	out := make([]string, 0, len(g.Procs))
 	for n := range g.Procs {
@@ -211,7 +211,7 @@
 	return out
 }
 
-// Logs is every member's log, for a failed test.
+// Logs returns every member's log, for a failed test.
 func (g *Group) Logs() string {
 	out := ""
 	for _, n := range g.Names() {
@@ -220,7 +220,7 @@
 	return out
 }
 
-// Close kills every member and ends the links.
+// Close kills every member and closes the links.
 func (g *Group) Close() {
 	for _, p := range g.Procs {
 		p.Kill()
--- a/internal/lab/promiselab/history.go
+++ b/internal/lab/promiselab/history.go
@@ -21,35 +21,36 @@
 	Kind   promise.Op // OpClaim, OpResolve, or "" for a read
 	Call   string
 	Token  string
-	Answer string // of a resolve
+	Answer string // of a resolution
 }
 
-// outcome is what a client was told of an operation.
+// outcome is the result of an operation as its client saw it.
 type outcome struct {
 	Claimed          bool
-	Answer           string // what stands; "" for a read or a claim that met none
-	ClaimedByAnother bool   // a resolve of a call that another has claimed
-	Unknown          bool   // not known whether it took effect
+	Answer           string // the call's answer; "" if a read or a claim found none
+	ClaimedByAnother bool   // a resolution was rejected because another token has claimed the call
+	Unknown          bool   // the client can't know whether the operation took effect
 }
 
-// history records operations with their times; of one whose end is not known the return lies
-// at the end of time, so that it may take effect at any moment, or never.
+// history records operations with their times. An operation with unknown outcome gets the largest
+// possible return time, so that the checker may let it take effect at any time or never.
 type history struct {
 	mu           sync.Mutex
 	startedAt    time.Time
 	ops          []porcupine.Operation
-	promised     map[string]string // call -> answer, of every resolution told as promised
-	claimed      map[string]string // call -> the token told that it alone may send
+	promised     map[string]string // answers by call, of every resolution that a client was promised
+	claimed      map[string]string // by call: the token that was told it alone may send the call
 	doubleClaims []string          // calls that two tokens were told they may send
-	refused      int               // operations answered with no quorum
-	acknowledged int               // claims and resolutions answered by a quorum
+	refused      int               // operations that took no effect: no quorum, or not answered
+	acknowledged int               // claims and resolutions committed by a quorum
 }
 
 func newHistory() *history {
 	return &history{startedAt: time.Now(), promised: map[string]string{}, claimed: map[string]string{}}
 }
 
-// perform plays an operation and records it. It returns the error of one that was not taken.
+// perform executes an operation and records it. An operation that took no effect is only counted, and
+// its error is returned.
 func (h *history) perform(client int, in operation, ask func() (outcome, error)) (outcome, error) {
 	begin := time.Since(h.startedAt).Nanoseconds()
 	out, err := ask()
@@ -61,7 +62,7 @@
 		out = outcome{ClaimedByAnother: true}
 	case errors.Is(err, replica.ErrUnknownOutcome) && in.Kind != "":
 		out, end = outcome{Unknown: true}, math.MaxInt64
-	case err != nil: // nothing happened: not taken, or a read without an answer
+	case err != nil: // took no effect, or a read without an answer
 		h.refused++
 		return out, err
 	}
@@ -70,7 +71,7 @@
 	return out, err
 }
 
-// recordPromise keeps what a client was promised, for the check that none of it is lost.
+// recordPromise records what a client was promised, for the later check that nothing is lost.
 func (h *history) recordPromise(in operation, out outcome) {
 	if in.Kind != "" && !out.Unknown {
 		h.acknowledged++
@@ -87,15 +88,15 @@
 	h.claimed[in.Call] = in.Token
 }
 
-// acknowledgedCount is how many claims and resolutions a quorum has answered so far. Not the calls promised:
-// of those there are only so many, and a fast run has them all before its last fault.
+// acknowledgedCount returns how many claims and resolutions a quorum has committed so far. The number of
+// promised calls would not measure progress: a fast run has resolved all 2000 before its last fault.
 func (h *history) acknowledgedCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.acknowledged
 }
 
-// callModel is one call as package promise promises it: free, claimed by a token, or resolved.
+// callModel is the sequential specification of one call: unclaimed, claimed by a token, or resolved.
 var callModel = porcupine.NondeterministicModel{
 	Partition: partitionByCall,
 	Init:      func() []any { return []any{""} },
@@ -114,7 +115,7 @@
 
 const claimPrefix = "claim "
 
-// transition is the call's next state and what its client must be told.
+// transition returns a call's state after an operation and the outcome that the client must see.
 func transition(state string, in operation) (string, outcome) {
 	holder, claimed := strings.CutPrefix(state, claimPrefix)
 	resolved := state != "" && !claimed
@@ -147,8 +148,8 @@
 	return parts
 }
 
-// runClient plays operations on calls drawn from a small set, so that clients race on the same
-// calls, until stop is closed: claims, resolutions with and without a claim, and reads.
+// runClient executes claims, resolutions with and without a claim, and reads until stop is closed. Calls
+// are drawn from a small set, so that clients race on the same calls.
 func (h *history) runClient(ctx context.Context, c *replica.Client, n int, seed uint64, stop <-chan struct{}) {
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
@@ -174,7 +175,7 @@
 		}
 		var later *replica.RetryAfterError
 		if errors.As(err, &later) {
-			time.Sleep(later.After / 4) // as told, and sooner for a busier run
+			time.Sleep(later.After / 4) // sooner than told, for more load
 		}
 	}
 }
@@ -200,12 +201,12 @@
 	})
 }
 
-// checkTimeout bounds the search for an order that explains a history.
+// checkTimeout bounds the search for a linearization.
 const checkTimeout = 30 * time.Second
 
-// checkLinearizable tells whether some order of the operations, each between its call and its return,
-// explains what every client was told (Herlihy and Wing, "Linearizability: a correctness
-// condition for concurrent objects", ACM TOPLAS 12(3), 1990).
+// checkLinearizable reports whether some order of the operations, each taking effect between its call
+// and its return, explains every outcome (Herlihy and Wing, "Linearizability: a correctness condition
+// for concurrent objects", ACM TOPLAS 12(3), 1990).
 func (h *history) checkLinearizable() porcupine.CheckResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -213,7 +214,7 @@
 	return res
 }
 
-// findLost reads every promised resolution back, and names those that are gone or changed.
+// findLost reads every promised resolution back and returns those that are gone or changed.
 func (h *history) findLost(ctx context.Context, c *replica.Client) (lost []string) {
 	defer c.Close()
 	for call, answer := range h.promised {
@@ -225,7 +226,7 @@
 	return lost
 }
 
-// readWithRetry reads a call, again where the group asks to come back.
+// readWithRetry reads a call, and retries while the group asks the client to come back later.
 func readWithRetry(ctx context.Context, c *replica.Client, call string) (r promise.Resolution, found bool, err error) {
 	err = replica.Retry(ctx, func() error {
 		r, found, err = c.Read(ctx, call)
--- a/internal/lab/promiselab/lab_test.go
+++ b/internal/lab/promiselab/lab_test.go
@@ -12,9 +12,9 @@
 
 func TestMain(m *testing.M) { os.Exit(lab.BuildAndRun(m, &bin)) }
 
-// TestFaults puts every fault between three members once, with clients at work: no promise is
-// lost, no call is claimed twice, and the history is linearizable. The operators' long run is
-// `woodlab promises schedules`.
+// TestFaults injects every fault once into a group of three members under load from clients. It guards
+// against lost promises, calls claimed by two tokens, and histories that are not linearizable. The
+// operators' long run is `woodlab promises schedules`.
 func TestFaults(t *testing.T) {
 	r, err := Schedule{Seed: 7, Members: 3, Clients: 3}.Run(context.Background(), bin, t.TempDir())
 	if err == nil {
--- a/internal/lab/promiselab/measure.go
+++ b/internal/lab/promiselab/measure.go
@@ -17,21 +17,21 @@
 	"woodrouter/promise"
 )
 
-// Measurement is what to measure. Zero fields take the defaults of docs/replication.md.
+// Measurement configures the measurements. Zero fields take the defaults of docs/replication.md.
 type Measurement struct {
 	Bin      string
-	Dir      string        // a scratch directory; each group has one of its own below it
-	Promises int           // for each latency figure, and each throughput figure
-	Kills    int           // leaders killed for the time to a new one
-	Sizes    []int         // resolutions held before a member's disk is wiped
-	Delay    time.Duration // of each link, each way, for the second latency figure
-	Only     []string      // of latency, throughput, leader and catch-up; nil: all
+	Dir      string        // scratch directory; each group gets a subdirectory
+	Promises int           // promises per latency figure; ten times as many per throughput figure
+	Kills    int           // leaders killed to measure the time to a new one
+	Sizes    []int         // numbers of resolutions stored before a member's disk is wiped
+	Delay    time.Duration // one-way delay of every link, for the second latency figure
+	Only     []string      // which of latency, throughput, leader and catch-up to run; nil: all
 }
 
-// measureTimeout bounds one figure.
+// measureTimeout bounds the measurement of one figure.
 const measureTimeout = 5 * time.Minute
 
-// Run measures and writes the tables of docs/replication.md, in Markdown, to out.
+// Run measures and writes the tables of docs/replication.md to out, in Markdown.
 func (m Measurement) Run(ctx context.Context, out io.Writer) error {
 	m.Promises, m.Kills = cmp.Or(m.Promises, 1000), cmp.Or(m.Kills, 10)
 	m.Delay = cmp.Or(m.Delay, 20*time.Millisecond)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// withGroup runs do against a new group of n members with a leader.
+// withGroup runs do on a new group of n members that has a leader.
 func (m Measurement) withGroup(ctx context.Context, name string, n int, entries uint64, do func(context.Context, *Group) error) error {
 	ctx, cancel := context.WithTimeout(ctx, measureTimeout)
 	defer cancel()
@@ -75,12 +75,13 @@
 	return nil
 }
 
-// newHistogram holds microseconds up to a minute with three digits.
+// newHistogram returns a histogram of microseconds, up to one minute, with three significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
 
-func recordDuration(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) } // beyond a minute: the context ended
+// recordDuration drops values above one minute: they occur only when the context has ended.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) }
 
 func formatMillis(us int64) string { return fmt.Sprintf("%.1f ms", float64(us)/1000) }
 
@@ -89,7 +90,7 @@
 		Description: make([]byte, 200), AtUs: time.Now().UnixMicro()}
 }
 
-// latency is the commit latency of one promise at a time.
+// latency measures the commit latency of promises made one at a time.
 func (m Measurement) latency(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "| members | link delay, each way | p50 | p99 |\n| --- | --- | --- | --- |")
 	for _, n := range []int{3, 5} {
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// throughput is the promises a second that many proposers get from one group together.
+// throughput measures the promises per second that many proposers together get from one group.
 func (m Measurement) throughput(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "| members | proposers | promises a second | p50 | p99 |\n| --- | --- | --- | --- | --- |")
 	for _, n := range []int{3, 5} {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// resolveConcurrently resolves total calls through proposers at once.
+// resolveConcurrently resolves total calls through concurrent proposers.
 func resolveConcurrently(ctx context.Context, g *Group, proposers, total int) (*hdrhistogram.Histogram, time.Duration, error) {
 	var (
 		next  atomic.Int64
@@ -170,7 +171,7 @@
 	return all, time.Since(began), first
 }
 
-// electionTime is the time from a leader's SIGKILL to the next promise.
+// electionTime measures the time from a leader's SIGKILL to the next promise.
 func (m Measurement) electionTime(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "| members | leaders killed | p50 | longest |\n| --- | --- | --- | --- |")
 	for _, n := range []int{3, 5} {
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// timeFailover kills the leader, takes the time to the next promise, and restarts the member.
+// timeFailover kills the leader, measures the time to the next promise, and restarts the member.
 func (g *Group) timeFailover(ctx context.Context, call string) (time.Duration, error) {
 	leader, err := g.AwaitLeader(ctx)
 	if err != nil {
@@ -201,7 +202,8 @@
 	}
 	c := g.Client()
 	defer c.Close()
-	if _, err := c.Propose(ctx, newResolution(call+"-before")); err != nil { // so that the client follows it
+	// The client must know the leader before it is killed.
+	if _, err := c.Propose(ctx, newResolution(call+"-before")); err != nil {
 		return 0, err
 	}
 	began := time.Now()
@@ -219,15 +221,15 @@
 	return took, g.Procs[leader].Start()
 }
 
-// Entries between snapshots while catch-up is measured, and how long the next one is waited for:
-// raft looks every 5 to 10 s whether one is due.
+// Log entries between snapshots while catch-up is measured, and the wait for the next snapshot: Raft
+// checks every 5 to 10 s whether one is due.
 const (
 	catchUpSnapshotEntries = 4096
 	snapshotTimeout        = 15 * time.Second
 )
 
-// catchUp is the time a member with an empty disk takes to hold what the group holds, from
-// the start of its process.
+// catchUp measures how long a member with an empty disk takes to catch up with the group, from the
+// moment at which it is killed to be replaced.
 func (m Measurement) catchUp(ctx context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "| resolutions held | snapshot | caught up after |\n| --- | --- | --- |")
 	for _, size := range m.Sizes {
@@ -244,7 +246,7 @@
 				return err
 			}
 			for began := time.Now(); size > catchUpSnapshotEntries && g.snapshotMB(leader) == 0 && time.Since(began) < snapshotTimeout; {
-				time.Sleep(100 * time.Millisecond) // so that it comes from a snapshot, as after a longer time
+				time.Sleep(100 * time.Millisecond) // so that the member restores a snapshot, as in a long-lived group
 			}
 			name := "n1"
 			if leader == name {
@@ -267,7 +269,7 @@
 	return nil
 }
 
-// snapshotMB is the size of a member's newest snapshot.
+// snapshotMB returns the size of a member's largest snapshot, in MB (2^20 bytes).
 func (g *Group) snapshotMB(name string) float64 {
 	files, _ := filepath.Glob(filepath.Join(g.configs[name].Data, "snapshots", "*", "state.bin"))
 	most := int64(0)
--- a/internal/lab/promiselab/schedule.go
+++ b/internal/lab/promiselab/schedule.go
@@ -18,29 +18,29 @@
 	"woodrouter/promise"
 )
 
-// Schedule is a run of faults against one group with clients at work. Equal schedules draw
-// equal faults, members and calls; what the machine's timing does between them differs.
+// Schedule describes a run of faults against one group under load from clients. Equal schedules draw
+// equal faults, members and calls; the timing between them depends on the machine.
 type Schedule struct {
 	Seed    uint64
 	Members int
-	Steps   int // faults lab.Drawn from the seed; 0: each once, in order
+	Steps   int // number of faults drawn from the seed; 0: each fault once, in order
 	Clients int
 }
 
-// Report is what a schedule showed.
+// Report is the result of a Schedule.
 type Report struct {
 	Schedule
-	Faults     []string // in the order played
+	Faults     []string // in the order injected
 	Operations int
-	Refused    int      // answered with no quorum, or not answered
-	Promised   int      // calls whose resolution a client was promised
-	Lost       []string // of these, gone or changed
-	Double     []string // calls that two offers were told they may send
+	Refused    int      // operations that took no effect: no quorum, or not answered
+	Promised   int      // calls whose resolution was promised to a client
+	Lost       []string // promised calls whose resolution is gone or changed
+	Double     []string // calls that two tokens were told they may send
 	Linear     bool
 	Took       time.Duration
 }
 
-// Err names what the run broke; nil for none.
+// Err returns the guarantees that the run broke, or nil.
 func (r Report) Err() error {
 	var all []error
 	if len(r.Lost) > 0 {
@@ -55,7 +55,7 @@
 	return errors.Join(all...)
 }
 
-// groupRun is what a fault may touch.
+// groupRun is the state of a running Schedule, on which faults act.
 type groupRun struct {
 	*Group
 	history      *history
@@ -63,7 +63,7 @@
 	replacements int
 }
 
-// groupFaults are what a schedule may play, by name.
+// groupFaults are the faults that a Schedule can inject.
 var groupFaults = []struct {
 	name   string
 	inject func(*groupRun, context.Context) error
@@ -78,8 +78,9 @@
 	{"all killed at once", (*groupRun).killAll},
 }
 
-// Run starts a group under dir, plays the schedule against it with clients at work, and
-// checks what they were told. An error is one of the run itself, with the members' logs.
+// Run starts a group under dir, injects the schedule's faults under load from clients, and checks the
+// answers that the clients received. An error means that the run itself failed; it includes the members'
+// logs.
 func (s Schedule) Run(ctx context.Context, bin, dir string) (Report, error) {
 	began := time.Now()
 	group, err := StartGroup(bin, dir, s.Members, s.Seed, 64)
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// faultOrder is which faults are played, by index.
+// faultOrder returns the indexes of the faults to inject.
 func (s Schedule) faultOrder() (out []int) {
 	if s.Steps == 0 {
 		for i := range groupFaults {
@@ -143,9 +144,9 @@
 func (s *groupRun) injectFaults(ctx context.Context, order []int, report *Report) error {
 	for _, i := range order {
 		if ctx.Err() != nil {
-			return fmt.Errorf("not done in %v (after %v)", lab.ScheduleTimeout, report.Faults)
+			return fmt.Errorf("schedule not finished in %v (after %v)", lab.ScheduleTimeout, report.Faults)
 		}
-		if err := s.awaitAcknowledged(ctx, 50); err != nil { // clients at work before each fault
+		if err := s.awaitAcknowledged(ctx, 50); err != nil { // load before each fault
 			return err
 		}
 		if err := lab.RunStep(ctx, func(ctx context.Context) error { return groupFaults[i].inject(s, ctx) }); err != nil {
@@ -156,7 +157,8 @@
 	return s.awaitAcknowledged(ctx, 50)
 }
 
-// awaitAcknowledged waits until a quorum has answered n more operations; an error says who is waited for.
+// awaitAcknowledged waits until a quorum has committed n more operations. An error includes the state of
+// every member.
 func (s *groupRun) awaitAcknowledged(ctx context.Context, n int) error {
 	return lab.AwaitProgress(ctx, s.history.acknowledgedCount, n, "operations answered by a quorum", s.describeMembers)
 }
@@ -167,7 +169,7 @@
 	return err
 }
 
-// otherMember is a member that is not name, by the seed.
+// otherMember returns a member other than name, drawn from the seed.
 func (s *groupRun) otherMember(name string) string {
 	rest := slices.DeleteFunc(s.Names(), func(n string) bool { return n == name })
 	return rest[s.rng.IntN(len(rest))]
@@ -175,7 +177,7 @@
 
 func (s *groupRun) anyMember() string { return s.Names()[s.rng.IntN(len(s.Names()))] }
 
-// killLeader has the others elect one before the dead member comes back.
+// killLeader kills the leader and restarts it once the others have elected a new one.
 func (s *groupRun) killLeader(ctx context.Context) error {
 	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
@@ -191,8 +193,9 @@
 	return s.Procs[leader].Start()
 }
 
-// isolateLeader puts the leader alone: a caller on its side must be refused with when to come
-// back, and is never promised anything once the lease is over; the majority serves on.
+// isolateLeader partitions the leader from the others. A client on the leader's side must be refused
+// with a time to come back, and gets no promise once the lease has expired; the majority continues to
+// serve.
 func (s *groupRun) isolateLeader(ctx context.Context) error {
 	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
@@ -212,12 +215,12 @@
 			return s.awaitAgreement(ctx)
 		}
 	}
-	return errors.New("the cut-off member never refused")
+	return errors.New("the isolated leader did not refuse a proposal within 10 s")
 }
 
-// slowLink delays one link by 200 ms each way, then heals it. Left in place it would change
-// the next fault: after a kill the two members left may have a 400 ms round trip against
-// 300 ms elections, and no leader until it heals.
+// slowLink delays one link by 200 ms each way, then heals it. A delay left in place would affect the
+// next fault: after a kill, the remaining two members could have a 400 ms round trip with 300 ms
+// election timeouts, and no leader until the link heals.
 func (s *groupRun) slowLink(ctx context.Context) error {
 	a := s.anyMember()
 	s.Mesh.Delay(a, s.otherMember(a), 200*time.Millisecond, 20*time.Millisecond)
@@ -228,7 +231,7 @@
 	return s.awaitAgreement(ctx)
 }
 
-// wipeDisk loses a member's disk and replaces the member, which then catches up.
+// wipeDisk wipes a member's disk, replaces the member, and waits until it has caught up.
 func (s *groupRun) wipeDisk(ctx context.Context) error {
 	name := s.anyMember()
 	s.replacements++
@@ -246,7 +249,7 @@
 	return s.AwaitApplied(ctx, name, status.Applied)
 }
 
-// rollingRestart restarts every member in turn, as an upgrade does.
+// rollingRestart restarts the members one after another, as an upgrade does.
 func (s *groupRun) rollingRestart(ctx context.Context) error {
 	for _, n := range s.Names() {
 		s.Procs[n].Stop()
@@ -260,7 +263,8 @@
 	return nil
 }
 
-// cutOneDirection cuts one direction of one link only: a member hears another that does not hear it.
+// cutOneDirection cuts one direction of a link: one member receives from another that does not receive
+// from it.
 func (s *groupRun) cutOneDirection(ctx context.Context) error {
 	a := s.anyMember()
 	l := s.Mesh[a][s.otherMember(a)]
@@ -274,7 +278,7 @@
 	return s.awaitAgreement(ctx)
 }
 
-// flapLink resets a link's connections under traffic, and drops it, several times in a row.
+// flapLink cuts and restores a link several times under traffic, resetting its connections each time.
 func (s *groupRun) flapLink(ctx context.Context) error {
 	a := s.anyMember()
 	l := s.Mesh[a][s.otherMember(a)]
@@ -293,7 +297,7 @@
 	return s.awaitAgreement(ctx)
 }
 
-// killAll kills all members at once and starts them again: only their disks are left.
+// killAll kills all members at once and restarts them with only their disks left.
 func (s *groupRun) killAll(ctx context.Context) error {
 	var down sync.WaitGroup
 	for _, p := range s.Procs {
