--- a/internal/lab/zonelab/cost.go
+++ b/internal/lab/zonelab/cost.go
@@ -13,22 +13,22 @@
 	"woodrouter/internal/fleet/members"
 )
 
-// MembershipCost is what membership takes of an agent at a size.
+// MembershipCost is the measured cost of membership for a number of agents.
 type MembershipCost struct {
 	Agents          int
-	JoinTime        time.Duration // until all know all
-	DatagramRate    float64       // an agent sends a second
-	ByteRate        float64       // in datagrams, an agent a second
-	EpochDelay      time.Duration // from an epoch's announcement until all have heard of it
-	FreshShare      float64       // share of all agents' summaries that a decider holds younger than 5 s
-	SummaryByteRate float64       // bytes of summaries that a decider hears a second
+	JoinTime        time.Duration // until every agent knows every other
+	DatagramRate    float64       // datagrams per second that an agent sends
+	ByteRate        float64       // bytes per second that an agent sends in datagrams
+	EpochDelay      time.Duration // from an epoch's announcement until every agent has received it
+	FreshShare      float64       // share of agents of which a decider holds a summary younger than 5 s
+	SummaryByteRate float64       // bytes of summaries per second that a decider receives
 }
 
-// controlGroupSize is how many of the agents may decide: a control group's members.
+// controlGroupSize is the number of agents that may decide, the members of the control group.
 const controlGroupSize = 3
 
-// MeasureMembership runs agents' membership in this process on loopback, real gossip and all, each
-// telling a summary a second, for a while, and measures it.
+// MeasureMembership runs the membership of all agents in this process, with real gossip on loopback.
+// Each agent sends one summary per second for the given span.
 func MeasureMembership(ctx context.Context, agents int, span time.Duration) (MembershipCost, error) {
 	cost := MembershipCost{Agents: agents}
 	log := slog.New(slog.DiscardHandler)
@@ -91,7 +91,7 @@
 	return cost, nil
 }
 
-// exampleSummary is one of a usual size: four zones seen, two classes offered.
+// exampleSummary returns a summary of typical size, with four observed zones and two call classes.
 func exampleSummary(i int, seq uint64) failover.Summary {
 	s := failover.Summary{Agent: fmt.Sprint("a", i), Zone: zoneName(i % 4), Life: 1, Seq: seq,
 		Offered: map[string]float64{"private-lesson": 3.2, "group-lesson": 1.7}, Seen: map[string]failover.Sight{}}
@@ -101,7 +101,7 @@
 	return s
 }
 
-// maxSummaryAge is the age up to which a summary counts, as deploy/failover.yaml has it.
+// maxSummaryAge is the age up to which a summary counts as fresh, the value in deploy/failover.yaml.
 const maxSummaryAge = 5 * time.Second
 
 func freshShare(receivers []*members.Members, agents int) float64 {
@@ -124,7 +124,7 @@
 	return sent, bytes
 }
 
-// maxWait bounds what the measurement waits for.
+// maxWait bounds each wait of the measurement.
 const maxWait = time.Minute
 
 func awaitAll(ctx context.Context, all []*members.Members, ok func(*members.Members) bool) error {
--- a/internal/lab/zonelab/report.go
+++ b/internal/lab/zonelab/report.go
@@ -12,11 +12,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// FleetSizes are the fleets measured.
+// FleetSizes are the numbers of agents that are measured.
 var FleetSizes = []int{10, 100, 300}
 
-// ReportFaults measures every fault at every size, in common and alone, and writes the tables of
-// docs/failover.md in Markdown; the share of calls lost goes to a plot where a file is named.
+// ReportFaults models every fault at every fleet size, with common decisions and with agents that decide
+// alone, and writes the table of docs/failover.md in Markdown. If plotFile is not empty, it also plots
+// the share of lost calls to that file.
 func ReportFaults(out io.Writer, seed uint64, plotFile string) error {
 	fmt.Fprintln(out, "| fault | agents | decided | calls lost | kept near | fail over | fail back | mode changes an agent | most over capacity |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -46,7 +47,7 @@
 
 func share(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// formatSeconds words a time; 0 is one that did not come within the run.
+// formatSeconds formats a time; 0 means that the event did not occur within the run.
 func formatSeconds(s float64) string {
 	if s == 0 {
 		return "-"
@@ -73,7 +74,7 @@
 	return figure.Save(16*vg.Centimeter, 10*vg.Centimeter, file)
 }
 
-// ReportMembership measures membership at every size and writes its table.
+// ReportMembership measures the cost of membership at every fleet size and writes the table.
 func ReportMembership(ctx context.Context, out io.Writer, span time.Duration) error {
 	fmt.Fprintln(out, "| agents | all know all after | datagrams an agent sends a second | bytes an agent sends a second | an epoch is heard by all after | a decider hears, bytes a second | of all summaries fresh there |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
--- a/internal/lab/zonelab/schedule.go
+++ b/internal/lab/zonelab/schedule.go
@@ -21,36 +21,36 @@
 	"woodrouter/isup"
 )
 
-// ZoneSchedule is a run of faults against agents that decide in common where each zone's calls
-// go: four zones of two regions, a setup server in each, a proxy on every link. Equal schedules
-// draw equal faults.
+// ZoneSchedule describes a run of faults against agents that decide in common where each zone's calls
+// go. There are four zones in two regions, a setup server in each zone, and a proxy on every link. Equal
+// schedules draw equal faults.
 type ZoneSchedule struct {
 	Seed   uint64
-	Agents int // in groups of three, in the zones in turn
+	Agents int // in groups of three; distributed over the zones in turn
 	Steps  int
 }
 
-// ZoneReport is what a schedule showed.
+// ZoneReport is the result of a ZoneSchedule.
 type ZoneReport struct {
 	ZoneSchedule
 	Faults         []string
-	MoveTimes      []time.Duration // from a zone's loss to the epoch that moves its calls, at all live agents
-	RecoveryTimes  []time.Duration // from its return to all zones local again, at all of them
-	Calls          int             // that callers asked for
+	MoveTimes      []time.Duration // from a zone's loss until all live agents have the epoch that moves its calls
+	RecoveryTimes  []time.Duration // from a fault's end until all agents have every zone local again
+	Calls          int             // set-ups by callers
 	Stood          int
-	SentToTwoZones []string // calls that were sent to two zones
-	Misplaced      []string // with all healthy and in one epoch: calls that did not stand, or not at home
+	SentToTwoZones []string // calls sent to two zones
+	Misplaced      []string // calls that failed or left their home zone while all zones were healthy and local
 	Took           time.Duration
 }
 
-// Err names what the run broke; nil for none.
+// Err returns the guarantees that the run broke, or nil.
 func (r ZoneReport) Err() error {
 	var all []error
 	if len(r.SentToTwoZones) > 0 {
 		all = append(all, fmt.Errorf("%d calls were sent to two zones: %v", len(r.SentToTwoZones), r.SentToTwoZones[:min(len(r.SentToTwoZones), 5)]))
 	}
 	if len(r.Misplaced) > 0 {
-		all = append(all, fmt.Errorf("%d strays in calm: %v", len(r.Misplaced), r.Misplaced[:min(len(r.Misplaced), 5)]))
+		all = append(all, fmt.Errorf("%d calls did not stand in their home zone while all zones were healthy: %v", len(r.Misplaced), r.Misplaced[:min(len(r.Misplaced), 5)]))
 	}
 	return errors.Join(all...)
 }
@@ -64,11 +64,12 @@
 	return "r2"
 }
 
-// zoneRun is the agents, the zones' setup servers, and the links between them.
+// zoneRun is the state of a running ZoneSchedule: the agents, the zones' setup servers, and the links
+// between them.
 type zoneRun struct {
 	*lab.Fleet
 	servers map[string]*lab.SetupServer
-	links   map[string]map[string]*faultnet.Link // by agent, then server's zone
+	links   map[string]map[string]*faultnet.Link // by agent, then by the server's zone
 	rng     *rand.Rand
 	report  *ZoneReport
 
@@ -89,8 +90,9 @@
 	{"gossip deaf one way", (*zoneRun).cutGossipOneWay},
 }
 
-// Run starts the agents under dir and plays the schedule with callers at work; after each fault
-// all must be local again in one epoch, with every call at home.
+// Run starts the agents under dir and injects the schedule's faults while callers place calls. After each
+// fault, all agents must reach one epoch in which every zone is local, and every call must stay in its
+// home zone.
 func (s ZoneSchedule) Run(ctx context.Context, bin, dir string) (ZoneReport, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, lab.ScheduleTimeout)
@@ -125,7 +127,7 @@
 			Settings: placer.SettingsConfig{Dwell: "1500ms", Ramp: "1s", RampFrom: share(0.9)}}}
 }
 
-// serverList is the list of setup servers for one agent, each behind a link of that agent's own.
+// serverList returns one agent's list of setup servers, each behind a link of that agent's own.
 func (c *zoneRun) serverList(agent string) (string, any, error) {
 	c.links[agent] = map[string]*faultnet.Link{}
 	var list []map[string]any
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// placeCalls keep every agent that runs busy with calls, some a second each, until stop.
+// placeCalls places up to 20 calls per second at every agent, one at a time, until stop is closed.
 func (c *zoneRun) placeCalls(stop <-chan struct{}) {
 	var work sync.WaitGroup
 	for _, name := range c.Names() {
@@ -203,7 +205,7 @@
 	work.Wait()
 }
 
-// placeCall sets one call up and returns its id and whether it stood.
+// placeCall sets up one call at an agent and returns its id and whether it stood.
 func (c *zoneRun) placeCall(agent string) (isup.CallID, bool) {
 	c.mu.Lock()
 	c.lastCall++
@@ -219,7 +221,8 @@
 	return id, h.Served != ""
 }
 
-// checkHealthy has each agent set calls up with all healthy and local: all must stand, at home.
+// checkHealthy waits until every zone is local, then places calls at each agent and reports those that
+// did not stand in the agent's own zone.
 func (c *zoneRun) checkHealthy(ctx context.Context) error {
 	if err := c.awaitAllLocal(ctx); err != nil {
 		return err
@@ -236,7 +239,7 @@
 	return nil
 }
 
-// zonesReached are the zones whose server got a call's set-up.
+// zonesReached returns the zones whose server received a call's set-up.
 func (c *zoneRun) zonesReached(id isup.CallID) (out []string) {
 	for _, z := range zoneNames {
 		if c.servers[z].Received(id) {
@@ -255,17 +258,17 @@
 	return out
 }
 
-// maxSettleTime bounds how long the agents may take to one epoch: the bound of docs/failover.md.
+// maxSettleTime bounds how long the agents may take to reach one epoch; docs/failover.md states it.
 const maxSettleTime = 20 * time.Second
 
-// awaitAllLocal waits until all agents have one epoch with every zone local and alive.
+// awaitAllLocal waits until all agents have the same epoch with every zone local and alive.
 func (c *zoneRun) awaitAllLocal(ctx context.Context) error {
 	return c.awaitCommonEpoch(ctx, c.Names(), func(status string) bool {
 		return strings.Count(status, ": local ") == len(zoneNames) && strings.Count(status, "alive in") == len(zoneNames)
 	})
 }
 
-// awaitMoved waits until these agents have one epoch in which a zone's calls go elsewhere.
+// awaitMoved waits until the given agents have the same epoch in which a zone's calls go elsewhere.
 func (c *zoneRun) awaitMoved(ctx context.Context, zone string, agents []string) error {
 	began := time.Now()
 	err := c.awaitCommonEpoch(ctx, agents, func(status string) bool {
@@ -297,7 +300,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not settled in %v: epochs %v, %s", maxSettleTime, epochs, cmp.Or(last, "all else well"))
+			return fmt.Errorf("not settled in %v: epochs %v, %s", maxSettleTime, epochs, cmp.Or(last, "every agent meets the condition"))
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -316,13 +319,13 @@
 	return c.servers[z].Restart()
 }
 
-// loseZoneAndDecider kills whoever decided last at the moment a zone is lost.
+// loseZoneAndDecider kills the agent that made the last decision at the moment when a zone is lost.
 func (c *zoneRun) loseZoneAndDecider(ctx context.Context) error {
 	z, decider := c.anyZone(), ""
 	if m := epochLine.FindStringSubmatch(c.ConsoleCommand(c.Names()[0], "ZONES")); m != nil && c.Agents[m[2]] != nil {
 		decider = m[2]
 	} else {
-		return errors.New("no agent tells of a decider")
+		return errors.New("no agent reports the decider of its epoch")
 	}
 	c.servers[z].Crash()
 	c.Agents[decider].Kill()
@@ -336,7 +339,7 @@
 	return c.servers[z].Restart()
 }
 
-// isolateZone puts a zone, its agents and its server, on a side of their own.
+// isolateZone partitions a zone's agents and server from all others.
 func (c *zoneRun) isolateZone(ctx context.Context) error {
 	z := c.anyZone()
 	inside := func(name string) bool { return c.Agents[name].Member.Zone == z }
@@ -372,7 +375,7 @@
 	}
 }
 
-// flapZone has a zone's server go and come faster than the dwell.
+// flapZone stops and restarts a zone's server several times, faster than the dwell time.
 func (c *zoneRun) flapZone(ctx context.Context) error {
 	z := c.anyZone()
 	for range 4 {
@@ -401,7 +404,8 @@
 	return nil
 }
 
-// cutGossipOneWay cuts one direction of the gossip between two agents: the others vouch for both.
+// cutGossipOneWay cuts one direction of the gossip between two agents. The other agents still reach both,
+// so neither may count as lost.
 func (c *zoneRun) cutGossipOneWay(ctx context.Context) error {
 	a := c.anyAgent()
 	rest := slices.DeleteFunc(c.Names(), func(n string) bool { return n == a })
--- a/internal/lab/zonelab/zonelab.go
+++ b/internal/lab/zonelab/zonelab.go
@@ -1,7 +1,8 @@
-// Package zonelab measures zone failover at sizes that processes do not fit: a seeded model of a
-// fleet in virtual time, in which agents decide by package failover, in common or each alone, on
-// what they themselves saw; and the cost of membership, on real members in one process. It is
-// the laboratory behind `woodlab zones`; the daemon does not use it.
+// Package zonelab tests and measures zone failover. A seeded model in virtual time covers fleets too
+// large for processes: its agents decide with package failover, in common or each alone, on what they
+// themselves observed. The cost of membership is measured on real members in one process, and fault
+// schedules run against agents as processes. It is the laboratory behind `woodlab zones`; the daemon
+// does not use it.
 package zonelab
 
 import (
@@ -14,74 +15,78 @@
 	"woodrouter/failover"
 )
 
-// Fleet is a modelled fleet: zones of two regions, agents and servers evenly spread.
+// Fleet is a modelled fleet of agents and servers, spread evenly over zones in two regions.
 type Fleet struct {
 	Agents  int
-	Zones   int     // even; the first half lies in region r1
-	Servers int     // of each zone
-	Load    float64 // of the fleet's capacity, in (0, 1)
+	Zones   int     // an even number; the first half lies in region r1
+	Servers int     // servers per zone
+	Load    float64 // as a share of the fleet's capacity, between 0 and 1
 	Seed    uint64
-	Common  bool // one decision for all; false: each agent alone
+	Common  bool // one decision for all agents; false: each agent decides alone
 }
 
-// Fault is what happens to zone z1.
+// Fault describes an outage of zone z1.
 type Fault struct {
 	Name string
-	// Down tells whether the zone's servers are dead at a time, in seconds from the start.
+	// Down reports whether the zone's servers are dead at a time, in seconds from the start.
 	Down   func(at float64) bool
-	EndsAt float64 // when it is over for good
+	EndsAt float64 // when the zone is up for good, in seconds from the start; 0: never down
 }
 
-// Faults are those measured.
+// Faults are the faults that are modelled.
 var Faults = []Fault{
 	{"calm", func(float64) bool { return false }, 0},
 	{"zone lost for 20 s", func(at float64) bool { return at >= 30 && at < 50 }, 50},
 	{"zone flaps, 4 s down, 6 s up, five times", func(at float64) bool { return at >= 30 && at < 80 && math.Mod(at-30, 10) < 4 }, 74},
 }
 
-// Result is what a run showed.
+// Result is the outcome of a modelled run.
 type Result struct {
 	Calls         int
-	Lost          int     // sent to a dead server
-	KeptHome      int     // of those from zones whose servers live, the ones that stayed there
-	FromLiveZones int     // calls from zones whose servers live
-	FailOver      float64 // seconds from the fault to the first second in which under 5 % of z1's calls were lost
-	FailBack      float64 // seconds from its end to the first with over 95 % of z1's calls at home
-	ModeChanges   int     // changes of the home placement's mode, over all agents, per agent
-	MaxOverload   float64 // most that a zone was asked beyond its capacity in a second, as a share of it
+	Lost          int // calls sent to a dead server
+	KeptHome      int // calls from zones with live servers that stayed in their zone
+	FromLiveZones int // calls from zones with live servers
+	// FailOver is the time in seconds from the fault to the end of the first second in which under 5 % of
+	// z1's calls were lost; 0 if there was none.
+	FailOver float64
+	// FailBack is the time in seconds from the fault's end to the end of the first second in which over
+	// 95 % of z1's calls stayed at home; 0 if there was none.
+	FailBack    float64
+	ModeChanges int     // changes of the home zone's placement mode, per agent
+	MaxOverload float64 // largest overload of a zone in one second, as a share of its capacity
 }
 
-// The model's figures. A server takes rate calls a second; a dead one is noticed after timeout.
+// Parameters of the model.
 const (
-	stepSeconds        = 0.1 // seconds
-	serverRate         = 50.0
-	timeoutSeconds     = 0.5
+	stepSeconds        = 0.1
+	serverRate         = 50.0 // calls per second that a server takes
+	timeoutSeconds     = 0.5  // until an attempt at a dead server fails
 	runSeconds         = 150.0
-	propagationSeconds = 0.3 // seconds until a decision is in force at all agents, commit and gossip together
-	decisionSeconds    = 1.0 // seconds between looks
+	propagationSeconds = 0.3 // until a decision is in force at all agents, with commit and gossip
+	decisionSeconds    = 1.0 // between an agent's summaries, and between decisions
 )
 
-// agent is one modelled call agent.
+// agentModel is one modelled call agent.
 type agentModel struct {
 	zone           int
 	plan           failover.Plan
-	nextPlan       failover.Plan // decided in common, in force from nextAt on
+	nextPlan       failover.Plan // common decision that is in force from nextPlanAt on
 	nextPlanAt     float64
-	failures       [][]int     // by zone and server: attempts in a row that met a dead one
-	lastFailureAt  [][]float64 // when last
+	failures       [][]int     // consecutive failed attempts, by zone and server
+	lastFailureAt  [][]float64 // time of the last failure, by zone and server
 	offered        int
-	attempts       []int            // that ended since the last look, by zone
-	failedAttempts []int            // of these, met a dead server
-	pending        []pendingFailure // attempts under way to dead servers
+	attempts       []int            // ended since the last summary, by zone
+	failedAttempts []int            // of these, at a dead server
+	pending        []pendingFailure // attempts at dead servers that have not timed out yet
 }
 
-// pendingFailure is an attempt that will be seen to have failed.
+// pendingFailure is an attempt at a dead server that will time out.
 type pendingFailure struct {
 	failsAt      float64
 	zone, server int
 }
 
-// simulation is one run of the model.
+// simulation is the state of one run of the model.
 type simulation struct {
 	Fleet
 	fault    Fault
@@ -96,13 +101,13 @@
 	current  secondCounts
 }
 
-// secondCounts counts one second.
+// secondCounts counts the calls of one second.
 type secondCounts struct {
 	z1, z1Lost, z1Home int
 	byZone             []int
 }
 
-// Run plays a fault against a fleet, in virtual time.
+// Run simulates a fault in the fleet, in virtual time.
 func (f Fleet) Run(fault Fault) Result {
 	r := &simulation{Fleet: f, fault: fault, settings: failover.Defaults, rng: rand.New(rand.NewPCG(f.Seed, 1))}
 	for z := range f.Zones {
@@ -136,7 +141,7 @@
 		r.now = float64(i) * stepSeconds
 		for j, a := range r.agents {
 			r.step(a)
-			if (i+j)%perLook == 0 && !r.Common { // agents' looks are not in step
+			if (i+j)%perLook == 0 && !r.Common { // agents decide at different times
 				r.decideAlone(a)
 			}
 			if a.nextPlanAt > 0 && r.now >= a.nextPlanAt {
@@ -153,7 +158,7 @@
 	}
 }
 
-// step plays an agent's calls of one step.
+// step simulates one agent's calls during one time step.
 func (r *simulation) step(a *agentModel) {
 	keep := a.pending[:0]
 	for _, m := range a.pending {
@@ -207,7 +212,8 @@
 	a.failures[z][server] = 0
 }
 
-// pickServer is a server of a zone that the agent does not hold for dead, or any where it holds all.
+// pickServer returns a server of a zone that the agent does not believe down, or any server if it
+// believes all of them down.
 func (r *simulation) pickServer(a *agentModel, z int) int {
 	from := r.rng.IntN(r.Servers)
 	for i := range r.Servers {
@@ -218,13 +224,13 @@
 	return from
 }
 
-// believedDown is agent.Sights' rule: two in a row, for 10 s.
+// believedDown applies the rule of agent.Observations: two consecutive failures mark a server down for 10 s.
 func (r *simulation) believedDown(a *agentModel, z, s int) bool {
 	return a.failures[z][s] >= 2 && r.now-a.lastFailureAt[z][s] < 10
 }
 
-// takeSummary is what an agent tells. In common mode agents look at servers that calls tell nothing
-// of, as the placer does; alone, an agent has its own calls only.
+// takeSummary returns an agent's summary and resets its counters. In common mode, agents probe servers
+// about which calls reveal nothing, as the placer does; an agent that decides alone has its calls only.
 func (r *simulation) takeSummary(i int, a *agentModel) failover.Summary {
 	s := failover.Summary{Agent: fmt.Sprint(i), Zone: zoneName(a.zone), AtUs: r.nowMicros(), Offered: map[string]float64{"call": float64(a.offered) / decisionSeconds},
 		Seen: map[string]failover.Sight{}}
@@ -244,8 +250,8 @@
 	return s
 }
 
-// probe is the placer's look at servers that are down, or in a zone that is lost; alone, an
-// agent does not look.
+// probe models the placer's probes of servers that are down or in a lost zone. An agent that decides
+// alone does not probe.
 func (r *simulation) probe(a *agentModel, z, server int) {
 	if !r.Common || a.failures[z][server] < 2 && !a.plan.States[zoneName(z)].Lost {
 		return
@@ -260,8 +266,8 @@
 
 func (r *simulation) nowMicros() int64 { return int64(r.now*1e6) + 1 }
 
-// decideAlone has an agent decide on what it sees itself. Its own load is a fleet's to it: it scales
-// what it is offered by the agents there are.
+// decideAlone lets an agent decide on its own observations. It extrapolates its offered load to all
+// agents of a zone.
 func (r *simulation) decideAlone(a *agentModel) {
 	s := r.takeSummary(0, a)
 	s.Offered["call"] *= float64(r.Agents) / float64(r.Zones)
@@ -293,7 +299,7 @@
 	a.plan = p
 }
 
-// closeSecond closes a second.
+// closeSecond evaluates and resets the counts of the current second.
 func (r *simulation) closeSecond() {
 	w := r.current
 	if r.fault.EndsAt > 0 && w.z1 > 0 {
--- a/internal/lab/zonelab/zonelab_test.go
+++ b/internal/lab/zonelab/zonelab_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestCommonDecisionsLoseFewerCalls: at 100 agents one decision for all loses fewer calls to a dead zone
-// than agents that decide alone, does not swing with a flapping zone, keeps every call home in
-// calm, and a run follows from its seed.
+// TestCommonDecisionsLoseFewerCalls models 100 agents. Common decisions must lose fewer calls to a dead
+// zone than agents that decide alone, must not follow a flapping zone, and must keep every call at home
+// without a fault. Equal seeds must give equal results.
 func TestCommonDecisionsLoseFewerCalls(t *testing.T) {
 	for _, f := range Faults {
 		fleet := Fleet{Agents: 100, Zones: 4, Servers: 6, Load: 0.6, Seed: 3, Common: true}
--- a/internal/lab/zonelab/zones_test.go
+++ b/internal/lab/zonelab/zones_test.go
@@ -26,16 +26,16 @@
 
 func TestMain(m *testing.M) { os.Exit(lab.BuildAndRun(m, &bin)) }
 
-// zoneTest is six agents in four zones of two regions, a setup server in each zone, and a link
-// from each zone's agents to each server.
+// zoneTest runs six agents in four zones of two regions, with a setup server in each zone and a link from
+// each zone's agents to each server.
 type zoneTest struct {
 	t          *testing.T
 	fleet      *lab.Fleet
 	servers    map[string]*standin.Server
-	links      map[string]map[string]*faultnet.Link // from agents' zone, to servers' zone
+	links      map[string]map[string]*faultnet.Link // by the agents' zone, then by the server's zone
 	mu         sync.Mutex
-	asked      map[isup.CallID]string   // the agent of each call
-	receivedBy map[isup.CallID][]string // the zones whose server got the call's set-up, in order
+	asked      map[isup.CallID]string   // the agent at which each call was placed
+	receivedBy map[isup.CallID][]string // the zones whose server received the call's set-up, in order
 	lastCall   isup.CallID
 }
 
@@ -83,7 +83,7 @@
 	return test
 }
 
-// answerSetUps has a zone's server answer every set-up at once, and notes it.
+// answerSetUps makes a zone's server answer every set-up at once, and records each.
 func (w *zoneTest) answerSetUps(zone string, s *standin.Server) {
 	w.servers[zone] = s
 	go func() {
@@ -98,8 +98,8 @@
 	}()
 }
 
-// placeCalls has an agent set n calls up, one after another, and returns how many stood and the
-// zones that got their set-ups.
+// placeCalls places n calls at an agent, one after another, and returns how many stood and how many
+// set-ups each zone received.
 func (w *zoneTest) placeCalls(agent string, n int) (stood int, got map[string]int) {
 	c := standin.NewCaller(w.t, w.fleet.Agents[agent].Listen)
 	got = map[string]int{}
@@ -124,10 +124,10 @@
 	return stood, got
 }
 
-// checkPlacement has every agent but those named set n calls up, which must all stand, in these zones; and
-// what the agent reports of them, home and away, must be what the servers got. (A set-up that
-// was written whole into a connection whose far end has just died is reported too: that is
-// traffic, though no server got it. Here all are alive, or no call goes to them.)
+// checkPlacement places n calls at every agent except those named. All calls must stand, in the agent's
+// zone or in the one that where maps it to, and the agent's counts of set-ups at home and away must match
+// what the servers received. (An agent also counts a set-up that it wrote to a connection whose peer has
+// just died, although no server received it. Here all servers are alive or get no calls.)
 func (w *zoneTest) checkPlacement(n int, where map[string]string, but ...string) {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -155,11 +155,11 @@
 	}
 }
 
-// awaitMode waits until each agent, but those named, has a zone's mode in force.
+// awaitMode waits until every agent, except those named, has a zone's mode in force.
 func (w *zoneTest) awaitMode(zone, mode string, but ...string) time.Duration {
 	w.t.Helper()
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second) // the bound stated in docs/failover.md
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second) // the bound in docs/failover.md
 	defer cancel()
 	for name := range w.fleet.Agents {
 		if !strings.Contains(fmt.Sprint(but), name) {
@@ -171,7 +171,7 @@
 
 var setUpCounts = regexp.MustCompile(`set-ups of voice: (\d+) home (\d+) away`)
 
-// reportedSetUps is what an agent says of its set-ups so far.
+// reportedSetUps returns the set-ups that an agent has counted so far.
 func (w *zoneTest) reportedSetUps(agent string) (home, away int) {
 	m := setUpCounts.FindStringSubmatch(w.fleet.ConsoleCommand(agent, "ZONES"))
 	require.NotNil(w.t, m, agent)
@@ -180,29 +180,30 @@
 	return home, away
 }
 
-// TestZones: calls stay home in calm; a lost zone's go to its region's other zone, for all
-// agents by one epoch, and come home once it is back; a zone cut off keeps its last epoch and
-// nobody sends to it; the decider killed during a failover does not stop it; a flapping link
-// and 300 ms between regions change nothing. No call is sent to two zones, and what
-// agents report of traffic across zones is what the wire carried.
+// TestZones guards these properties of zone failover. Calls stay in their zone while all is healthy. When
+// a zone is lost, one epoch moves its calls to the other zone of its region for all agents, and they
+// return with the zone. A zone that is cut off keeps its last epoch, and no other zone sends to it.
+// Killing the decider does not stop a failover. A flapping link and 300 ms between regions change
+// nothing. No call is sent to two zones, and agents' counts of traffic across zones match what servers
+// received.
 func TestZones(t *testing.T) {
 	test := newZoneTest(t)
 	test.awaitMode("z1", "local")
 	test.checkPlacement(10, nil)
 
 	across := func(from, to string) bool { return region(from) != region(to) }
-	test.fleet.Delay(150*time.Millisecond, across) // 300 ms there and back
+	test.fleet.Delay(150*time.Millisecond, across) // 300 ms round trip
 	test.checkPlacement(2, nil)
 
 	began := time.Now()
 	test.servers["z1"].Crash()
-	stood, _ := test.placeCalls("a1", 1) // what is lost is what meets the dead zone before it is seen
+	stood, _ := test.placeCalls("a1", 1) // may be lost: the agent does not know yet that the zone is dead
 	test.awaitMode("z1", "evacuate")
 	t.Logf("z1 lost: new epoch everywhere after %v, %d of 1 call lost", time.Since(began), 1-stood)
 	test.checkPlacement(2, map[string]string{"z1": "z2"})
 	test.fleet.Delay(0, across)
 
-	test.answerSetUps("z1", standin.NewServer(t, test.servers["z1"].Addr)) // back, cold
+	test.answerSetUps("z1", standin.NewServer(t, test.servers["z1"].Addr)) // z1's server restarts, cold
 	t.Logf("z1 back: local everywhere after %v", test.awaitMode("z1", "local"))
 	test.checkPlacement(5, nil)
 
@@ -218,7 +219,7 @@
 	require.NoError(t, test.fleet.Start(decider))
 	test.awaitMode("z2", "local")
 
-	for range 4 { // a link that flaps between two regions
+	for range 4 { // flap an agent's links to all others
 		test.fleet.Partition("a3")
 		test.fleet.Partition()
 	}
@@ -229,9 +230,9 @@
 	t.Logf("z3 cut off: new epoch after %v", test.awaitMode("z3", "evacuate", "a3"))
 	before := test.servers["z3"].Count(isup.SetUp, 0)
 	test.checkPlacement(5, nil, "a3")
-	require.Equal(t, before, test.servers["z3"].Count(isup.SetUp, 0), "somebody sent to the zone cut off")
-	require.Equal(t, epoch, test.epoch("a3"), "the minority decided")
-	stood, got := test.placeCalls("a3", 5) // it serves its own callers on, at home
+	require.Equal(t, before, test.servers["z3"].Count(isup.SetUp, 0), "an agent outside sent to the isolated zone")
+	require.Equal(t, epoch, test.epoch("a3"), "the isolated agent got a new epoch")
+	stood, got := test.placeCalls("a3", 5) // it continues to serve its callers in its own zone
 	require.Equal(t, 5, stood)
 	require.Equal(t, map[string]int{"z3": 5}, got)
 	test.heal()
@@ -245,14 +246,14 @@
 	test.mu.Unlock()
 }
 
-// decider is who made the epoch in force.
+// decider returns the agent that made the epoch in force.
 func (w *zoneTest) decider() string {
 	for name := range w.fleet.Agents {
 		if m := regexp.MustCompile(`epoch \d+ by (a\d)`).FindStringSubmatch(w.fleet.ConsoleCommand(name, "ZONES")); m != nil {
 			return m[1]
 		}
 	}
-	w.t.Fatal("no agent tells of a decider")
+	w.t.Fatal("no agent reports the decider of its epoch")
 	return ""
 }
 
@@ -261,7 +262,7 @@
 	return first
 }
 
-// isolateZone puts a zone with its agents and server on a side of its own.
+// isolateZone partitions a zone's agents and server from all others.
 func (w *zoneTest) isolateZone(zone string, agents ...string) {
 	w.fleet.Partition(agents...)
 	for from, tos := range w.links {
@@ -284,8 +285,8 @@
 	}
 }
 
-// TestZoneSchedule plays a short seeded schedule of faults with callers at every agent. The
-// operators' long run is `woodlab zones schedules`.
+// TestZoneSchedule injects a short seeded schedule of faults while callers place calls at every agent.
+// The operators' long run is `woodlab zones schedules`.
 func TestZoneSchedule(t *testing.T) {
 	r, err := ZoneSchedule{Seed: 2, Agents: 6, Steps: 3}.Run(context.Background(), bin, t.TempDir())
 	require.NoError(t, err)
