--- a/internal/lab/fleetlab/faults.go
+++ b/internal/lab/fleetlab/faults.go
@@ -24,7 +24,7 @@
 	{"six in ten replaced", (*activeRun).replaceServers},
 }
 
-// FaultNames are the faults that a run can play.
+// FaultNames returns the names of all faults that a run can inject.
 func FaultNames() (out []string) {
 	for _, f := range faults {
 		out = append(out, f.name)
@@ -32,12 +32,12 @@
 	return out
 }
 
-// sampleAgents is a part of the agents, at least one.
+// sampleAgents draws the given share of the agents, at least one.
 func (p *activeRun) sampleAgents(part float64) []int {
 	return p.rng.Perm(p.Agents)[:max(1, int(part*float64(p.Agents)+0.5))]
 }
 
-// burst has half as many calls again come for a while.
+// burst raises the load to BurstFactor, at least 1.5, for a third of the fault span.
 func (p *activeRun) burst(ctx context.Context) error {
 	p.callers.Scale(max(p.BurstFactor, 1.5))
 	pause(ctx, p.FaultSpan/3)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// loseLinks loses one link in ten between agents and servers, one way or both, for 3 s; then they
-// are reset and work again.
+// loseLinks cuts one in ten links between agents and servers for 3 s, in one direction or both, then
+// resets their connections and restores them.
 func (p *activeRun) loseLinks(ctx context.Context) error {
 	servers := p.running.World.Listed()
 	type cutLink struct {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// stallAgents stops one agent in twenty for 1 to 5 s.
+// stallAgents suspends one agent in twenty for 1 to 5 s.
 func (p *activeRun) stallAgents(ctx context.Context) error {
 	if len(p.running.Procs) == 0 {
 		return nil
@@ -92,13 +92,13 @@
 	return nil
 }
 
-// restartAgents kills a tenth in the middle of work; they start again one after another.
+// restartAgents kills a tenth of the agents under load and restarts them, four at a time.
 func (p *activeRun) restartAgents(ctx context.Context) error {
 	if len(p.running.Procs) == 0 {
 		return nil
 	}
 	var work sync.WaitGroup
-	startSlots := make(chan bool, 4) // starts at once
+	startSlots := make(chan bool, 4) // concurrent starts
 	for _, a := range p.sampleAgents(0.1) {
 		work.Add(1)
 		go func() {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// partitionGossip puts four in ten agents on a side of their own for 5 s.
+// partitionGossip separates four in ten agents from the others in the gossip for 5 s.
 func (p *activeRun) partitionGossip(ctx context.Context) error {
 	if p.running.GossipHub == nil {
 		return nil
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// slowServer has one server in the middle of the sizes work four times slower.
+// slowServer makes a random server work four times slower for two thirds of the fault span.
 func (p *activeRun) slowServer(ctx context.Context) error {
 	servers := p.running.World.Listed()
 	s := servers[p.rng.IntN(len(servers))]
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// silenceServer has a server fall silent, and come back cold.
+// silenceServer makes a random server stop responding and brings it back cold after half the fault span.
 func (p *activeRun) silenceServer(ctx context.Context) error {
 	servers := p.running.World.Listed()
 	s := servers[p.rng.IntN(len(servers))]
@@ -149,7 +149,7 @@
 	return p.running.World.Restart(s)
 }
 
-// replaceServers puts new, cold processors in the place of six in ten servers within 7 s.
+// replaceServers replaces six in ten servers by new, cold ones within 7 s.
 func (p *activeRun) replaceServers(ctx context.Context) error {
 	servers := p.running.World.Listed()
 	p.rng.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
--- a/internal/lab/fleetlab/fleet_test.go
+++ b/internal/lab/fleetlab/fleet_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { os.Exit(lab.BuildAndRun(m, &bin)) }
 
-// TestFleet is the short form of `woodlab fleet`: agents as processes, alone and in common, with
-// links lost, agents stalled and killed, the gossip cut, and most servers replaced in the middle
-// of work. The checker reads every rule off the wire, the cold budget summed over all processes;
-// every call that a well agent took has its answer.
+// TestFleet is the short form of `woodlab fleet`: agents as processes, spreading alone and in common,
+// while links are lost, agents are stalled and killed, the gossip is partitioned, and most servers are
+// replaced under load. It guards against breaking a rule that the checker verifies on the wire, such as
+// the cold budget summed over all processes, and against calls at healthy agents that get no answer.
 func TestFleet(t *testing.T) {
 	for _, mode := range []string{"alone", "common"} {
 		t.Run(mode, func(t *testing.T) {
--- a/internal/lab/fleetlab/reference.go
+++ b/internal/lab/fleetlab/reference.go
@@ -12,15 +12,17 @@
 	"woodrouter/isup"
 )
 
-// The references: what simple rules do on the same seeds. They keep no rule but one attempt at a
-// time, know every change of the list at once and the true capacities, and run in this process.
+// The reference policies show how simple rules perform with the same seeds. They run in this process,
+// know the true capacities and every change of the server list at once, and obey none of the agents'
+// rules except that a call has one attempt at a time.
 const (
-	PolicyRandom     = "random"     // weighted by capacity
-	PolicyLeast      = "least"      // fewest unanswered set-ups of this agent, drawn by capacity among equals
-	PolicyDispatcher = "dispatcher" // one that sees every queue as it is
+	PolicyRandom     = "random"     // random choice, weighted by capacity
+	PolicyLeast      = "least"      // fewest unanswered set-ups from this agent; ties are drawn by capacity
+	PolicyDispatcher = "dispatcher" // one dispatcher for all agents that knows every queue exactly
 )
 
-// referenceAgents is all agents in one: a listener for each, and one connection to each server.
+// referenceAgents plays the role of all agents: it has a listener for each agent and one connection to
+// each server.
 type referenceAgents struct {
 	running   *cluster.Cluster
 	policy    string
@@ -30,7 +32,7 @@
 	rng     *rand.Rand
 	conns   map[*emulator.Server]*referenceConn
 	calls   map[isup.CallID]*referenceCall
-	pending map[int]map[*emulator.Server]int // unanswered, by agent
+	pending map[int]map[*emulator.Server]int // unanswered set-ups by agent and server
 }
 
 type referenceConn struct {
@@ -116,7 +118,7 @@
 	delete(f.calls, id)
 }
 
-// sendSetUp gives a call to a server, or refuses it.
+// sendSetUp sends a call to a server, or refuses it after the last attempt.
 func (f *referenceAgents) sendSetUp(id isup.CallID, k *referenceCall) {
 	for k.attempts < min(f.running.Deployment.MaxAttempts, 3) {
 		s := f.pickServer(k)
@@ -169,12 +171,12 @@
 		}
 	}
 	if f.policy == PolicyDispatcher && best != nil && least > f.running.Deployment.Classes[0].Aim.Seconds() {
-		return nil // it would come too late
+		return nil // the answer would come after the aim
 	}
 	return best
 }
 
-// connect is the one connection to a server.
+// connect returns the connection to a server, and opens it at the first use.
 func (f *referenceAgents) connect(s *emulator.Server) (*referenceConn, error) {
 	if t := f.conns[s]; t != nil {
 		return t, nil
@@ -238,6 +240,6 @@
 
 func writeMessage(conn net.Conn, m isup.Message) {
 	if b, err := m.Append(nil); err == nil {
-		conn.Write(b) // a connection that is gone shows at its reader
+		conn.Write(b) // the connection's reader notices a closed connection
 	}
 }
--- a/internal/lab/fleetlab/report.go
+++ b/internal/lab/fleetlab/report.go
@@ -20,7 +20,7 @@
 // Pause waits for d, or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) { pause(ctx, d) }
 
-// SetMode has the agents spread their load alone or in common (docs/spread.md).
+// SetMode sets whether the agents spread their load alone or in common (docs/spread.md).
 func (r *Scenario) SetMode(mode string) error {
 	r.Gossip = mode == "common"
 	if mode == "common" {
@@ -29,11 +29,12 @@
 	return nil
 }
 
-// writeSpreadFile writes an agent's file of spreading load: the others are behind the proxies.
+// writeSpreadFile writes an agent's configuration of load spreading, in which the other agents have their
+// proxies' addresses, and returns the environment variable that names the file.
 func writeSpreadFile(running *cluster.Cluster, agent int) ([]string, error) {
 	file := spreader.Config{Mode: "common", Members: &members.Config{Bind: running.GossipAddr(agent), Advertise: running.GossipProxyAddr(agent),
-		Far: running.Agents >= 100}} // so many on one machine are as slow as far ones
-	for i := range min(running.Agents, 3) { // some others to join by
+		Far: running.Agents >= 100}} // on one machine, this many agents respond as slowly as distant ones
+	for i := range min(running.Agents, 3) { // seeds to join through
 		file.Members.Seeds = append(file.Members.Seeds, running.GossipProxyAddr(i))
 	}
 	text, err := yaml.Marshal(file)
@@ -44,7 +45,7 @@
 	return []string{"WOODROUTER_SPREAD=" + path}, os.WriteFile(path, text, 0o600)
 }
 
-// Print writes a run's windows and their sum.
+// Print writes the summary of a run, and its windows if wanted.
 func (r Report) Print(out io.Writer, name string, windows bool) {
 	if windows {
 		fmt.Fprintf(out, "%-10s %6s %-20s %7s %6s %6s %6s %6s %6s %6s %6s %6s %5s %6s %7s\n", "policy", "at", "fault", "setups/s",
--- a/internal/lab/fleetlab/run.go
+++ b/internal/lab/fleetlab/run.go
@@ -1,8 +1,8 @@
-// Package fleetlab plays a fleet at size: hundreds of call agents as processes of the program
-// against emulated setup servers, with callers whose load is uneven and faults between them from
-// a seed. It reports how evenly the load was spread and what the faults cost, and plays simple
-// references on the same seeds: a random draw by capacity, the least busy by each agent's own
-// sight, and one dispatcher that sees everything. cmd/woodlab and tests use it.
+// Package fleetlab tests large fleets: hundreds of call agents as processes of the program, emulated
+// setup servers, callers with uneven load, and faults drawn from a seed. It reports how evenly the load
+// was spread and what the faults cost. For comparison it runs reference policies with the same seeds:
+// a random choice by capacity, the server with the fewest pending calls as each agent sees it, and one
+// dispatcher that knows every queue. cmd/woodlab and tests use it.
 package fleetlab
 
 import (
@@ -22,27 +22,28 @@
 	"woodrouter/internal/lab/emulator"
 )
 
-// Scenario is one run: equal runs draw equal loads and faults.
+// Scenario configures a run. Equal scenarios draw equal loads and faults.
 type Scenario struct {
 	Bin, Dir    string
 	Seed        uint64
 	Agents      int
 	Servers     int
-	Load        float64 // of what the servers can take together
-	Choice      float64 // how unevenly calls name a first choice; negative: they name none
+	Load        float64 // as a share of the servers' total capacity
+	Choice      float64 // coefficient of variation of calls' first choices; negative: calls name none
 	Window      time.Duration
-	FaultSpan   time.Duration // before the first fault, and the span of each fault with what follows it
-	Faults      []string      // by name, in order; nil: all
-	BurstFactor float64       // load in the burst, as a multiple
-	Policy      string        // Agent, or a reference
+	FaultSpan   time.Duration // time before the first fault, and the time of each fault with its recovery
+	Faults      []string      // names, in the order to inject; nil: all
+	BurstFactor float64       // load in the burst, as a multiple of the usual load
+	Policy      string        // PolicyAgent or a reference policy; "": PolicyAgent
 	Env         func(c *cluster.Cluster, agent int) ([]string, error)
-	Gossip      bool // agents talk: the gossip can be cut
+	Gossip      bool // agents gossip, so the gossip can be partitioned
 }
 
-// PolicyAgent is the program itself; the references stand in reference.go.
+// PolicyAgent runs the program itself; the reference policies are in reference.go.
 const PolicyAgent = "agent"
 
-// Deployment is the fleet's: one campus of servers that differ in capacity by four to one.
+// Deployment returns the fleet's deployment: one campus of servers whose capacities differ by a factor of
+// about four.
 func Deployment(servers int) emulator.Deployment {
 	d := emulator.Campus()
 	d.Name, d.ReportFields, d.Cold, d.Repeat = "fleet", []string{"util", "queue"}, 8*time.Second, 0
@@ -57,38 +58,38 @@
 	return d
 }
 
-// WindowStats is what one window showed.
+// WindowStats are the statistics of one time window.
 type WindowStats struct {
 	At             time.Duration
-	Fault          string  // that began in it, or the window before
-	SetUpRate      float64 // set-ups that came to servers, a second
-	Dispersion     float64 // of set-ups over servers by capacity: 1 is an independent random draw
-	PeakLoad       float64 // the largest server's load over its share
-	IdleSeconds    float64 // server-seconds without a set-up for over idleMost while healthy
-	FullShare      float64 // share of set-ups turned away
-	AttemptsPerTry float64 // set-ups for each try of a caller
+	Fault          string  // the fault under way as the window ended
+	SetUpRate      float64 // set-ups per second that reached servers
+	Dispersion     float64 // of set-ups over servers, relative to capacity; 1: as in independent random draws
+	PeakLoad       float64 // largest ratio of a server's set-ups to its share by capacity
+	IdleSeconds    float64 // server-seconds in which a healthy server had no set-up for longer than maxIdle
+	FullShare      float64 // share of set-ups that servers turned away
+	AttemptsPerTry float64 // set-ups per try of a caller
 	Handshakes     int
 	Probes         int
-	Connections    int // connections
+	Connections    int // open connections at the window's end
 	Lost           int
-	WorthShare     float64 // of the worth asked for, served
+	WorthShare     float64 // share of the offered worth that was served
 	P99            time.Duration
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Scenario
 	Windows      []WindowStats
 	Outcome      emulator.Outcome
 	BrokenRules  map[string]int
-	Err          error // rules broken
+	Err          error // the broken rules, or nil
 	SpreadStatus string
 }
 
-// maxIdle is how long a healthy server may get no set-up before that counts.
+// maxIdle is the time without a set-up after which a healthy server counts as idle.
 const maxIdle = 2 * time.Second
 
-// Run starts the fleet, plays the faults with callers at work, and reports.
+// Run starts the fleet, injects the faults while callers place calls, and returns the report.
 func (r Scenario) Run(ctx context.Context) (Report, error) {
 	r.Window = cmp.Or(r.Window, 5*time.Second)
 	r.FaultSpan = cmp.Or(r.FaultSpan, 15*time.Second)
@@ -133,12 +134,12 @@
 	return report, err
 }
 
-// maxSettleTime bounds how long agents may take to find one another.
+// maxSettleTime bounds how long the agents may take to find each other.
 const maxSettleTime = 90 * time.Second
 
 var agentsHeard = regexp.MustCompile(`(\d+) agents heard`)
 
-// awaitGossip waits until an agent hears of nearly all that load is spread in common.
+// awaitGossip waits until the last agent hears from at least 95 % of the agents that spread in common.
 func awaitGossip(ctx context.Context, running *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
@@ -150,22 +151,22 @@
 			}
 		}
 		if pause(ctx, 200*time.Millisecond); ctx.Err() != nil {
-			return fmt.Errorf("fleet: agents have not found one another in %v: %s", maxSettleTime, status)
+			return fmt.Errorf("fleet: agents have not found each other in %v: %s", maxSettleTime, status)
 		}
 	}
 }
 
-// activeRun is a run under way.
+// activeRun is the state of a running scenario.
 type activeRun struct {
 	Scenario
 	running      *cluster.Cluster
 	callers      *emulator.Callers
 	rng          *rand.Rand
 	startedAt    time.Time
-	currentFault atomic.Value // string: the one under way
+	currentFault atomic.Value // string: name of the fault under way, or ""
 }
 
-// counters is the counters at a moment.
+// counters holds the values of all counters at one moment.
 type counters struct {
 	servers map[*emulator.Server]emulator.Counts
 	sum     emulator.Outcome
@@ -179,7 +180,7 @@
 	return s
 }
 
-// recordWindows makes a frame of each window until ctx ends.
+// recordWindows records the statistics of each window until ctx ends.
 func (p *activeRun) recordWindows(ctx context.Context) (windows []WindowStats) {
 	before := p.readCounters()
 	before.sum, _ = p.callers.Tally()
@@ -252,13 +253,13 @@
 	return window
 }
 
-// injectFaults plays the calm and then each fault with a calm behind it.
+// injectFaults waits for one fault span, then injects the faults one after another, each for one span.
 func (p *activeRun) injectFaults(ctx context.Context) error {
 	pause(ctx, p.FaultSpan)
 	for _, name := range p.Faults {
 		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 		if i < 0 {
-			return fmt.Errorf("fleet: no fault %q: one of %v", name, FaultNames())
+			return fmt.Errorf("fleet: unknown fault %q, known are %v", name, FaultNames())
 		}
 		p.currentFault.Store(name)
 		until := time.Now().Add(p.FaultSpan)
@@ -281,7 +282,7 @@
 	}
 }
 
-// Worst is the largest figure of the frames picked.
+// Worst returns the largest value over the picked windows.
 func (r Report) Worst(pick func(WindowStats) bool, of func(WindowStats) float64) (most float64) {
 	for _, f := range r.Windows {
 		if pick(f) {
@@ -291,7 +292,7 @@
 	return most
 }
 
-// Mean is the mean figure of the frames picked.
+// Mean returns the mean value over the picked windows.
 func (r Report) Mean(pick func(WindowStats) bool, of func(WindowStats) float64) float64 {
 	sum, n := 0.0, 0
 	for _, f := range r.Windows {
