--- a/internal/lab/chainlab/chain_test.go
+++ b/internal/lab/chainlab/chain_test.go
@@ -17,7 +17,7 @@
 
 var bin string
 
-// TestMain also is the bare relay that a rig starts.
+// TestMain also runs the bare relay, which a testbed starts as a process of this test binary.
 func TestMain(m *testing.M) {
 	if i := slices.Index(os.Args, "relay"); i > 0 && i+2 < len(os.Args) {
 		fmt.Fprintln(os.Stderr, Relay(context.Background(), os.Args[i+1], os.Args[i+2]))
@@ -26,9 +26,10 @@
 	os.Exit(lab.BuildAndRun(m, &bin))
 }
 
-// TestChain: tens of calls through a chain of three agents, through three relays in their place, and
-// through the same chain without either. Every call is answered once, at the full depth, after one set-up at each server. Counts
-// only: how long it takes is not looked at.
+// TestChain sends 60 calls through a chain of three agents, through three relays in their place, and
+// through the same servers without either. It guards against lost, duplicated and misrouted calls: every
+// call must be answered once, at the full depth, after one set-up at each server. It checks counts, not
+// times.
 func TestChain(t *testing.T) {
 	const calls = 60
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -62,7 +63,7 @@
 				assert.NoError(t, err)
 				did, err := readWork(a.PID())
 				assert.NoError(t, err)
-				assert.InDelta(t, spent.Seconds(), did.processor.Seconds(), 0.1, "two accounts of one thing")
+				assert.InDelta(t, spent.Seconds(), did.processor.Seconds(), 0.1, "processor time from stat and from schedstat")
 				assert.True(t, did.writes >= 2*calls && did.reads > 0 && did.wakeUps > 0, "%+v: a set-up and an answer are written for each call", did)
 				rss, err := residentBytes(a.PID())
 				assert.NoError(t, err)
@@ -77,10 +78,10 @@
 	}
 }
 
-// TestLists: an agent that the system holds to 64 descriptors keeps a connection to each of 8
-// servers and answers a third of the limit of callers, twice; of 100 servers it connects to a subset,
-// is ready, and answers as many callers. A call whose first choice has no connection is answered there,
-// and where calls hold all places by another server: none is refused.
+// TestLists limits an agent to 64 descriptors. With 8 servers it must keep a connection to each and
+// answer 21 callers (a third of the limit) twice. With 100 servers it must connect to a subset, become
+// ready, and answer as many callers. A call whose first choice has no connection must be answered by that
+// server, or by another one if standing calls occupy all places for connections; none may be refused.
 func TestLists(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -102,10 +103,10 @@
 	assert.Equal(t, outcomes{answered: 21}, few.first)
 	assert.Equal(t, outcomes{answered: 21}, few.second)
 	assert.Zero(t, few.demand.asked, "each has a connection")
-	m.SettleTimeout = time.Second // it can't have them all
+	m.SettleTimeout = time.Second // it can't connect to all of them
 	many, err := m.run(ctx, bed, servers, 64)
 	require.NoError(t, err)
-	assert.LessOrEqual(t, max(many.connected, many.connectedAfter), 14, "its part of the descriptors")
+	assert.LessOrEqual(t, max(many.connected, many.connectedAfter), 14, "connections beyond its part of the descriptors")
 	assert.LessOrEqual(t, max(many.descriptors, many.descriptorsAfter), 64)
 	assert.NotZero(t, many.readyAfter)
 	assert.Equal(t, outcomes{answered: 21}, many.first)
@@ -113,13 +114,13 @@
 	assert.NotZero(t, many.demand.answeredThere)
 	assert.LessOrEqual(t, many.demand.elsewhere, many.demand.asked-many.demand.answeredThere)
 	assert.Equal(t, []int{16, 0}, []int{many.standing.asked, many.standing.refused})
-	assert.NotZero(t, many.standing.elsewhere, "there are fourteen places, and calls stand at them")
-	assert.Equal(t, " 0 0 0 0 0", many.logCounts, "none was out of descriptors, none turned away")
+	assert.NotZero(t, many.standing.elsewhere, "more standing calls than the fourteen places for connections")
+	assert.Equal(t, " 0 0 0 0 0", many.logCounts, "counts of log lines about missing descriptors or refused callers")
 	t.Logf("%+v\n%+v", few, many)
 }
 
-// TestReports: the measurements' own commands run to their end on a short day, and tell of every
-// chain. What they measure is not looked at.
+// TestReports runs every measurement with short spans. Each must finish and report on every chain; the
+// measured values are not checked.
 func TestReports(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -131,6 +132,6 @@
 		assert.Contains(t, out.String(), want)
 	}
 	assert.Regexp(t, `100: +\d+ KB, \d+ descriptors; 0 calls refused, 100 set-ups`, out.String(), "calls that stand")
-	assert.Regexp(t, `20: +\d+ KB, \d+ descriptors; 0 calls refused, \d+ set-ups`, out.String(), "calls that wait, most of them at the agent")
+	assert.Regexp(t, `20: +\d+ KB, \d+ descriptors; 0 calls refused, \d+ set-ups`, out.String(), "waiting calls, most of them at the agent")
 	t.Log(out.String())
 }
--- a/internal/lab/chainlab/lists.go
+++ b/internal/lab/chainlab/lists.go
@@ -16,56 +16,60 @@
 	"woodrouter/isup"
 )
 
-// Lists measures how an agent gets on with long lists of setup servers and few descriptors: it
-// keeps a connection to each server that is up, or to a subset where the list does not fit in its
-// part of the descriptors, and callers may have a third of the limit. Where it keeps a subset, calls
-// whose first choice has no connection tell what a dial on demand adds to them.
+// Lists measures how an agent copes with long lists of setup servers and few descriptors. The agent keeps
+// a connection to each server that is up, or to a subset if the list does not fit in its part of the
+// descriptors; callers may use a third of the limit. With a subset, calls whose first choice has no
+// connection show how much latency a dial on demand adds.
 type Lists struct {
 	Bin, Dir      string
 	Servers       []int
 	Sockets       []int
-	Target        int           // servers that the plan has
-	SettleTimeout time.Duration // most that an agent gets for its connections to come up
-	QuietSpan     time.Duration // counted without callers
-	CallTimeout   time.Duration // of a caller
+	Target        int           // number of servers to plan for
+	SettleTimeout time.Duration // maximum time for the agent's connections to come up
+	QuietSpan     time.Duration // measured time without callers
+	CallTimeout   time.Duration // how long a caller waits for its answer
 }
 
-// callerDivisor is what callers may have of the descriptors: one in so many.
+// callerDivisor is the divisor of the descriptor limit that gives the number of callers' connections.
 const callerDivisor = 3
 
-// listResult is what one agent showed.
+// listResult is the result for one list of servers and one descriptor limit.
 type listResult struct {
-	readyAfter                                time.Duration // until a test was passed; 0: never within Settle
-	connected, descriptors                    int           // before callers came
-	cores                                     float64       // cores, then
-	polls                                     int64         // of the bulletin, then
+	// readyAfter is the time until the agent passed a test; 0: not within SettleTimeout.
+	readyAfter time.Duration
+	// Before callers connect: connections to servers, open descriptors, processor cores used, and long polls
+	// of the bulletin.
+	connected, descriptors                    int
+	cores                                     float64
+	polls                                     int64
 	callers, connectedAfter, descriptorsAfter int
-	first, second                             outcomes // each caller's first call, and its next 1 s later
+	first, second                             outcomes // of each caller's first call and, 1 s later, its second
 	rss                                       int64
 	logCounts                                 string
 	demand                                    demandResult
-	standing                                  demandResult // calls that were not released, at more servers than the agent has places for
+	// standing is the result of calls left standing, at more servers than the agent has places for.
+	standing demandResult
 }
 
-// demandResult is what calls whose first choice had no connection showed, and the next call to each of those
-// servers, which had one then.
+// demandResult is the result of calls whose first choice had no connection and, in measureDemand, of the
+// next call to each of those servers, which by then had one.
 type demandResult struct {
-	asked, answeredThere, elsewhere int // answered by the server asked for, by another
-	refused                         int // or not at all
+	asked, answeredThere, elsewhere int // calls; answered by the first choice; by another server
+	refused                         int // calls without an answer
 	dialTimes, connectedTimes       []time.Duration
 }
 
-// maxDemandCalls is how many servers without a connection are asked for.
+// maxDemandCalls is the maximum number of servers without a connection that are called.
 const maxDemandCalls = 20
 
-// outcomes counts what callers were told.
+// outcomes counts calls by their outcome: answered, refused, connection ended, no answer in time.
 type outcomes struct{ answered, refused, ended, unanswered int }
 
 func (o outcomes) String() string {
 	return fmt.Sprintf("%d/%d/%d/%d", o.answered, o.refused, o.ended, o.unanswered)
 }
 
-// Run plays every list with every limit.
+// Run measures every list length with every descriptor limit.
 func (m Lists) Run(ctx context.Context, out io.Writer) error {
 	bed, err := newTestbed(m.Bin, m.Dir)
 	if err != nil {
@@ -176,7 +180,8 @@
 	res.callers = sockets / callerDivisor
 	var each sync.WaitGroup
 	var mu sync.Mutex
-	secondCalls, leave := make(chan struct{}), make(chan struct{}) // closed: the second calls come, callers may go
+	// Closed to start the second calls, and to let the callers leave.
+	secondCalls, leave := make(chan struct{}), make(chan struct{})
 	var firsts, seconds sync.WaitGroup
 	firsts.Add(res.callers)
 	seconds.Add(res.callers)
@@ -192,7 +197,7 @@
 			time.Sleep(turn)
 			caller.countCall(&mu, &res.second)
 			seconds.Done()
-			<-leave // a connection that ends makes room for another's
+			<-leave // stay connected: a closed connection would make room for another
 		})
 	}
 	firsts.Wait()
@@ -214,7 +219,7 @@
 	return res, err
 }
 
-// formatTimes words the median and the longest of some times.
+// formatTimes formats the median and the maximum.
 func formatTimes(all []time.Duration) string {
 	if len(all) == 0 {
 		return "-"
@@ -223,9 +228,9 @@
 	return fmt.Sprintf("%v, %v", all[len(all)/2].Round(time.Microsecond), all[len(all)-1].Round(time.Microsecond))
 }
 
-// measureDemand places two calls, one after the other, to each of some servers to which the agent has no
-// connection. Each is released once it is answered. The agent may take the places of the
-// connections made here again after that.
+// measureDemand places two calls, one after the other, to each of up to maxDemandCalls servers to which
+// the agent has no connection, and releases each call once it is answered. The agent may then reuse the
+// places of the connections made here.
 func (m Lists) measureDemand(ctx context.Context, addr string, servers []*chainServer) (d demandResult, err error) {
 	caller := &singleCaller{addr: addr, timeout: m.CallTimeout}
 	defer caller.close()
@@ -264,16 +269,17 @@
 		}
 	}
 	if d.asked > 0 {
-		time.Sleep(2 * time.Second) // their places may be taken again, and they are idle
+		time.Sleep(2 * time.Second) // the new connections become idle, and the agent may reuse their places
 	}
 	return d, ctx.Err()
 }
 
-// standingDivisor is the part of the descriptors, one in so many, that is the number of calls left standing.
+// standingDivisor is the divisor of the descriptor limit that gives the number of calls left standing.
 const standingDivisor = 4
 
-// measureStanding places a call to each of some servers to which the agent has no connection, and leaves it
-// standing. connected are the answers of other servers than were asked for.
+// measureStanding places a call to each of up to most servers to which the agent has no connection, and
+// leaves it standing. In its result, connectedTimes are the times of answers by other servers than the
+// first choice.
 func (m Lists) measureStanding(ctx context.Context, addr string, servers []*chainServer, most int) (d demandResult) {
 	caller := &singleCaller{addr: addr, timeout: m.CallTimeout}
 	defer caller.close()
@@ -303,14 +309,14 @@
 	return d
 }
 
-// singleCaller is a caller with a connection and one call at a time.
+// singleCaller is a caller with one connection that places one call at a time.
 type singleCaller struct {
 	addr    string
 	timeout time.Duration
 	conn    net.Conn
 	in      *bufio.Reader
-	failed  bool   // nothing can come any more
-	figures string // of its set-ups; "": no first choice
+	failed  bool   // the connection has ended or could not be opened
+	figures string // figures of its set-ups, with a first choice; "": the default, without one
 }
 
 func (c *singleCaller) close() {
@@ -319,7 +325,7 @@
 	}
 }
 
-// countCall places a call and counts what came of it.
+// countCall places a call and counts its outcome.
 func (c *singleCaller) countCall(mu *sync.Mutex, to *outcomes) {
 	_, ending := c.placeCall()
 	mu.Lock()
@@ -341,8 +347,8 @@
 	return (&messageConn{Conn: c.conn}).send(isup.Message{Type: isup.Release, Call: id}.WithCause(isup.Normal))
 }
 
-// placeCall places a call and returns the type of what ended its set-up; 0: nothing did in time, 255: its
-// connection ended, or none was to be had.
+// placeCall places a call and returns the type of the message that ended its set-up: 0 if none came in
+// time, 255 if the connection ended or could not be opened.
 func (c *singleCaller) placeCall() (id isup.CallID, ending isup.Type) {
 	const ended = 255
 	if c.failed {
--- a/internal/lab/chainlab/load.go
+++ b/internal/lab/chainlab/load.go
@@ -17,58 +17,59 @@
 	"woodrouter/isup"
 )
 
-// load is calls that come whether or not the chain keeps up.
+// load is an open loop of calls: they are placed when they are due, whether or not the chain keeps up.
 type load struct {
-	rate         float64       // calls a second, Poisson
-	warmUp       time.Duration // not counted
+	rate         float64       // calls per second, with Poisson arrivals
+	warmUp       time.Duration // not measured
 	span         time.Duration
-	maxCalls     int // most calls; 0: as many as come
+	maxCalls     int // 0: no limit
 	keepStanding bool
 	seed         uint64
 }
 
-// result is what came of a load's calls. Latencies count from the moment at which a call was due,
-// so that a caller or chain that falls behind does not hide its own delay.
+// result is the result of a load. Latencies are measured from the moment at which a call was due, so that
+// a caller or chain that falls behind can't hide its own delay.
 type result struct {
-	asked, answered, refused, lost int // of the counted calls
-	answeredTwice, wrongDepth      int // answers of a call that has one; of a wrong depth
-	sent                           int // calls sent, those of the warm-up too
+	asked, answered, refused, lost int // measured calls, without those of the warm-up
+	answeredTwice, wrongDepth      int // repeated answers to a call; answers of a wrong depth
+	sent                           int // all calls sent, with those of the warm-up
 	latency, lateness              *hdrhistogram.Histogram
 	hops                           *hdrhistogram.Histogram
-	took                           time.Duration // of the counted span
-	work                           work          // of all agents in it
+	took                           time.Duration // duration of the measured span
+	work                           work          // work of all agents in that span
 }
 
-// answerMost is how long the last calls of a load are waited for; left is what calls are told.
+// drainTimeout bounds the wait for the answers to the last calls of a load. timeLeftMs is the time left
+// in every set-up, in milliseconds.
 const (
 	drainTimeout = 3 * time.Second
 	timeLeftMs   = "9000"
 )
 
-// spinTime is how long before a call is due its goroutine stops sleeping and looks at the clock: sleeps
-// end late by some 50 µs.
+// spinTime is how long before a call is due its goroutine stops sleeping and polls the clock: sleeps end
+// about 50 µs late.
 const spinTime = 80 * time.Microsecond
 
-// lastCallID are never used twice in a process: agents remember them.
+// lastCallID numbers the calls. A process never uses an id twice, because agents remember ids.
 var lastCallID atomic.Uint64
 
-// placedCall is one call of the table.
+// placedCall is a call that has been sent.
 type placedCall struct {
 	due, sent time.Time
 	counted   bool
 	over      bool
 }
 
-// callerConn is one connection with its calls.
+// callerConn is a caller's connection with its calls.
 type callerConn struct {
 	conn         *messageConn
 	depth        int
-	keepStanding bool // calls that stand are kept; else each is released at once
+	keepStanding bool // calls are left standing; otherwise each is released once it is answered
 
 	mu      sync.Mutex
 	calls   map[isup.CallID]*placedCall
 	pending int
-	drained chan struct{} // closed when nothing is open, once it is set
+	drained chan struct{} // if not nil: closed when no call is pending
 	result  *result
 	readers sync.WaitGroup
 }
@@ -84,7 +85,7 @@
 	return c, nil
 }
 
-// runLoad has calls come to a chain and tells what came of them.
+// runLoad places a load's calls at a chain and returns the result.
 func (c *chain) runLoad(ctx context.Context, l load) (result, error) {
 	caller, err := dialCallers(c.entryAddr, len(c.servers), l.keepStanding)
 	if err != nil {
@@ -119,9 +120,9 @@
 	return *caller.result, ctx.Err()
 }
 
-// placeCalls sends calls when they are due; count is called as the warm-up ends.
+// placeCalls sends each call when it is due, and calls count when the warm-up ends.
 func (c *callerConn) placeCalls(ctx context.Context, l load, count func()) {
-	runtime.LockOSThread() // sleeps by the system: the runtime's timers are late by up to 1 ms
+	runtime.LockOSThread() // for nanosleep: the runtime's timers are up to 1 ms late
 	defer runtime.UnlockOSThread()
 	rng := rand.New(rand.NewPCG(l.seed, 41))
 	began := time.Now()
@@ -150,7 +151,7 @@
 func sleepUntil(t time.Time) {
 	if d := time.Until(t) - spinTime; d > 0 {
 		ts := syscall.NsecToTimespec(int64(d))
-		syscall.Nanosleep(&ts, nil) // cut short by a signal: the clock is looked at all the same
+		syscall.Nanosleep(&ts, nil) // a signal may end it early: the loop below polls the clock in any case
 	}
 	for time.Until(t) > 0 {
 	}
@@ -169,7 +170,7 @@
 		c.result.lateness.RecordValue(int64(placed.sent.Sub(due)))
 	}
 	c.mu.Unlock()
-	c.conn.send(m) // one that is gone shows in the calls that are lost
+	c.conn.send(m) // on an error the call counts as lost
 }
 
 func (c *callerConn) handle(m isup.Message) {
@@ -214,7 +215,7 @@
 	}
 }
 
-// awaitAnswers waits until every call has its answer, for a while.
+// awaitAnswers waits until every call has ended its set-up, at most for drainTimeout.
 func (c *callerConn) awaitAnswers() {
 	c.mu.Lock()
 	none := make(chan struct{})
@@ -230,7 +231,8 @@
 	}
 }
 
-// check is what no chain may do, at any load.
+// check returns an error if a call was answered twice or at a wrong depth, which may not happen at any
+// load.
 func (r result) check() error {
 	if r.answeredTwice > 0 || r.wrongDepth > 0 {
 		return fmt.Errorf("%d calls: %d answered twice, %d of a wrong depth", r.sent, r.answeredTwice, r.wrongDepth)
--- a/internal/lab/chainlab/memory.go
+++ b/internal/lab/chainlab/memory.go
@@ -11,27 +11,27 @@
 	"woodrouter/isup"
 )
 
-// Memory measures the resident memory of one agent: by calls that stand, by calls that wait for
-// their answer, and by callers' connections that are idle.
+// Memory measures an agent's resident memory as a function of the number of standing calls, of calls that
+// wait for their answer, and of idle connections of callers.
 type Memory struct {
 	Bin, Dir    string
-	Step        int // calls that stand between two looks; a fifth as many of the others
+	Step        int // standing calls added between two samples; for the other kinds a fifth of it
 	Samples     int
-	Repeats     int // each with a fresh agent
+	Repeats     int // repetitions, each with a fresh agent
 	MemoryMB    int
-	CallRate    float64       // at which calls are set up
-	SettleAfter time.Duration // a look comes so long after the last call
+	CallRate    float64       // calls per second while calls are added
+	SettleAfter time.Duration // time from the last call to a sample
 }
 
-// lessStep is how many calls that wait, or connections, there are for each step of calls that
-// stand: one in so many. waitSettle is the time to a look at calls that wait: they end at their
-// deadline, so all looks come before it.
+// smallStepDivisor is the divisor of Memory.Step for waiting calls and for connections.
+// waitingSettleTime is the time from the last call to a sample of waiting calls: they end at their
+// deadline, so all samples must come before it.
 const (
 	smallStepDivisor  = 5
 	waitingSettleTime = 500 * time.Millisecond
 )
 
-// heldKind is something that an agent holds.
+// heldKind is a kind of object that an agent holds in memory.
 type heldKind struct {
 	name        string
 	step        int
@@ -40,7 +40,7 @@
 	add         func(context.Context, *agent, *holdings, int) error
 }
 
-// Run tells of each.
+// Run measures and reports every kind.
 func (m Memory) Run(ctx context.Context, out io.Writer) error {
 	bed, err := newTestbed(m.Bin, m.Dir)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// measure adds step after step of a kind to fresh agents, and fits resident memory to it.
+// measure adds objects of one kind to fresh agents step by step, and fits a line to the resident memory.
 func (m Memory) measure(ctx context.Context, out io.Writer, bed *testbed, k heldKind) error {
 	fmt.Fprintf(out, "\n%s\n", k.name)
 	var x, y []float64
@@ -114,12 +114,12 @@
 	return nil
 }
 
-// holdings is what an agent holds.
+// holdings are the objects that an agent holds.
 type holdings struct {
 	callers *callerConn
 	conns   []net.Conn
-	count   int // now, of the kind
-	refused int // calls that were
+	count   int // current number of objects
+	refused int // number of refused calls
 }
 
 func (h *holdings) close() {
@@ -132,7 +132,7 @@
 	}
 }
 
-// placeCalls has n more calls come to an agent, over one connection.
+// placeCalls places n more calls at an agent, over one connection.
 func (m Memory) placeCalls(ctx context.Context, a *agent, held *holdings, n int) (err error) {
 	if held.callers == nil {
 		if held.callers, err = dialCallers(a.addr, 1, true); err != nil {
@@ -143,7 +143,7 @@
 	return ctx.Err()
 }
 
-// addStanding adds calls that stand.
+// addStanding adds n standing calls.
 func (m Memory) addStanding(ctx context.Context, a *agent, held *holdings, n int) error {
 	if err := m.placeCalls(ctx, a, held, n); err != nil {
 		return err
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// addWaiting adds calls that wait for their answer.
+// addWaiting adds n calls that wait for their answer.
 func (m Memory) addWaiting(ctx context.Context, a *agent, held *holdings, n int) error {
 	if err := m.placeCalls(ctx, a, held, n); err != nil {
 		return err
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// addIdleConnections adds connections of callers that have asked once and say nothing more.
+// addIdleConnections adds n connections of callers that have sent one test and stay idle.
 func addIdleConnections(_ context.Context, a *agent, held *holdings, n int) error {
 	for range n {
 		conn, err := net.DialTimeout("tcp", a.addr, time.Second)
--- a/internal/lab/chainlab/path.go
+++ b/internal/lab/chainlab/path.go
@@ -13,30 +13,30 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Path measures chains at one rate: with agents, with bare relays and without either in turn,
-// several rounds.
+// Path measures the latency of chains at one rate, in several rounds: with agents, with bare relays, and
+// without either, in turn.
 type Path struct {
 	Bin, Dir     string
-	Former       string // an earlier program, played too; "": none
+	Former       string // path of an earlier program to measure as well; "": none
 	Lengths      []int
-	Rate         float64 // calls a second, which is what each agent of the chain takes
+	Rate         float64 // calls per second through the chain, and so at each of its agents
 	Rounds       int
 	WarmUp, Span time.Duration // of each play
 	Seed         uint64
 }
 
-// chainSet is the same chain in several ways, all up.
+// chainSet is a chain of one length in several variants, all running.
 type chainSet struct {
 	n        int
 	variants []variant
 	chains   [variantCount]*chain
 }
 
-// totals is the plays of one way, added up.
+// totals are the summed results of one variant.
 type totals struct {
 	result
-	idleWork work          // while calls went past it,
-	idleSpan time.Duration // for so long
+	idleWork work          // work while only the direct variant had calls
+	idleSpan time.Duration // duration of that time
 }
 
 func newTotals() *totals {
@@ -71,14 +71,14 @@
 	}
 }
 
-// roundResults is what came of one round, by way.
+// roundResults are the results of one round, by variant.
 type roundResults struct {
 	results  [variantCount]result
-	idleWork [variantCount]work // of those that calls went past, while none was in between
+	idleWork [variantCount]work // work while only the direct variant had calls
 	idleSpan time.Duration
 }
 
-// playRound plays each way once, from the turn-th on.
+// playRound runs the load through each variant once, beginning with the variant at index turn.
 func (s *chainSet) playRound(ctx context.Context, l load, turn int) (res roundResults, err error) {
 	for i := range s.variants {
 		v := s.variants[(turn+i)%len(s.variants)]
@@ -108,7 +108,7 @@
 	return res, nil
 }
 
-// addIdleWork adds what has been done so far, so many times, to what was done idle.
+// addIdleWork adds times (1 or -1) the work that each variant has done so far to its idle work.
 func (s *chainSet) addIdleWork(res *roundResults, times int64) error {
 	for _, v := range s.variants {
 		did, err := s.chains[v].totalWork()
@@ -120,23 +120,24 @@
 	return nil
 }
 
-// maxQuietLateness is the callers' own lateness, 99th percentile, up to which a play is quiet: the machine
-// had processors to spare when calls were due. It says nothing of how the calls went.
+// maxQuietLateness is the largest 99th percentile of the callers' own lateness at which a run counts as
+// quiet, which means that the machine had processors to spare when calls were due. It does not depend on
+// how the calls went.
 const maxQuietLateness = 500 * time.Microsecond
 
 func (r result) isQuiet() bool {
 	return time.Duration(r.lateness.ValueAtPercentile(99)) <= maxQuietLateness
 }
 
-// reportedQuantiles that are told, in percent.
+// reportedQuantiles are the reported quantiles, in percent.
 var reportedQuantiles = []float64{50, 99, 99.9}
 
-// chainResults is what came of one chain over all rounds, by way.
+// chainResults are the results of one chain over all rounds, by variant.
 type chainResults struct {
 	*chainSet
 	totals      [variantCount]*totals
-	quietTotals [variantCount]*totals // the same, of quiet plays alone
-	quietPlays  [variantCount]int     // how many those are
+	quietTotals [variantCount]*totals // of quiet runs alone
+	quietPlays  [variantCount]int     // number of quiet runs
 	rounds      []roundResults
 }
 
@@ -154,19 +155,20 @@
 	}
 }
 
-// comparisons are the differences that are told, of those ways that were played.
+// comparisons are the reported differences between two variants; those of variants that were not
+// measured are skipped.
 var comparisons = []struct {
 	name string
 	a, b variant
 }{
 	{"added", withAgents, direct},
 	{"by relays", withRelays, direct},
-	{"ours", withAgents, withRelays}, // what the agents add beyond any process in between
+	{"ours", withAgents, withRelays}, // what agents add beyond what any process in between adds
 	{"ours, former", withFormer, withRelays},
 	{"mended", withAgents, withFormer},
 }
 
-// Run plays the rounds and tells of each chain, and of the lines through all of them.
+// Run measures the rounds and reports on each chain and on the lines fitted through all chains.
 func (m Path) Run(ctx context.Context, out io.Writer) error {
 	bed, err := newTestbed(m.Bin, m.Dir)
 	if err != nil {
@@ -224,7 +226,7 @@
 	return nil
 }
 
-// print tells of one chain.
+// print writes the report on one chain.
 func (m *chainResults) print(out io.Writer) {
 	fmt.Fprintf(out, "\nchain of %d\n", m.n)
 	fmt.Fprintf(out, "  %-16s %6s %6s %5s %5s %8s %8s %8s %8s %8s | callers late p50 %s\n", "", "calls", "answ.", "ref.", "lost", "mean", "p50", "p99", "p99.9", "max", "p99 max")
@@ -284,7 +286,7 @@
 	differ(", hop", 1, func(s *totals) *hdrhistogram.Histogram { return s.hops })
 }
 
-// formatWork words what one of n processes did.
+// formatWork formats the work per call of one of n processes.
 func (s *totals) formatWork(n int) string {
 	calls, seconds, still := float64(max(s.asked, 1)*n), s.took.Seconds()*float64(n), max(s.idleSpan.Seconds(), 1e-9)*float64(n)
 	var b strings.Builder
@@ -314,8 +316,8 @@
 		formatMicros(h.ValueAtPercentile(50)), formatMicros(h.ValueAtPercentile(99)), formatMicros(h.ValueAtPercentile(99.9)), formatMicros(h.Max()))
 }
 
-// printComparison tells what the agents added: the difference of the means and quantiles, over so many
-// hops, and the ratio.
+// printComparison writes the differences of the means and quantiles of a and b, divided by over, and
+// their ratios.
 func printComparison(out io.Writer, name string, a, b *hdrhistogram.Histogram, over float64) {
 	fmt.Fprintf(out, "  %-16s %25s %8.0f", name, "", (a.Mean()-b.Mean())/1e3/over)
 	for _, q := range reportedQuantiles {
@@ -336,7 +338,7 @@
 	return b.String()
 }
 
-// line is a least-squares line, and how far the points lie from it (root mean square).
+// line is a least-squares line a + b x, with the root mean square distance of the points from it.
 type line struct{ a, b, residual float64 }
 
 func fitLine(x, y []float64) line {
@@ -355,11 +357,11 @@
 	return fmt.Sprintf("a %.4g, b %.4g, residual %.3g (%d points)", l.a, l.b, l.residual, len(x))
 }
 
-// Ramp raises the rate of each chain, one after the other, until one of its criteria breaks.
+// Ramp raises the rate of calls through each chain in turn until a criterion fails.
 type Ramp struct {
 	Bin, Dir     string
 	Lengths      []int
-	Base         float64 // calls a second that count as unloaded
+	Base         float64 // rate that counts as unloaded, in calls per second
 	First        float64
 	Factor       float64
 	Steps        int           // most
@@ -367,17 +369,19 @@
 	Seed         uint64
 }
 
-// What breaks a rate.
+// Criteria for the rates that a chain sustains. The callers' lateness has its own, as the machine may be
+// shared.
 const (
-	maxSlowdown     = 5                // times the 99th percentile unloaded
-	maxFailedShare  = 0.001            // of the calls refused or lost
-	maxLateness     = time.Millisecond // the callers' own lateness, 99th percentile,
-	maxLatenessRise = 3                // and times what it is unloaded: the machine is shared
+	maxSlowdown     = 5                // 99th percentile of the latency, as a multiple of the unloaded one
+	maxFailedShare  = 0.001            // share of refused and lost calls
+	maxLateness     = time.Millisecond // 99th percentile of the callers' own lateness, and
+	maxLatenessRise = 3                // as a multiple of the unloaded one: the larger bound applies
 
-	baseSpanFactor = 5 // the unloaded play is so many times as long: its p99 needs the calls
+	// Factor on the span of the unloaded run, whose low rate gives too few calls for its p99 otherwise.
+	baseSpanFactor = 5
 )
 
-// failureReason tells why a rate does not hold against the unloaded one; "": it does.
+// failureReason returns which criterion a run fails in comparison with the unloaded run, or "".
 func failureReason(r, base result) string {
 	late := max(maxLateness, maxLatenessRise*time.Duration(base.lateness.ValueAtPercentile(99)))
 	switch p99 := r.latency.ValueAtPercentile(99); {
@@ -391,7 +395,7 @@
 	return ""
 }
 
-// Run climbs each chain and tells of each step.
+// Run ramps each chain and reports every step.
 func (m Ramp) Run(ctx context.Context, out io.Writer) error {
 	r, err := newTestbed(m.Bin, m.Dir)
 	if err != nil {
@@ -420,7 +424,7 @@
 	var rates, p50s, p99s, cores []float64
 	var base result
 	best := 0.0
-	repeated := false // the step before broke once
+	repeated := false // the current rate has failed once
 	for i := -1; i < m.Steps; i++ {
 		rate, span := m.First*math.Pow(m.Factor, float64(i)), m.Span
 		if i < 0 {
@@ -450,7 +454,7 @@
 			add50, add99, float64(with.ValueAtPercentile(99))/float64(without.ValueAtPercentile(99)), add50/float64(n), add99/float64(n),
 			used/float64(n), used, (labAfter-labBefore).Seconds()/time.Since(began).Seconds(), formatMicros(loaded.lateness.ValueAtPercentile(99)),
 			1e6*(used-idle)/float64(n)/(float64(loaded.asked)/loaded.took.Seconds()), reason)
-		if reason != "" && !repeated { // by chance, it may be: the machine has others on it
+		if reason != "" && !repeated { // other load on the machine may be the cause
 			repeated = true
 			i--
 			continue
--- a/internal/lab/chainlab/peer.go
+++ b/internal/lab/chainlab/peer.go
@@ -16,21 +16,22 @@
 	"woodrouter/isup"
 )
 
-// stateEvery is how often a peer tells the state of its group, as setup servers do; muteEvery how
-// often one that answers nothing does, so that no agent takes its connection for a dead one.
+// stateInterval is the time between a server's reports of its group's state, as of setup servers.
+// muteStateInterval applies to servers that answer no calls, so that no agent takes their connection for
+// a dead one.
 const (
 	stateInterval     = time.Second
 	muteStateInterval = 50 * time.Millisecond
 )
 
-// idleReport is what a peer says of itself: nothing waits and no line is in use, so no agent ever
-// holds a call back for it.
+// idleReport is every server's load report: no calls wait and no line is in use, so agents never hold a
+// call back because of it.
 const idleReport = "x0:1000000;x1:1000000;latency_ms:0"
 
-// setUpFigures go with every set-up that is placed.
+// setUpFigures are the figures in every set-up.
 const setUpFigures = "width:1;via:-1"
 
-// messageConn is a connection that several goroutines write on.
+// messageConn is a connection on which several goroutines can send messages.
 type messageConn struct {
 	net.Conn
 	mu  sync.Mutex
@@ -49,7 +50,7 @@
 	return err
 }
 
-// readAll reads a connection until it ends.
+// readAll reads messages and passes them to hear until the connection ends.
 func (w *messageConn) readAll(hear func(isup.Message)) {
 	for in := bufio.NewReaderSize(w, 4<<10); ; {
 		m, err := isup.Read(in)
@@ -60,29 +61,31 @@
 	}
 }
 
-// chainServer is a setup server without work of its own. The last of a chain answers a set-up at once;
-// each before it places the call through the next one first, and its answer says how deep the
-// call went below it and how long it was there.
+// chainServer is an emulated setup server without work of its own. The last server of a chain answers a
+// set-up at once. Every other server first places the call at the next server, and its answer tells the
+// depth that the call reached and the time that it spent at and below this server.
 type chainServer struct {
 	listener net.Listener
-	next     string // where calls go on; "": they are answered here
-	mute     bool   // set-ups are taken and not answered
+	next     string // address to which calls continue; "": calls are answered here
+	mute     bool   // set-ups are accepted but not answered
 
-	openConns    atomic.Int64 // connections now
+	openConns    atomic.Int64 // number of open connections
 	setUps       atomic.Int64
-	answeredHere atomic.Int64 // set-ups that were answered here
-	duplicates   atomic.Int64 // set-ups of a call that is here already
-	refused      atomic.Int64 // by the next agent
+	answeredHere atomic.Int64 // set-ups answered here, not further down the chain
+	duplicates   atomic.Int64 // set-ups of a call that is already present
+	refused      atomic.Int64 // calls that were refused further down the chain
 
 	mu       sync.Mutex
 	calls    map[isup.CallID]*serverCall
 	conns    map[*messageConn]bool
 	nextConn *messageConn
-	hopTimes *hdrhistogram.Histogram // ns from placing a call to its answer, without the time below; nil: not now
+	// hopTimes holds the nanoseconds from placing a call to its answer, without the time at and below the
+	// next server; nil while nothing is recorded.
+	hopTimes *hdrhistogram.Histogram
 	closed   chan struct{}
 }
 
-// serverCall is a call at a peer, from its set-up to its release.
+// serverCall is a call at a server, from its set-up to its release.
 type serverCall struct {
 	from       *messageConn
 	receivedAt time.Time
@@ -90,7 +93,7 @@
 	answered   bool
 }
 
-// newChainServer listens at addr.
+// newChainServer starts a server that listens at addr.
 func newChainServer(addr, next string, mute bool) (*chainServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -110,7 +113,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a connection that was gone in the queue
+		if err != nil { // the connection ended before it was accepted
 			continue
 		}
 		w := &messageConn{Conn: conn}
@@ -134,7 +137,7 @@
 	return isup.Message{Type: isup.GroupState}.WithText(isup.Report, idleReport)
 }
 
-// reportState says the group's state on every connection, now and then.
+// reportState sends the group's state on every connection at regular intervals.
 func (p *chainServer) reportState() {
 	every := stateInterval
 	if p.mute {
@@ -160,7 +163,8 @@
 	}
 }
 
-// handle handles what the agent before the peer says, or in a chain without agents the peer before it.
+// handle handles a message from the agent or relay before this server, or from the previous server of a
+// direct chain.
 func (p *chainServer) handle(in *messageConn, m isup.Message) {
 	switch m.Type {
 	case isup.SetUp:
@@ -210,19 +214,20 @@
 	}
 }
 
-// setUpMessage words a set-up.
+// setUpMessage returns a set-up.
 func setUpMessage(id isup.CallID, class, left, number, description string) isup.Message {
 	return isup.Message{Type: isup.SetUp, Call: id, Values: []isup.Value{{Code: isup.Class, Data: []byte(class)},
 		{Code: isup.TimeLeft, Data: []byte(left)}, {Code: isup.Number, Data: []byte(number)},
 		{Code: isup.Figures, Data: []byte(setUpFigures)}, {Code: isup.Description, Data: []byte(description)}}}
 }
 
-// answerMessage words an answer: the call went so deep, and was here since came.
+// answerMessage returns an answer that carries the call's depth and the time since the server received it.
 func answerMessage(id isup.CallID, depth int, came time.Time) isup.Message {
 	return isup.Message{Type: isup.Answer, Call: id}.WithText(isup.Description, fmt.Sprintf("%d;%d", depth, time.Since(came)))
 }
 
-// parseAnswer reads how deep a call went, and how long it was below the one hop that told of it.
+// parseAnswer returns the depth that a call reached, and the time that it spent at and below the server
+// that answered.
 func parseAnswer(m isup.Message) (depth int, below time.Duration, err error) {
 	d, ns, ok := strings.Cut(m.Text(isup.Description), ";")
 	n, err := strconv.ParseInt(ns, 10, 64)
@@ -230,12 +235,12 @@
 		depth, err = strconv.Atoi(d)
 	}
 	if err != nil || !ok {
-		return 0, 0, fmt.Errorf("answer of call %v says %q", m.Call, m.Text(isup.Description))
+		return 0, 0, fmt.Errorf("malformed description in the answer to call %v: %q", m.Call, m.Text(isup.Description))
 	}
 	return depth, time.Duration(n), nil
 }
 
-// connectNext is the connection to what comes next, opened by the first call.
+// connectNext returns the connection to the next hop, and opens it at the first call.
 func (p *chainServer) connectNext() (*messageConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,7 +265,7 @@
 	return w, nil
 }
 
-// handleNext handles what comes back of calls that were placed.
+// handleNext handles a message from the next hop.
 func (p *chainServer) handleNext(m isup.Message) {
 	now := time.Now()
 	if m.Type != isup.Answer && m.Type != isup.Release {
@@ -297,7 +302,7 @@
 	in.send(isup.Message{Type: isup.Release, Call: id}.WithCause(isup.TempFailure))
 }
 
-// recordHops begins to note hops, or ends it and returns those noted.
+// recordHops starts or stops recording hop times, and returns those recorded before.
 func (p *chainServer) recordHops(on bool) *hdrhistogram.Histogram {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -322,5 +327,5 @@
 	}
 }
 
-// newHistogram counts nanoseconds, 1 µs to 20 s, to three figures.
+// newHistogram returns a histogram of nanoseconds, from 1 µs to 20 s, with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1e3, 20e9, 3) }
--- a/internal/lab/chainlab/process.go
+++ b/internal/lab/chainlab/process.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// clockTick is the unit of processor time in /proc/PID/stat (USER_HZ, 100 on all of Linux's builds for
-// this architecture).
+// clockTick is the unit of processor time in /proc/PID/stat: USER_HZ is 100 in all Linux builds for this
+// architecture.
 const clockTick = 10 * time.Millisecond
 
-// processorTime is what a process has had of processors, user and system.
+// processorTime returns the processor time that a process has used, user and system together.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:])) // from the state on
+	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:])) // from the process state on
 	if len(fields) < 13 {
 		return 0, fmt.Errorf("/proc/%d/stat: %q", pid, text)
 	}
@@ -36,18 +36,19 @@
 	return time.Duration(sum) * clockTick, nil
 }
 
-// work is what processes have done since their start.
+// work is the work that processes have done since their start.
 type work struct {
-	processor     time.Duration // to the nanosecond, of the threads there are
-	wakeUps       int64         // times that a thread gave its processor up to wait, and came back
-	reads, writes int64         // system calls of these kinds
+	processor     time.Duration // processor time of the existing threads, in nanosecond resolution
+	wakeUps       int64         // voluntary context switches: a thread waited and was woken up
+	reads, writes int64         // system calls that read and write
 }
 
 func (w work) addScaled(v work, times int64) work {
 	return work{w.processor + time.Duration(times)*v.processor, w.wakeUps + times*v.wakeUps, w.reads + times*v.reads, w.writes + times*v.writes}
 }
 
-// readWork reads a process's work. Go ends no thread, so that all threads' together is the process's.
+// readWork returns a process's work as the sum over its threads. That is complete because the Go runtime
+// ends no thread.
 func readWork(pid int) (w work, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
 	if err != nil {
@@ -75,7 +76,7 @@
 	return w, err
 }
 
-// readNumber is the number behind a word at the beginning of a line.
+// readNumber returns the number after the given word at the start of a line.
 func readNumber(path, word string) (int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,20 +90,20 @@
 	return 0, fmt.Errorf("%s has no %s", path, word)
 }
 
-// residentBytes is a process's resident memory in bytes.
+// residentBytes returns a process's resident memory in bytes.
 func residentBytes(pid int) (int64, error) {
 	kb, err := readNumber(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 	return kb << 10, err
 }
 
-// countDescriptors is how many a process has open.
+// countDescriptors returns the number of descriptors that a process has open.
 func countDescriptors(pid int) (int, error) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(list), err
 }
 
-// closeInheritedOnExec has no agent inherit the descriptors that this process was itself started with: an
-// agent's are counted. What Go opens is not inherited.
+// closeInheritedOnExec prevents agents from inheriting the descriptors with which this process was
+// started, because agents' descriptors are counted. Descriptors that Go opens are not inherited anyway.
 func closeInheritedOnExec() error {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/lab/chainlab/relay.go
+++ b/internal/lab/chainlab/relay.go
@@ -10,25 +10,26 @@
 	"woodrouter/isup"
 )
 
-// relay is what any process in between is at the least: it reads a message, finds the connection
-// that it goes on by, and writes it. It chooses nothing, sets no timer and looks after no
-// connection; it ends with its server's.
+// relay does the minimum of any process between caller and server: it reads a message, finds the
+// connection on which it continues, and writes it there. It makes no choices, sets no timers and does not
+// restore connections; it ends when its server's connection does.
 type relay struct {
 	server *messageConn
 
 	mu      sync.Mutex
-	callers map[isup.CallID]*messageConn // by what is open or stands
+	callers map[isup.CallID]*messageConn // connections of pending and standing calls
 }
 
-// Relay passes calls from whoever connects at listen on to the one server, and what the server
-// says of them back, until ctx ends or the server's connection does.
+// Relay passes calls from all connections at listen to one server, and the server's messages back, until
+// ctx or the server's connection ends.
 func Relay(ctx context.Context, listen, server string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
-	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}} // as agents do
+	// The relay dials from its own address, as agents do.
+	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: ln.Addr().(*net.TCPAddr).IP}}
 	conn, err := d.DialContext(ctx, "tcp", server)
 	if err != nil {
 		return err
@@ -57,7 +58,7 @@
 	}
 }
 
-// handleCaller passes a caller's message on.
+// handleCaller passes a caller's message to the server, and answers tests itself.
 func (r *relay) handleCaller(from *messageConn, m isup.Message) {
 	r.mu.Lock()
 	switch m.Type {
@@ -74,8 +75,8 @@
 	r.server.send(m)
 }
 
-// handleServer passes the server's message of a call to its caller. The rest, such as the group's state,
-// is for a call agent.
+// handleServer passes the server's message on a call to the caller. Other messages, such as the group's
+// state, concern call agents only and are dropped.
 func (r *relay) handleServer(m isup.Message) {
 	r.mu.Lock()
 	to := r.callers[m.Call]
--- a/internal/lab/chainlab/rig.go
+++ b/internal/lab/chainlab/rig.go
@@ -1,9 +1,8 @@
-// Package chainlab measures the call path. Chains of real call agents, each a process of the
-// program, lie between emulated setup servers without work of their own: a server that takes a
-// call places the next one through the next agent before it answers. The same chain without
-// agents, by the same code and sockets, is what it is compared with. It also measures an agent's
-// memory, and where its connections to setup servers use up its descriptors. cmd/woodlab and a
-// short test use it. Loopback only.
+// Package chainlab measures the call path on loopback. Chains of call agents, each a process of the
+// program, connect emulated setup servers without work of their own: a server that receives a call places
+// it through the next agent before it answers. The same chain without agents, with the same code and
+// sockets, serves as the reference. The package also measures an agent's memory, and how many connections
+// to setup servers fit in its descriptors. cmd/woodlab and short tests use it.
 package chainlab
 
 import (
@@ -26,8 +25,8 @@
 	"woodrouter/isup"
 )
 
-// Where a run's parts are: agents from this number of its octet on, peers and the bulletin from
-// theirs.
+// Host numbers within a run's block of addresses: agents and relays start after agentsOffset, servers
+// after serversOffset; the bulletin is at bulletinOffset.
 const (
 	agentsOffset   = 0x0100
 	serversOffset  = 0x1000
@@ -36,10 +35,11 @@
 	serverPort     = 5060
 )
 
-// class is the one class of calls.
+// class is the only class of calls.
 const class = "call"
 
-// deployment is what agents are told of: patient calls, nothing cold, nothing scarce.
+// deployment returns the deployment in the agents' settings: calls have long deadlines, and nothing is
+// cold or scarce.
 func deployment() emulator.Deployment {
 	d := emulator.Campus()
 	d.Name, d.Tenants = "chain", nil
@@ -47,16 +47,16 @@
 	return d
 }
 
-// testbed is the addresses of a run and its bulletin, which lists nothing new.
+// testbed holds the addresses of a run and serves the bulletin, which announces no changes.
 type testbed struct {
 	Bin, Dir     string
-	former       string // the program of former agents
+	former       string // path of the earlier program, for withFormer
 	addresses    *faultnet.Octet
-	serverCount  int // addresses taken
+	serverCount  int // servers started so far
 	processCount int
 	bulletin     *http.Server
 	bulletinAddr string
-	polls        atomic.Int64 // that the bulletin has answered
+	polls        atomic.Int64 // long polls that the bulletin has answered
 }
 
 func newTestbed(bin, dir string) (*testbed, error) {
@@ -79,7 +79,7 @@
 	return bed, nil
 }
 
-// ServeHTTP answers a long poll: the one event there is, or after its patience nothing.
+// ServeHTTP answers a long poll without new events once its patience has passed.
 func (t *testbed) ServeHTTP(out http.ResponseWriter, q *http.Request) {
 	patience, _ := strconv.Atoi(q.URL.Query().Get("patience"))
 	select {
@@ -96,12 +96,12 @@
 	t.addresses.Release()
 }
 
-// startServer starts a peer at an address of its own.
+// startServer starts a server at a new address.
 func (t *testbed) startServer(next string) (*chainServer, error) {
 	return newChainServer(t.nextServerAddr(), next, false)
 }
 
-// startMuteServer starts one that takes set-ups and does not answer.
+// startMuteServer starts a server that accepts set-ups and does not answer them.
 func (t *testbed) startMuteServer() (*chainServer, error) {
 	return newChainServer(t.nextServerAddr(), "", true)
 }
@@ -111,20 +111,20 @@
 	return fmt.Sprintf("%s:%d", t.addresses.Host(serversOffset+t.serverCount), serverPort)
 }
 
-// agent is one call agent.
+// agent is the process of a call agent or relay.
 type agent struct {
 	*faultnet.Proc
 	addr string
 }
 
-// limits are an agent's bounds.
+// limits are an agent's resource limits, and the program to run.
 type limits struct {
 	memoryMB, sockets int
-	enforceSockets    bool   // the system holds it to its descriptors, as the platform does
-	bin               string // another program than the rig's
+	enforceSockets    bool   // ulimit enforces the descriptor limit, as on the platform
+	bin               string // program to run in place of the testbed's
 }
 
-// startAgent starts an agent that knows these servers.
+// startAgent starts an agent that knows the given servers.
 func (t *testbed) startAgent(servers []*chainServer, l limits) (*agent, error) {
 	t.processCount++
 	host := t.addresses.Host(agentsOffset + t.processCount)
@@ -147,13 +147,13 @@
 		return nil, err
 	}
 	process.Proc = &faultnet.Proc{Name: name, Bin: cmp.Or(l.bin, t.Bin), Env: append(os.Environ(), "PROXY_CONFIG="+path, "WOODROUTER_SOURCE="+host, "GOMAXPROCS=1")}
-	if l.enforceSockets { // the shell sets its own bound and becomes the agent
+	if l.enforceSockets { // the shell sets its own limit and then executes the agent
 		process.Proc.Bin, process.Proc.Args = "/bin/sh", []string{"-c", `ulimit -n "$0" && exec "$1"`, strconv.Itoa(l.sockets), process.Proc.Bin}
 	}
 	return process, process.Proc.Start()
 }
 
-// startRelay starts a Relay, which cmd/woodlab and this package's tests are when asked for it.
+// startRelay starts Relay in another process of the current executable, cmd/woodlab or the test binary.
 func (t *testbed) startRelay(server *chainServer) (*agent, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -166,10 +166,10 @@
 	return process, process.Proc.Start()
 }
 
-// readyTimeout bounds an agent's start on a busy machine.
+// readyTimeout bounds an agent's start; a busy machine takes long.
 const readyTimeout = 30 * time.Second
 
-// awaitReady waits until an agent passes a test, as the platform's front asks.
+// awaitReady waits until an agent passes a test like those of the platform's front.
 func (a *agent) awaitReady(ctx context.Context, most time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -180,7 +180,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s takes no calls (last: %w)", a.Name, err)
+			return fmt.Errorf("%s is not ready for calls (last: %w)", a.Name, err)
 		case <-a.Done():
 			return fmt.Errorf("%s has ended: %s", a.Name, a.Log())
 		case <-time.After(20 * time.Millisecond):
@@ -211,31 +211,31 @@
 	return nil
 }
 
-// variant is what lies before each peer of a chain.
+// variant is the kind of process before each server of a chain.
 type variant int
 
-// The ways. What relays add is what any process in between adds on this machine.
+// The variants. Relays show what any process in between adds on this machine.
 const (
 	withAgents variant = iota
-	withFormer         // agents of another program, an earlier one
+	withFormer         // agents of an earlier program
 	withRelays
-	direct // nothing
+	direct // no process in between
 	variantCount
 )
 
 func (v variant) String() string { return [...]string{"with agents", "former", "relays", "direct"}[v] }
 
-// chain is peers in a row, with a process before each or none.
+// chain is a row of servers, with a process before each of them or none.
 type chain struct {
-	servers   []*chainServer // the first is met first
-	processes []*agent       // or relays
-	entryAddr string         // where callers connect
+	servers   []*chainServer // in the order in which a call reaches them
+	processes []*agent       // agents or relays, the last of the chain first
+	entryAddr string         // address to which callers connect
 }
 
-// startChain starts one of n hops.
+// startChain starts a chain of n servers.
 func (t *testbed) startChain(ctx context.Context, n int, v variant) (*chain, error) {
 	row := &chain{servers: make([]*chainServer, n)}
-	for k := n - 1; k >= 0; k-- { // the last first: each must know the next
+	for k := n - 1; k >= 0; k-- { // the last first: each server needs the address of the next hop
 		server, err := t.startServer(row.entryAddr)
 		if err != nil {
 			row.close()
@@ -279,7 +279,7 @@
 	}
 }
 
-// totalWork is what the chain's agents or relays have done, together.
+// totalWork returns the work that all of the chain's agents or relays have done.
 func (c *chain) totalWork() (sum work, err error) {
 	for _, a := range c.processes {
 		w, err := readWork(a.PID())
