--- a/internal/lab/chainlab/lists.go
+++ b/internal/lab/chainlab/lists.go
@@ -30,7 +30,7 @@
 	CallTimeout   time.Duration // how long a caller waits for its answer
 }
 
-// callerDivisor is the divisor of the descriptor limit that gives the number of callers' connections.
+// callerDivisor divides the descriptor limit: the quotient is the number of callers' connections.
 const callerDivisor = 3
 
 // listResult is the result for one list of servers and one descriptor limit.
@@ -54,7 +54,7 @@
 // demandResult is the result of calls whose first choice had no connection and, in measureDemand, of the
 // next call to each of those servers, which by then had one.
 type demandResult struct {
-	asked, answeredThere, elsewhere int // calls; answered by the first choice; by another server
+	asked, answeredThere, elsewhere int // all calls, and those answered by the first choice and by other servers
 	refused                         int // calls without an answer
 	dialTimes, connectedTimes       []time.Duration
 }
@@ -274,7 +274,7 @@
 	return d, ctx.Err()
 }
 
-// standingDivisor is the divisor of the descriptor limit that gives the number of calls left standing.
+// standingDivisor divides the descriptor limit: the quotient is the number of calls left standing.
 const standingDivisor = 4
 
 // measureStanding places a call to each of up to most servers to which the agent has no connection, and
--- a/internal/lab/chainlab/load.go
+++ b/internal/lab/chainlab/load.go
@@ -17,7 +17,7 @@
 	"woodrouter/isup"
 )
 
-// load is an open loop of calls: they are placed when they are due, whether or not the chain keeps up.
+// load is an open-loop load: calls are placed when they are due, whether or not the chain keeps up.
 type load struct {
 	rate         float64       // calls per second, with Poisson arrivals
 	warmUp       time.Duration // not measured
@@ -31,7 +31,7 @@
 // a caller or chain that falls behind can't hide its own delay.
 type result struct {
 	asked, answered, refused, lost int // measured calls, without those of the warm-up
-	answeredTwice, wrongDepth      int // repeated answers to a call; answers of a wrong depth
+	answeredTwice, wrongDepth      int // repeated answers to a call; answers with a wrong depth
 	sent                           int // all calls sent, with those of the warm-up
 	latency, lateness              *hdrhistogram.Histogram
 	hops                           *hdrhistogram.Histogram
--- a/internal/lab/chainlab/memory.go
+++ b/internal/lab/chainlab/memory.go
@@ -15,7 +15,7 @@
 // wait for their answer, and of idle connections of callers.
 type Memory struct {
 	Bin, Dir    string
-	Step        int // standing calls added between two samples; for the other kinds a fifth of it
+	Step        int // standing calls added between samples; a fifth as many of the other kinds
 	Samples     int
 	Repeats     int // repetitions, each with a fresh agent
 	MemoryMB    int
@@ -23,7 +23,7 @@
 	SettleAfter time.Duration // time from the last call to a sample
 }
 
-// smallStepDivisor is the divisor of Memory.Step for waiting calls and for connections.
+// smallStepDivisor divides Memory.Step: the quotient is the step for waiting calls and for connections.
 // waitingSettleTime is the time from the last call to a sample of waiting calls: they end at their
 // deadline, so all samples must come before it.
 const (
--- a/internal/lab/chainlab/path.go
+++ b/internal/lab/chainlab/path.go
@@ -21,7 +21,7 @@
 	Lengths      []int
 	Rate         float64 // calls per second through the chain, and so at each of its agents
 	Rounds       int
-	WarmUp, Span time.Duration // of each play
+	WarmUp, Span time.Duration // of each run
 	Seed         uint64
 }
 
@@ -364,18 +364,18 @@
 	Base         float64 // rate that counts as unloaded, in calls per second
 	First        float64
 	Factor       float64
-	Steps        int           // most
-	WarmUp, Span time.Duration // of each play
+	Steps        int           // maximum number of rates
+	WarmUp, Span time.Duration // of each run
 	Seed         uint64
 }
 
-// Criteria for the rates that a chain sustains. The callers' lateness has its own, as the machine may be
-// shared.
+// Criteria that end a ramp. Late callers end it because the machine may be shared: the results would then
+// not show what the chain can do.
 const (
 	maxSlowdown     = 5                // 99th percentile of the latency, as a multiple of the unloaded one
 	maxFailedShare  = 0.001            // share of refused and lost calls
-	maxLateness     = time.Millisecond // 99th percentile of the callers' own lateness, and
-	maxLatenessRise = 3                // as a multiple of the unloaded one: the larger bound applies
+	maxLateness     = time.Millisecond // 99th percentile of the callers' own lateness
+	maxLatenessRise = 3                // the same, as a multiple of the unloaded one; the larger bound applies
 
 	// Factor on the span of the unloaded run, whose low rate gives too few calls for its p99 otherwise.
 	baseSpanFactor = 5
