--- a/internal/lab/chainlab/chain_test.go
+++ b/internal/lab/chainlab/chain_test.go
@@ -58,20 +58,20 @@
 				}
 				assert.Equal(t, last, server.answeredHere.Load(), "answered by server %d itself", k)
 			}
-			for _, a := range c.processes {
-				spent, err := processorTime(a.PID())
+			for _, process := range c.processes {
+				spent, err := processorTime(process.PID())
 				assert.NoError(t, err)
-				did, err := readWork(a.PID())
+				did, err := readWork(process.PID())
 				assert.NoError(t, err)
 				assert.InDelta(t, spent.Seconds(), did.processor.Seconds(), 0.1, "processor time from stat and from schedstat")
 				assert.True(t, did.writes >= 2*calls && did.reads > 0 && did.wakeUps > 0, "%+v: a set-up and an answer are written for each call", did)
-				rss, err := residentBytes(a.PID())
+				rss, err := residentBytes(process.PID())
 				assert.NoError(t, err)
-				fds, err := countDescriptors(a.PID())
+				fds, err := countDescriptors(process.PID())
 				assert.NoError(t, err)
 				assert.True(t, spent >= 0 && rss > 1<<20 && fds > 3, "%v, %d bytes, %d descriptors", spent, rss, fds)
 				if t.Failed() {
-					t.Log(a.Log())
+					t.Log(process.Log())
 				}
 			}
 		})
@@ -90,10 +90,10 @@
 	defer bed.close()
 	var servers []*chainServer
 	for range 100 {
-		p, err := bed.startServer("")
+		server, err := bed.startServer("")
 		require.NoError(t, err)
-		defer p.close()
-		servers = append(servers, p)
+		defer server.close()
+		servers = append(servers, server)
 	}
 	m := Lists{SettleTimeout: 10 * time.Second, QuietSpan: 100 * time.Millisecond, CallTimeout: 5 * time.Second}
 	few, err := m.run(ctx, bed, servers[:8], 64)
--- a/internal/lab/chainlab/lists.go
+++ b/internal/lab/chainlab/lists.go
@@ -76,12 +76,12 @@
 		return err
 	}
 	defer bed.close()
-	most := 0
+	longest := 0
 	for _, n := range m.Servers {
-		most = max(most, n)
+		longest = max(longest, n)
 	}
 	var servers []*chainServer
-	for range most {
+	for range longest {
 		server, err := bed.startServer("")
 		if err != nil {
 			return err
@@ -94,7 +94,7 @@
 		"ready", "held", "fds", "cores", "polls", "callers", "held", "fds", "first call", "second call", "MB")
 	for _, sockets := range m.Sockets {
 		var x, y []float64
-		base := 0
+		otherDescriptors := 0
 		for _, n := range m.Servers {
 			res, err := m.run(ctx, bed, servers[:n], sockets)
 			if err != nil {
@@ -114,14 +114,14 @@
 					"", "", standing.asked, standing.answeredThere, standing.elsewhere, standing.refused, formatTimes(standing.dialTimes), formatTimes(standing.connectedTimes))
 			}
 			if res.connected == n {
-				base = res.descriptors - res.connected
+				otherDescriptors = res.descriptors - res.connected
 				x, y = append(x, float64(n)), append(y, float64(res.rss))
 			}
 		}
-		if base > 0 {
-			edge := sockets - sockets/callerDivisor - base
+		if otherDescriptors > 0 {
+			maxServers := sockets - sockets/callerDivisor - otherDescriptors
 			fmt.Fprintf(out, "  %7d: %d descriptors beside servers and callers: by count a third for callers fits up to %d servers, %.0f%% of %d\n",
-				sockets, base, edge, 100*min(float64(edge)/float64(m.Target), 1), m.Target)
+				sockets, otherDescriptors, maxServers, 100*min(float64(maxServers)/float64(m.Target), 1), m.Target)
 		}
 		if len(x) > 1 {
 			fmt.Fprintf(out, "  %7d: bytes = a + b × servers, with its callers, where all are held: %s\n", sockets, formatFit(x, y))
@@ -178,15 +178,15 @@
 		return res, err
 	}
 	res.callers = sockets / callerDivisor
-	var each sync.WaitGroup
+	var callers sync.WaitGroup
 	var mu sync.Mutex
 	// Closed to start the second calls, and to let the callers leave.
-	secondCalls, leave := make(chan struct{}), make(chan struct{})
+	secondCalls, leaveNow := make(chan struct{}), make(chan struct{})
 	var firsts, seconds sync.WaitGroup
 	firsts.Add(res.callers)
 	seconds.Add(res.callers)
 	for i := range res.callers {
-		each.Go(func() {
+		callers.Go(func() {
 			turn := time.Second * time.Duration(i) / time.Duration(res.callers)
 			time.Sleep(turn)
 			caller := &singleCaller{addr: process.addr, timeout: m.CallTimeout}
@@ -197,7 +197,7 @@
 			time.Sleep(turn)
 			caller.countCall(&mu, &res.second)
 			seconds.Done()
-			<-leave // stay connected: a closed connection would make room for another
+			<-leaveNow // stay connected: a closed connection would make room for another
 		})
 	}
 	firsts.Wait()
@@ -211,8 +211,8 @@
 	if res.demand.asked > 0 {
 		res.standing = m.measureStanding(ctx, process.addr, servers, sockets/standingDivisor)
 	}
-	close(leave)
-	each.Wait()
+	close(leaveNow)
+	callers.Wait()
 	for _, line := range []string{"setup server not reached", "accept failed", "caller turned away", "ended for a new one", "bulletin"} {
 		res.logCounts += fmt.Sprint(" ", strings.Count(process.Log(), line))
 	}
@@ -277,14 +277,14 @@
 // standingDivisor divides the descriptor limit: the quotient is the number of calls left standing.
 const standingDivisor = 4
 
-// measureStanding places a call to each of up to most servers to which the agent has no connection, and
+// measureStanding places a call to each of up to limit servers to which the agent has no connection, and
 // leaves it standing. In its result, connectedTimes are the times of answers by other servers than the
 // first choice.
-func (m Lists) measureStanding(ctx context.Context, addr string, servers []*chainServer, most int) (d demandResult) {
+func (m Lists) measureStanding(ctx context.Context, addr string, servers []*chainServer, limit int) (d demandResult) {
 	caller := &singleCaller{addr: addr, timeout: m.CallTimeout}
 	defer caller.close()
 	for i, server := range servers {
-		if d.asked == most || ctx.Err() != nil {
+		if d.asked == limit || ctx.Err() != nil {
 			break
 		}
 		if server.openConns.Load() > 0 {
@@ -364,12 +364,12 @@
 	}
 	id = isup.CallID(lastCallID.Add(1))
 	c.conn.SetDeadline(time.Now().Add(c.timeout))
-	w := &messageConn{Conn: c.conn}
+	mc := &messageConn{Conn: c.conn}
 	m := setUpMessage(id, class, timeLeftMs, id.String(), "offer")
 	if c.figures != "" {
 		m.Values[3].Data = []byte(c.figures)
 	}
-	if err := w.send(m); err != nil {
+	if err := mc.send(m); err != nil {
 		c.failed = true
 		return id, ended
 	}
--- a/internal/lab/chainlab/load.go
+++ b/internal/lab/chainlab/load.go
@@ -74,12 +74,12 @@
 	readers sync.WaitGroup
 }
 
-func dialCallers(addr string, depth int, keep bool) (*callerConn, error) {
+func dialCallers(addr string, depth int, keepStanding bool) (*callerConn, error) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	c := &callerConn{conn: &messageConn{Conn: conn}, depth: depth, keepStanding: keep, calls: map[isup.CallID]*placedCall{},
+	c := &callerConn{conn: &messageConn{Conn: conn}, depth: depth, keepStanding: keepStanding, calls: map[isup.CallID]*placedCall{},
 		result: &result{latency: newHistogram(), lateness: newHistogram(), hops: newHistogram()}}
 	c.readers.Go(func() { c.conn.readAll(c.handle) })
 	return c, nil
@@ -94,8 +94,8 @@
 	defer func() { caller.conn.Close(); caller.readers.Wait() }()
 	var before work
 	count := func() {
-		for _, p := range c.servers {
-			p.recordHops(true)
+		for _, server := range c.servers {
+			server.recordHops(true)
 		}
 		before, err = c.totalWork()
 	}
@@ -110,8 +110,8 @@
 	caller.awaitAnswers()
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
-	for _, p := range c.servers {
-		if h := p.recordHops(false); h != nil {
+	for _, server := range c.servers {
+		if h := server.recordHops(false); h != nil {
 			caller.result.hops.Merge(h)
 		}
 	}
--- a/internal/lab/chainlab/memory.go
+++ b/internal/lab/chainlab/memory.go
@@ -49,12 +49,12 @@
 	defer bed.close()
 	fmt.Fprintf(out, "resident memory (VmRSS) of one agent, limit %d MB; the system's own memory of sockets is not in it\n", m.MemoryMB)
 	answering := func() (*chainServer, error) { return bed.startServer("") }
-	for _, k := range []heldKind{
+	for _, kind := range []heldKind{
 		{"calls that stand", m.Step, m.SettleAfter, answering, m.addStanding},
 		{"calls that wait for their answer", m.Step / smallStepDivisor, min(m.SettleAfter, waitingSettleTime), bed.startMuteServer, m.addWaiting},
 		{"idle connections of callers", m.Step / smallStepDivisor, m.SettleAfter, answering, addIdleConnections},
 	} {
-		if err := m.measure(ctx, out, bed, k); err != nil {
+		if err := m.measure(ctx, out, bed, kind); err != nil {
 			return err
 		}
 	}
@@ -62,12 +62,12 @@
 }
 
 // measure adds objects of one kind to fresh agents step by step, and fits a line to the resident memory.
-func (m Memory) measure(ctx context.Context, out io.Writer, bed *testbed, k heldKind) error {
-	fmt.Fprintf(out, "\n%s\n", k.name)
+func (m Memory) measure(ctx context.Context, out io.Writer, bed *testbed, kind heldKind) error {
+	fmt.Fprintf(out, "\n%s\n", kind.name)
 	var x, y []float64
 	for range m.Repeats {
 		err := func() error {
-			server, err := k.startServer()
+			server, err := kind.startServer()
 			if err != nil {
 				return err
 			}
@@ -82,16 +82,16 @@
 			}
 			held := &holdings{}
 			defer held.close()
-			for look := range m.Samples {
-				if look > 0 {
-					if err := k.add(ctx, process, held, k.step); err != nil {
+			for sample := range m.Samples {
+				if sample > 0 {
+					if err := kind.add(ctx, process, held, kind.step); err != nil {
 						return err
 					}
 				}
 				select {
 				case <-ctx.Done():
 					return ctx.Err()
-				case <-time.After(k.settle):
+				case <-time.After(kind.settle):
 				}
 				rss, err := residentBytes(process.PID())
 				if err != nil {
@@ -110,7 +110,7 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "  bytes = a + b × %s: %s\n", k.name, formatFit(x, y))
+	fmt.Fprintf(out, "  bytes = a + b × %s: %s\n", kind.name, formatFit(x, y))
 	return nil
 }
 
@@ -175,8 +175,8 @@
 		}
 		held.conns = append(held.conns, conn)
 		held.count = len(held.conns)
-		w := &messageConn{Conn: conn}
-		if err := w.send(isup.Message{Type: isup.Test, Call: 1}.WithCause(isup.NotPassed)); err != nil {
+		mc := &messageConn{Conn: conn}
+		if err := mc.send(isup.Message{Type: isup.Test, Call: 1}.WithCause(isup.NotPassed)); err != nil {
 			return err
 		}
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/lab/chainlab/path.go
+++ b/internal/lab/chainlab/path.go
@@ -78,8 +78,8 @@
 	idleSpan time.Duration
 }
 
-// playRound runs the load through each variant once, beginning with the variant at index turn.
-func (s *chainSet) playRound(ctx context.Context, l load, turn int) (res roundResults, err error) {
+// runRound runs the load through each variant once, beginning with the variant at index turn.
+func (s *chainSet) runRound(ctx context.Context, l load, turn int) (res roundResults, err error) {
 	for i := range s.variants {
 		v := s.variants[(turn+i)%len(s.variants)]
 		if v != direct {
@@ -137,7 +137,7 @@
 	*chainSet
 	totals      [variantCount]*totals
 	quietTotals [variantCount]*totals // of quiet runs alone
-	quietPlays  [variantCount]int     // number of quiet runs
+	quietRuns   [variantCount]int     // number of quiet runs
 	rounds      []roundResults
 }
 
@@ -150,7 +150,7 @@
 		m.totals[v].idleSpan += res.idleSpan
 		if r.isQuiet() {
 			m.quietTotals[v].add(r)
-			m.quietPlays[v]++
+			m.quietRuns[v]++
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	fmt.Fprintln(out, "latencies in µs from the moment a call was due; a hop: from placing a call to its answer, without the time below; added: agents less direct; by relays: relays less direct; ours: agents less relays")
 	for i := range m.Rounds {
 		for _, c := range all {
-			res, err := c.playRound(ctx, load{rate: m.Rate, warmUp: m.WarmUp, span: m.Span, seed: m.Seed + uint64(i)}, i)
+			res, err := c.runRound(ctx, load{rate: m.Rate, warmUp: m.WarmUp, span: m.Span, seed: m.Seed + uint64(i)}, i)
 			if err != nil {
 				return err
 			}
@@ -208,7 +208,7 @@
 	var lengths []float64
 	added := map[string][]float64{}
 	for _, c := range all {
-		c.print(out)
+		c.writeReport(out)
 		with, without := c.totals[withAgents].latency, c.totals[direct].latency
 		for _, q := range reportedQuantiles[:2] {
 			name := fmt.Sprintf("p%g", q)
@@ -226,19 +226,19 @@
 	return nil
 }
 
-// print writes the report on one chain.
-func (m *chainResults) print(out io.Writer) {
+// writeReport writes the report on one chain.
+func (m *chainResults) writeReport(out io.Writer) {
 	fmt.Fprintf(out, "\nchain of %d\n", m.n)
 	fmt.Fprintf(out, "  %-16s %6s %6s %5s %5s %8s %8s %8s %8s %8s | callers late p50 %s\n", "", "calls", "answ.", "ref.", "lost", "mean", "p50", "p99", "p99.9", "max", "p99 max")
 	m.printTotals(out, m.totals)
 	quiet := true
 	for _, v := range m.variants {
-		quiet = quiet && m.quietPlays[v] > 0
+		quiet = quiet && m.quietRuns[v] > 0
 	}
 	if quiet {
 		fmt.Fprint(out, "  quiet plays:")
 		for _, v := range m.variants {
-			fmt.Fprintf(out, " %d of %d %v;", m.quietPlays[v], len(m.rounds), v)
+			fmt.Fprintf(out, " %d of %d %v;", m.quietRuns[v], len(m.rounds), v)
 		}
 		fmt.Fprintln(out)
 		m.printTotals(out, m.quietTotals)
@@ -264,42 +264,42 @@
 	}
 }
 
-func (m *chainResults) printTotals(out io.Writer, sides [variantCount]*totals) {
+func (m *chainResults) printTotals(out io.Writer, byVariant [variantCount]*totals) {
 	for _, v := range m.variants {
-		printRow(out, v.String(), sides[v])
+		printRow(out, v.String(), byVariant[v])
 	}
-	differ := func(of string, n float64, h func(*totals) *hdrhistogram.Histogram) {
+	printDifferences := func(of string, n float64, h func(*totals) *hdrhistogram.Histogram) {
 		for _, comparison := range comparisons {
-			if sides[comparison.a] != nil && sides[comparison.b] != nil {
-				printComparison(out, comparison.name+of, h(sides[comparison.a]), h(sides[comparison.b]), n)
+			if byVariant[comparison.a] != nil && byVariant[comparison.b] != nil {
+				printComparison(out, comparison.name+of, h(byVariant[comparison.a]), h(byVariant[comparison.b]), n)
 			}
 		}
 	}
 	latencies := func(s *totals) *hdrhistogram.Histogram { return s.latency }
-	differ("", 1, latencies)
+	printDifferences("", 1, latencies)
 	if m.n > 1 {
-		differ(" / hop", float64(m.n), latencies)
+		printDifferences(" / hop", float64(m.n), latencies)
 	}
 	for _, v := range m.variants {
-		printHopRow(out, "hop, "+v.String(), sides[v].hops)
+		printHopRow(out, "hop, "+v.String(), byVariant[v].hops)
 	}
-	differ(", hop", 1, func(s *totals) *hdrhistogram.Histogram { return s.hops })
+	printDifferences(", hop", 1, func(s *totals) *hdrhistogram.Histogram { return s.hops })
 }
 
 // formatWork formats the work per call of one of n processes.
 func (s *totals) formatWork(n int) string {
-	calls, seconds, still := float64(max(s.asked, 1)*n), s.took.Seconds()*float64(n), max(s.idleSpan.Seconds(), 1e-9)*float64(n)
+	calls, seconds, idleSeconds := float64(max(s.asked, 1)*n), s.took.Seconds()*float64(n), max(s.idleSpan.Seconds(), 1e-9)*float64(n)
 	var b strings.Builder
 	for _, f := range []struct {
 		name        string
-		whole, idle float64
+		total, idle float64
 	}{
-		{"µs", s.work.processor.Seconds() * 1e6, s.idleWork.processor.Seconds() * 1e6 / still},
-		{"wake-ups", float64(s.work.wakeUps), float64(s.idleWork.wakeUps) / still},
-		{"reads", float64(s.work.reads), float64(s.idleWork.reads) / still},
-		{"writes", float64(s.work.writes), float64(s.idleWork.writes) / still},
+		{"µs", s.work.processor.Seconds() * 1e6, s.idleWork.processor.Seconds() * 1e6 / idleSeconds},
+		{"wake-ups", float64(s.work.wakeUps), float64(s.idleWork.wakeUps) / idleSeconds},
+		{"reads", float64(s.work.reads), float64(s.idleWork.reads) / idleSeconds},
+		{"writes", float64(s.work.writes), float64(s.idleWork.writes) / idleSeconds},
 	} {
-		fmt.Fprintf(&b, "%s %.1f, %.1f (%.1f idle); ", f.name, f.whole/calls, (f.whole-f.idle*seconds)/calls, f.idle)
+		fmt.Fprintf(&b, "%s %.1f, %.1f (%.1f idle); ", f.name, f.total/calls, (f.total-f.idle*seconds)/calls, f.idle)
 	}
 	return strings.TrimSuffix(b.String(), "; ")
 }
@@ -436,7 +436,7 @@
 		if (i%2 == 0) != repeated {
 			turn = 1
 		}
-		round, err := chains.playRound(ctx, load{rate: rate, warmUp: m.WarmUp, span: span, seed: m.Seed + uint64(i+1)}, turn)
+		round, err := chains.runRound(ctx, load{rate: rate, warmUp: m.WarmUp, span: span, seed: m.Seed + uint64(i+1)}, turn)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/chainlab/relay.go
+++ b/internal/lab/chainlab/relay.go
@@ -50,10 +50,10 @@
 		if err != nil {
 			continue
 		}
-		w := &messageConn{Conn: conn}
+		mc := &messageConn{Conn: conn}
 		go func() {
-			w.readAll(func(m isup.Message) { r.handleCaller(w, m) })
-			w.Close()
+			mc.readAll(func(m isup.Message) { r.handleCaller(mc, m) })
+			mc.Close()
 		}()
 	}
 }
--- a/internal/lab/chainlab/server.go
+++ b/internal/lab/chainlab/server.go
@@ -38,26 +38,26 @@
 	buf []byte
 }
 
-func (w *messageConn) send(m isup.Message) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	b, err := m.Append(w.buf[:0])
+func (c *messageConn) send(m isup.Message) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b, err := m.Append(c.buf[:0])
 	if err != nil {
 		return err
 	}
-	w.buf = b
-	_, err = w.Write(b)
+	c.buf = b
+	_, err = c.Write(b)
 	return err
 }
 
-// readAll reads messages and passes them to hear until the connection ends.
-func (w *messageConn) readAll(hear func(isup.Message)) {
-	for in := bufio.NewReaderSize(w, 4<<10); ; {
+// readAll reads messages and passes them to handle until the connection ends.
+func (c *messageConn) readAll(handle func(isup.Message)) {
+	for in := bufio.NewReaderSize(c, 4<<10); ; {
 		m, err := isup.Read(in)
 		if err != nil {
 			return
 		}
-		hear(m)
+		handle(m)
 	}
 }
 
@@ -105,30 +105,30 @@
 	return server, nil
 }
 
-func (p *chainServer) addr() string { return p.listener.Addr().String() }
+func (s *chainServer) addr() string { return s.listener.Addr().String() }
 
-func (p *chainServer) accept() {
+func (s *chainServer) accept() {
 	for {
-		conn, err := p.listener.Accept()
+		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // the connection ended before it was accepted
 			continue
 		}
-		w := &messageConn{Conn: conn}
-		p.mu.Lock()
-		p.conns[w] = true
-		p.mu.Unlock()
-		p.openConns.Add(1)
-		w.send(stateMessage())
+		mc := &messageConn{Conn: conn}
+		s.mu.Lock()
+		s.conns[mc] = true
+		s.mu.Unlock()
+		s.openConns.Add(1)
+		mc.send(stateMessage())
 		go func() {
-			w.readAll(func(m isup.Message) { p.handle(w, m) })
-			w.Close()
-			p.mu.Lock()
-			delete(p.conns, w)
-			p.mu.Unlock()
-			p.openConns.Add(-1)
+			mc.readAll(func(m isup.Message) { s.handle(mc, m) })
+			mc.Close()
+			s.mu.Lock()
+			delete(s.conns, mc)
+			s.mu.Unlock()
+			s.openConns.Add(-1)
 		}()
 	}
 }
@@ -138,44 +138,44 @@
 }
 
 // reportState sends the group's state on every connection at regular intervals.
-func (p *chainServer) reportState() {
+func (s *chainServer) reportState() {
 	every := stateInterval
-	if p.mute {
+	if s.mute {
 		every = muteStateInterval
 	}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
 		select {
-		case <-p.closed:
+		case <-s.closed:
 			return
 		case <-tick.C:
 		}
-		p.mu.Lock()
+		s.mu.Lock()
 		var to []*messageConn
-		for w := range p.conns {
-			to = append(to, w)
+		for mc := range s.conns {
+			to = append(to, mc)
 		}
-		p.mu.Unlock()
-		for _, w := range to {
-			w.send(stateMessage())
+		s.mu.Unlock()
+		for _, mc := range to {
+			mc.send(stateMessage())
 		}
 	}
 }
 
 // handle handles a message from the agent or relay before this server, or from the previous server of a
 // direct chain.
-func (p *chainServer) handle(in *messageConn, m isup.Message) {
+func (s *chainServer) handle(in *messageConn, m isup.Message) {
 	switch m.Type {
 	case isup.SetUp:
-		p.setUp(in, m)
+		s.setUp(in, m)
 	case isup.Release:
 		in.send(isup.Message{Type: isup.Released, Call: m.Call})
-		p.mu.Lock()
-		call := p.calls[m.Call]
-		delete(p.calls, m.Call)
-		out := p.nextConn
-		p.mu.Unlock()
+		s.mu.Lock()
+		call := s.calls[m.Call]
+		delete(s.calls, m.Call)
+		out := s.nextConn
+		s.mu.Unlock()
 		if call != nil && out != nil {
 			out.send(isup.Message{Type: isup.Release, Call: m.Call}.WithCause(isup.Normal))
 		}
@@ -184,33 +184,33 @@
 	}
 }
 
-func (p *chainServer) setUp(in *messageConn, m isup.Message) {
+func (s *chainServer) setUp(in *messageConn, m isup.Message) {
 	call := &serverCall{from: in, receivedAt: time.Now()}
-	p.setUps.Add(1)
-	p.mu.Lock()
-	if p.calls[m.Call] != nil {
-		p.duplicates.Add(1)
+	s.setUps.Add(1)
+	s.mu.Lock()
+	if s.calls[m.Call] != nil {
+		s.duplicates.Add(1)
 	}
-	p.calls[m.Call] = call
-	call.answered = p.next == ""
-	p.mu.Unlock()
-	if p.mute {
+	s.calls[m.Call] = call
+	call.answered = s.next == ""
+	s.mu.Unlock()
+	if s.mute {
 		return
 	}
-	if p.next == "" {
-		p.answeredHere.Add(1)
+	if s.next == "" {
+		s.answeredHere.Add(1)
 		in.send(answerMessage(m.Call, 1, call.receivedAt))
 		return
 	}
-	out, err := p.connectNext()
+	out, err := s.connectNext()
 	if err == nil {
-		p.mu.Lock()
+		s.mu.Lock()
 		call.placedAt = time.Now()
-		p.mu.Unlock()
+		s.mu.Unlock()
 		err = out.send(setUpMessage(m.Call, m.Text(isup.Class), m.Text(isup.TimeLeft), m.Text(isup.Number), m.Text(isup.Description)))
 	}
 	if err != nil {
-		p.refuse(in, m.Call)
+		s.refuse(in, m.Call)
 	}
 }
 
@@ -241,32 +241,32 @@
 }
 
 // connectNext returns the connection to the next hop, and opens it at the first call.
-func (p *chainServer) connectNext() (*messageConn, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.nextConn != nil {
-		return p.nextConn, nil
+func (s *chainServer) connectNext() (*messageConn, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.nextConn != nil {
+		return s.nextConn, nil
 	}
-	conn, err := net.DialTimeout("tcp", p.next, time.Second)
+	conn, err := net.DialTimeout("tcp", s.next, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	w := &messageConn{Conn: conn}
-	p.nextConn = w
+	mc := &messageConn{Conn: conn}
+	s.nextConn = mc
 	go func() {
-		w.readAll(p.handleNext)
-		w.Close()
-		p.mu.Lock()
-		if p.nextConn == w {
-			p.nextConn = nil
+		mc.readAll(s.handleNext)
+		mc.Close()
+		s.mu.Lock()
+		if s.nextConn == mc {
+			s.nextConn = nil
 		}
-		p.mu.Unlock()
+		s.mu.Unlock()
 	}()
-	return w, nil
+	return mc, nil
 }
 
 // handleNext handles a message from the next hop.
-func (p *chainServer) handleNext(m isup.Message) {
+func (s *chainServer) handleNext(m isup.Message) {
 	now := time.Now()
 	if m.Type != isup.Answer && m.Type != isup.Release {
 		return
@@ -275,55 +275,55 @@
 	if m.Type == isup.Answer {
 		depth, below, parseErr = parseAnswer(m)
 	}
-	p.mu.Lock()
-	call := p.calls[m.Call]
+	s.mu.Lock()
+	call := s.calls[m.Call]
 	known := call != nil && !call.answered
 	if known && m.Type == isup.Answer && parseErr == nil {
 		call.answered = true
-		if p.hopTimes != nil {
-			p.hopTimes.RecordValue(int64(now.Sub(call.placedAt) - below))
+		if s.hopTimes != nil {
+			s.hopTimes.RecordValue(int64(now.Sub(call.placedAt) - below))
 		}
 	}
-	p.mu.Unlock()
+	s.mu.Unlock()
 	switch {
 	case !known:
 	case m.Type == isup.Answer && parseErr == nil:
 		call.from.send(answerMessage(m.Call, depth+1, call.receivedAt))
 	default:
-		p.refused.Add(1)
-		p.refuse(call.from, m.Call)
+		s.refused.Add(1)
+		s.refuse(call.from, m.Call)
 	}
 }
 
-func (p *chainServer) refuse(in *messageConn, id isup.CallID) {
-	p.mu.Lock()
-	delete(p.calls, id)
-	p.mu.Unlock()
+func (s *chainServer) refuse(in *messageConn, id isup.CallID) {
+	s.mu.Lock()
+	delete(s.calls, id)
+	s.mu.Unlock()
 	in.send(isup.Message{Type: isup.Release, Call: id}.WithCause(isup.TempFailure))
 }
 
 // recordHops starts or stops recording hop times, and returns those recorded before.
-func (p *chainServer) recordHops(on bool) *hdrhistogram.Histogram {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	was := p.hopTimes
-	p.hopTimes = nil
+func (s *chainServer) recordHops(on bool) *hdrhistogram.Histogram {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	was := s.hopTimes
+	s.hopTimes = nil
 	if on {
-		p.hopTimes = newHistogram()
+		s.hopTimes = newHistogram()
 	}
 	return was
 }
 
-func (p *chainServer) close() {
-	close(p.closed)
-	p.listener.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for w := range p.conns {
-		w.Close()
+func (s *chainServer) close() {
+	close(s.closed)
+	s.listener.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for mc := range s.conns {
+		mc.Close()
 	}
-	if p.nextConn != nil {
-		p.nextConn.Close()
+	if s.nextConn != nil {
+		s.nextConn.Close()
 	}
 }
 
--- a/internal/lab/chainlab/testbed.go
+++ b/internal/lab/chainlab/testbed.go
@@ -129,8 +129,8 @@
 	t.processCount++
 	host := t.addresses.Host(agentsOffset + t.processCount)
 	var list []map[string]any
-	for i, s := range servers {
-		list = append(list, map[string]any{"name": fmt.Sprintf("s%d", i), "address": s.addr(), "zone": "campus", "type": "std",
+	for i, server := range servers {
+		list = append(list, map[string]any{"name": fmt.Sprintf("s%d", i), "address": server.addr(), "zone": "campus", "type": "std",
 			"group": i, "status": "up", "weight": 1, "since_ms": 0})
 	}
 	name := fmt.Sprintf("a%d", t.processCount)
@@ -170,8 +170,8 @@
 const readyTimeout = 30 * time.Second
 
 // awaitReady waits until an agent passes a test like those of the platform's front.
-func (a *agent) awaitReady(ctx context.Context, most time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func (a *agent) awaitReady(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		err := a.probe()
@@ -197,8 +197,8 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
-	w := &messageConn{Conn: conn}
-	if err := w.send(isup.Message{Type: isup.Test, Call: 1}.WithCause(isup.NotPassed)); err != nil {
+	mc := &messageConn{Conn: conn}
+	if err := mc.send(isup.Message{Type: isup.Test, Call: 1}.WithCause(isup.NotPassed)); err != nil {
 		return err
 	}
 	m, err := isup.Read(bufio.NewReader(conn))
@@ -242,14 +242,14 @@
 			return nil, err
 		}
 		row.servers[k], row.entryAddr = server, server.addr()
-		var a *agent
+		var process *agent
 		switch v {
 		case withAgents:
-			a, err = t.startAgent([]*chainServer{server}, limits{})
+			process, err = t.startAgent([]*chainServer{server}, limits{})
 		case withFormer:
-			a, err = t.startAgent([]*chainServer{server}, limits{bin: t.former})
+			process, err = t.startAgent([]*chainServer{server}, limits{bin: t.former})
 		case withRelays:
-			a, err = t.startRelay(server)
+			process, err = t.startRelay(server)
 		default:
 			continue
 		}
@@ -257,10 +257,10 @@
 			row.close()
 			return nil, err
 		}
-		row.processes, row.entryAddr = append(row.processes, a), a.addr
+		row.processes, row.entryAddr = append(row.processes, process), process.addr
 	}
-	for _, a := range row.processes {
-		if err := a.awaitReady(ctx, readyTimeout); err != nil {
+	for _, process := range row.processes {
+		if err := process.awaitReady(ctx, readyTimeout); err != nil {
 			row.close()
 			return nil, err
 		}
@@ -269,20 +269,20 @@
 }
 
 func (c *chain) close() {
-	for _, a := range c.processes {
-		a.Kill()
+	for _, process := range c.processes {
+		process.Kill()
 	}
-	for _, p := range c.servers {
-		if p != nil {
-			p.close()
+	for _, server := range c.servers {
+		if server != nil {
+			server.close()
 		}
 	}
 }
 
 // totalWork returns the work that all of the chain's agents or relays have done.
 func (c *chain) totalWork() (sum work, err error) {
-	for _, a := range c.processes {
-		w, err := readWork(a.PID())
+	for _, process := range c.processes {
+		w, err := readWork(process.PID())
 		if err != nil {
 			return sum, err
 		}
--- a/internal/lab/fleetlab/reference.go
+++ b/internal/lab/fleetlab/reference.go
@@ -24,7 +24,7 @@
 // referenceAgents plays the role of all agents: it has a listener for each agent and one connection to
 // each server.
 type referenceAgents struct {
-	running   *cluster.Cluster
+	fleet     *cluster.Cluster
 	policy    string
 	listeners []net.Listener
 
@@ -50,31 +50,31 @@
 }
 
 func startReference(r Scenario, deployment emulator.Deployment) (*cluster.Cluster, error) {
-	running := &cluster.Cluster{Config: cluster.Config{Deployment: deployment, Agents: r.Agents, Servers: r.Servers, Seed: r.Seed}}
+	fleet := &cluster.Cluster{Config: cluster.Config{Deployment: deployment, Agents: r.Agents, Servers: r.Servers, Seed: r.Seed}}
 	var err error
-	if running.Net, err = emulator.NewLoopbackNet(); err != nil {
+	if fleet.Net, err = emulator.NewLoopbackNet(); err != nil {
 		return nil, err
 	}
-	if running.World, err = emulator.NewWorld(deployment, running.Net, r.Agents, r.Servers, r.Seed); err != nil {
-		running.Net.Release()
+	if fleet.World, err = emulator.NewWorld(deployment, fleet.Net, r.Agents, r.Servers, r.Seed); err != nil {
+		fleet.Net.Release()
 		return nil, err
 	}
-	ref := &referenceAgents{running: running, policy: r.Policy, rng: rand.New(rand.NewPCG(r.Seed, 41)), conns: map[*emulator.Server]*referenceConn{},
+	ref := &referenceAgents{fleet: fleet, policy: r.Policy, rng: rand.New(rand.NewPCG(r.Seed, 41)), conns: map[*emulator.Server]*referenceConn{},
 		calls: map[isup.CallID]*referenceCall{}, pending: map[int]map[*emulator.Server]int{}}
 	for i := range r.Agents {
 		ref.pending[i] = map[*emulator.Server]int{}
-		ln, err := net.Listen("tcp", running.Addr(i))
+		ln, err := net.Listen("tcp", fleet.Addr(i))
 		if err != nil {
-			running.Close()
+			fleet.Close()
 			return nil, err
 		}
 		ref.listeners = append(ref.listeners, ln)
 		go ref.accept(i, ln)
 	}
-	return running, nil
+	return fleet, nil
 }
 
-func (f *referenceAgents) accept(agent int, ln net.Listener) {
+func (r *referenceAgents) accept(agent int, ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -87,154 +87,154 @@
 					conn.Close()
 					return
 				}
-				f.handleCaller(agent, conn, m)
+				r.handleCaller(agent, conn, m)
 			}
 		}()
 	}
 }
 
-func (f *referenceAgents) handleCaller(agent int, conn net.Conn, m isup.Message) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *referenceAgents) handleCaller(agent int, conn net.Conn, m isup.Message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch m.Type {
 	case isup.SetUp:
-		k := &referenceCall{agent: agent, caller: conn, setup: m, tried: map[*emulator.Server]bool{}}
-		f.calls[m.Call] = k
-		f.sendSetUp(m.Call, k)
+		call := &referenceCall{agent: agent, caller: conn, setup: m, tried: map[*emulator.Server]bool{}}
+		r.calls[m.Call] = call
+		r.sendSetUp(m.Call, call)
 	case isup.Release:
-		if k := f.calls[m.Call]; k != nil {
-			f.forget(m.Call, k)
-			if t := f.conns[k.server]; t != nil {
-				writeMessage(t.conn, m)
+		if call := r.calls[m.Call]; call != nil {
+			r.forget(m.Call, call)
+			if link := r.conns[call.server]; link != nil {
+				writeMessage(link.conn, m)
 			}
 		}
 	}
 }
 
-func (f *referenceAgents) forget(id isup.CallID, k *referenceCall) {
-	if !k.stands && k.server != nil {
-		f.pending[k.agent][k.server]--
+func (r *referenceAgents) forget(id isup.CallID, call *referenceCall) {
+	if !call.stands && call.server != nil {
+		r.pending[call.agent][call.server]--
 	}
-	delete(f.calls, id)
+	delete(r.calls, id)
 }
 
 // sendSetUp sends a call to a server, or refuses it after the last attempt.
-func (f *referenceAgents) sendSetUp(id isup.CallID, k *referenceCall) {
-	for k.attempts < min(f.running.Deployment.MaxAttempts, 3) {
-		s := f.pickServer(k)
-		if s == nil {
+func (r *referenceAgents) sendSetUp(id isup.CallID, call *referenceCall) {
+	for call.attempts < min(r.fleet.Deployment.MaxAttempts, 3) {
+		server := r.pickServer(call)
+		if server == nil {
 			break
 		}
-		k.attempts++
-		k.tried[s] = true
-		k.server = s
-		f.pending[k.agent][s]++
-		t, err := f.connect(s)
+		call.attempts++
+		call.tried[server] = true
+		call.server = server
+		r.pending[call.agent][server]++
+		link, err := r.connect(server)
 		if err == nil {
-			writeMessage(t.conn, isup.Message{Type: isup.SetUp, Call: id, Values: k.setup.Values})
+			writeMessage(link.conn, isup.Message{Type: isup.SetUp, Call: id, Values: call.setup.Values})
 			return
 		}
-		f.pending[k.agent][s]--
-		k.server = nil
+		r.pending[call.agent][server]--
+		call.server = nil
 	}
-	delete(f.calls, id)
-	writeMessage(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithMillis(isup.RetryAfter, time.Second))
+	delete(r.calls, id)
+	writeMessage(call.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.NoCircuit).WithMillis(isup.RetryAfter, time.Second))
 }
 
-func (f *referenceAgents) pickServer(k *referenceCall) (best *emulator.Server) {
+func (r *referenceAgents) pickServer(call *referenceCall) (best *emulator.Server) {
 	var sum, least float64
-	for _, s := range f.running.World.Listed() {
-		if k.tried[s] || !s.Up() {
+	for _, server := range r.fleet.World.Listed() {
+		if call.tried[server] || !server.Up() {
 			continue
 		}
-		switch f.policy {
+		switch r.policy {
 		case PolicyRandom:
-			sum += s.Rate
-			if f.rng.Float64()*sum < s.Rate {
-				best = s
+			sum += server.Rate
+			if r.rng.Float64()*sum < server.Rate {
+				best = server
 			}
 		case PolicyLeast:
-			n := float64(f.pending[k.agent][s])
+			n := float64(r.pending[call.agent][server])
 			switch {
 			case best == nil || n < least:
-				best, least, sum = s, n, s.Rate
+				best, least, sum = server, n, server.Rate
 			case n == least:
-				if sum += s.Rate; f.rng.Float64()*sum < s.Rate {
-					best = s
+				if sum += server.Rate; r.rng.Float64()*sum < server.Rate {
+					best = server
 				}
 			}
 		case PolicyDispatcher:
-			done, ok := s.ExpectedAnswer()
+			done, ok := server.ExpectedAnswer()
 			if ok && (best == nil || done.Seconds() < least) {
-				best, least = s, done.Seconds()
+				best, least = server, done.Seconds()
 			}
 		}
 	}
-	if f.policy == PolicyDispatcher && best != nil && least > f.running.Deployment.Classes[0].Aim.Seconds() {
+	if r.policy == PolicyDispatcher && best != nil && least > r.fleet.Deployment.Classes[0].Aim.Seconds() {
 		return nil // the answer would come after the aim
 	}
 	return best
 }
 
 // connect returns the connection to a server, and opens it at the first use.
-func (f *referenceAgents) connect(s *emulator.Server) (*referenceConn, error) {
-	if t := f.conns[s]; t != nil {
-		return t, nil
+func (r *referenceAgents) connect(server *emulator.Server) (*referenceConn, error) {
+	if link := r.conns[server]; link != nil {
+		return link, nil
 	}
-	d := net.Dialer{Timeout: 200 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.running.Net.Host(0))}}
-	conn, err := d.Dial("tcp", s.Addr())
+	dialer := net.Dialer{Timeout: 200 * time.Millisecond, LocalAddr: &net.TCPAddr{IP: net.ParseIP(r.fleet.Net.Host(0))}}
+	conn, err := dialer.Dial("tcp", server.Addr())
 	if err != nil {
 		return nil, err
 	}
-	t := &referenceConn{conn}
-	f.conns[s] = t
+	link := &referenceConn{conn}
+	r.conns[server] = link
 	go func() {
 		for in := bufio.NewReader(conn); ; {
 			m, err := isup.Read(in)
 			if err != nil {
-				f.connectionLost(s, t)
+				r.connectionLost(server, link)
 				return
 			}
-			f.handleServer(s, m)
+			r.handleServer(server, m)
 		}
 	}()
-	return t, nil
+	return link, nil
 }
 
-func (f *referenceAgents) connectionLost(s *emulator.Server, t *referenceConn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	t.conn.Close()
-	if f.conns[s] == t {
-		delete(f.conns, s)
-	}
-	for id, k := range f.calls {
-		if k.server == s {
-			f.forget(id, k)
-			writeMessage(k.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.TempFailure))
+func (r *referenceAgents) connectionLost(server *emulator.Server, link *referenceConn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	link.conn.Close()
+	if r.conns[server] == link {
+		delete(r.conns, server)
+	}
+	for id, call := range r.calls {
+		if call.server == server {
+			r.forget(id, call)
+			writeMessage(call.caller, isup.Message{Type: isup.Release, Call: id}.WithCause(isup.TempFailure))
 		}
 	}
 }
 
-func (f *referenceAgents) handleServer(s *emulator.Server, m isup.Message) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	k := f.calls[m.Call]
-	if k == nil || k.server != s {
+func (r *referenceAgents) handleServer(server *emulator.Server, m isup.Message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	call := r.calls[m.Call]
+	if call == nil || call.server != server {
 		return
 	}
 	switch {
 	case m.Type == isup.Answer:
-		k.stands = true
-		f.pending[k.agent][s]--
-		writeMessage(k.caller, m)
-	case m.Type == isup.Release && k.stands:
-		delete(f.calls, m.Call)
-		writeMessage(k.caller, m)
+		call.stands = true
+		r.pending[call.agent][server]--
+		writeMessage(call.caller, m)
+	case m.Type == isup.Release && call.stands:
+		delete(r.calls, m.Call)
+		writeMessage(call.caller, m)
 	case m.Type == isup.Release:
-		f.pending[k.agent][s]--
-		k.server = nil
-		f.sendSetUp(m.Call, k)
+		r.pending[call.agent][server]--
+		call.server = nil
+		r.sendSetUp(m.Call, call)
 	}
 }
 
--- a/internal/lab/fleetlab/run.go
+++ b/internal/lab/fleetlab/run.go
@@ -99,26 +99,26 @@
 	report := Report{Scenario: r}
 	deployment := Deployment(r.Servers)
 	agents := r.Agents
-	running := &cluster.Cluster{}
+	fleet := &cluster.Cluster{}
 	var err error
 	if r.Policy == PolicyAgent || r.Policy == "" {
-		running, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: deployment, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
+		fleet, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: deployment, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
 	} else {
-		running, err = startReference(r, deployment)
+		fleet, err = startReference(r, deployment)
 	}
 	if err != nil {
 		return report, err
 	}
-	defer running.Close()
+	defer fleet.Close()
 	if r.Gossip {
-		if err := awaitGossip(ctx, running); err != nil {
+		if err := awaitGossip(ctx, fleet); err != nil {
 			return report, err
 		}
 	}
-	run := &activeRun{Scenario: r, running: running, rng: rand.New(rand.NewPCG(r.Seed, 31)), startedAt: time.Now()}
+	run := &activeRun{Scenario: r, fleet: fleet, rng: rand.New(rand.NewPCG(r.Seed, 31)), startedAt: time.Now()}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	run.callers = running.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*deployment.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
+	run.callers = fleet.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*deployment.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
 	windows := make(chan []WindowStats)
 	watchCtx, stopWatching := context.WithCancel(ctx)
 	go func() { windows <- run.recordWindows(watchCtx) }()
@@ -127,9 +127,9 @@
 	report.Windows = <-windows
 	run.callers.Wait()
 	report.Outcome, _ = run.callers.Tally()
-	report.BrokenRules, report.Err = running.World.Check.Broken(), running.World.Check.Err()
-	if len(running.Procs) > 0 {
-		report.SpreadStatus = running.ConsoleCommand(0, "SPREAD")
+	report.BrokenRules, report.Err = fleet.World.Check.Broken(), fleet.World.Check.Err()
+	if len(fleet.Procs) > 0 {
+		report.SpreadStatus = fleet.ConsoleCommand(0, "SPREAD")
 	}
 	return report, err
 }
@@ -140,13 +140,13 @@
 var agentsHeard = regexp.MustCompile(`(\d+) agents heard`)
 
 // awaitGossip waits until the last agent hears from at least 95 % of the agents that spread in common.
-func awaitGossip(ctx context.Context, running *cluster.Cluster) error {
+func awaitGossip(ctx context.Context, fleet *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	for {
-		status := running.ConsoleCommand(running.Agents-1, "SPREAD")
+		status := fleet.ConsoleCommand(fleet.Agents-1, "SPREAD")
 		if m := agentsHeard.FindStringSubmatch(status); m != nil {
-			if n, _ := strconv.Atoi(m[1]); n >= running.Agents*95/100 {
+			if n, _ := strconv.Atoi(m[1]); n >= fleet.Agents*95/100 {
 				return nil
 			}
 		}
@@ -159,7 +159,7 @@
 // activeRun is the state of a running scenario.
 type activeRun struct {
 	Scenario
-	running      *cluster.Cluster
+	fleet        *cluster.Cluster
 	callers      *emulator.Callers
 	rng          *rand.Rand
 	startedAt    time.Time
@@ -172,76 +172,76 @@
 	sum     emulator.Outcome
 }
 
-func (p *activeRun) readCounters() counters {
-	s := counters{servers: map[*emulator.Server]emulator.Counts{}}
-	for _, v := range p.running.World.All() {
-		s.servers[v] = v.Counts()
+func (r *activeRun) readCounters() counters {
+	now := counters{servers: map[*emulator.Server]emulator.Counts{}}
+	for _, server := range r.fleet.World.All() {
+		now.servers[server] = server.Counts()
 	}
-	return s
+	return now
 }
 
 // recordWindows records the statistics of each window until ctx ends.
-func (p *activeRun) recordWindows(ctx context.Context) (windows []WindowStats) {
-	before := p.readCounters()
-	before.sum, _ = p.callers.Tally()
+func (r *activeRun) recordWindows(ctx context.Context) (windows []WindowStats) {
+	before := r.readCounters()
+	before.sum, _ = r.callers.Tally()
 	idle := 0.0
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
-	ends := time.Now().Add(p.Window)
+	windowEnd := time.Now().Add(r.Window)
 	for {
 		select {
 		case <-ctx.Done():
 			return windows
 		case now := <-tick.C:
-			for _, s := range p.running.World.Listed() {
-				if n := s.Counts(); s.Healthy(3*time.Second) && !n.LastSetUp.IsZero() && now.Sub(n.LastSetUp) > maxIdle || s.Healthy(3*time.Second) && n.LastSetUp.IsZero() && now.Sub(p.startedAt) > maxIdle {
+			for _, server := range r.fleet.World.Listed() {
+				if counts := server.Counts(); server.Healthy(3*time.Second) && !counts.LastSetUp.IsZero() && now.Sub(counts.LastSetUp) > maxIdle || server.Healthy(3*time.Second) && counts.LastSetUp.IsZero() && now.Sub(r.startedAt) > maxIdle {
 					idle += 0.1
 				}
 			}
-			if now.Before(ends) {
+			if now.Before(windowEnd) {
 				continue
 			}
-			ends = ends.Add(p.Window)
-			after := p.readCounters()
+			windowEnd = windowEnd.Add(r.Window)
+			after := r.readCounters()
 			var waits []time.Duration
-			after.sum, waits = p.callers.Tally()
-			window := p.windowStats(before, after, waits)
-			window.At, window.IdleSeconds = now.Sub(p.startedAt).Round(100*time.Millisecond), idle
+			after.sum, waits = r.callers.Tally()
+			window := r.windowStats(before, after, waits)
+			window.At, window.IdleSeconds = now.Sub(r.startedAt).Round(100*time.Millisecond), idle
 			windows = append(windows, window)
 			before, idle = after, 0
 		}
 	}
 }
 
-func (p *activeRun) windowStats(before, after counters, waits []time.Duration) WindowStats {
+func (r *activeRun) windowStats(before, after counters, waits []time.Duration) WindowStats {
 	window := WindowStats{}
-	window.Fault, _ = p.currentFault.Load().(string)
+	window.Fault, _ = r.currentFault.Load().(string)
 	var setUps, capacity, full float64
-	for s, now := range after.servers {
-		was := before.servers[s]
+	for server, now := range after.servers {
+		was := before.servers[server]
 		setUps += float64(now.SetUps - was.SetUps)
 		full += float64(now.TurnedAway - was.TurnedAway)
 		capacity += now.Capacity - was.Capacity
 		window.Handshakes += now.Handshakes - was.Handshakes
 		window.Probes += now.Probes - was.Probes
-		window.Connections += s.Connections()
+		window.Connections += server.Connections()
 	}
-	chi, servers := 0.0, 0
-	for s, now := range after.servers {
-		was := before.servers[s]
-		part := (now.Capacity - was.Capacity) / max(capacity, 1e-9)
-		if part <= 0 {
+	chiSquare, servers := 0.0, 0
+	for server, now := range after.servers {
+		was := before.servers[server]
+		share := (now.Capacity - was.Capacity) / max(capacity, 1e-9)
+		if share <= 0 {
 			continue
 		}
-		got, due := float64(now.SetUps-was.SetUps), setUps*part
-		chi += (got - due) * (got - due) / max(due, 1e-9)
+		got, expected := float64(now.SetUps-was.SetUps), setUps*share
+		chiSquare += (got - expected) * (got - expected) / max(expected, 1e-9)
 		servers++
-		if due >= 5 {
-			window.PeakLoad = max(window.PeakLoad, got/due)
+		if expected >= 5 {
+			window.PeakLoad = max(window.PeakLoad, got/expected)
 		}
 	}
-	window.SetUpRate = setUps / p.Window.Seconds()
-	window.Dispersion = chi / float64(max(servers-1, 1))
+	window.SetUpRate = setUps / r.Window.Seconds()
+	window.Dispersion = chiSquare / float64(max(servers-1, 1))
 	window.FullShare = full / max(setUps, 1)
 	window.AttemptsPerTry = setUps / math.Max(float64(after.sum.Tries-before.sum.Tries), 1)
 	window.Lost = after.sum.Lost - before.sum.Lost
@@ -254,20 +254,20 @@
 }
 
 // injectFaults waits for one fault span, then injects the faults one after another, each for one span.
-func (p *activeRun) injectFaults(ctx context.Context) error {
-	pause(ctx, p.FaultSpan)
-	for _, name := range p.Faults {
+func (r *activeRun) injectFaults(ctx context.Context) error {
+	pause(ctx, r.FaultSpan)
+	for _, name := range r.Faults {
 		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 		if i < 0 {
 			return fmt.Errorf("fleet: unknown fault %q, known are %v", name, FaultNames())
 		}
-		p.currentFault.Store(name)
-		until := time.Now().Add(p.FaultSpan)
-		if err := faults[i].inject(p, ctx); err != nil {
+		r.currentFault.Store(name)
+		until := time.Now().Add(r.FaultSpan)
+		if err := faults[i].inject(r, ctx); err != nil {
 			return fmt.Errorf("fleet: %s: %w", name, err)
 		}
 		pause(ctx, time.Until(until))
-		p.currentFault.Store("")
+		r.currentFault.Store("")
 		if ctx.Err() != nil {
 			return errors.New("fleet: stopped")
 		}
@@ -283,21 +283,21 @@
 }
 
 // Worst returns the largest value over the picked windows.
-func (r Report) Worst(pick func(WindowStats) bool, of func(WindowStats) float64) (most float64) {
-	for _, f := range r.Windows {
-		if pick(f) {
-			most = max(most, of(f))
+func (r Report) Worst(pick func(WindowStats) bool, of func(WindowStats) float64) (worst float64) {
+	for _, window := range r.Windows {
+		if pick(window) {
+			worst = max(worst, of(window))
 		}
 	}
-	return most
+	return worst
 }
 
 // Mean returns the mean value over the picked windows.
 func (r Report) Mean(pick func(WindowStats) bool, of func(WindowStats) float64) float64 {
 	sum, n := 0.0, 0
-	for _, f := range r.Windows {
-		if pick(f) {
-			sum, n = sum+of(f), n+1
+	for _, window := range r.Windows {
+		if pick(window) {
+			sum, n = sum+of(window), n+1
 		}
 	}
 	return sum / float64(max(n, 1))
--- a/internal/lab/promiselab/agents.go
+++ b/internal/lab/promiselab/agents.go
@@ -98,7 +98,7 @@
 	return report, nil
 }
 
-func (r *agentRun) run(parent context.Context, s AgentSchedule) error {
+func (r *agentRun) run(parent context.Context, schedule AgentSchedule) error {
 	ctx, cancel := context.WithTimeout(parent, lab.ScheduleTimeout)
 	defer cancel()
 	if err := r.awaitAllLeaders(ctx); err != nil {
@@ -106,10 +106,10 @@
 	}
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	for n := range s.Callers {
-		callers.Go(func() { r.placeCalls(n, s, stop) })
+	for n := range schedule.Callers {
+		callers.Go(func() { r.placeCalls(n, schedule, stop) })
 	}
-	err := r.injectFaults(ctx, s)
+	err := r.injectFaults(ctx, schedule)
 	close(stop)
 	callers.Wait()
 	if err != nil {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-func (r *agentRun) injectFaults(ctx context.Context, s AgentSchedule) error {
-	for _, i := range lab.DrawFaults(s.Seed, s.Steps, len(agentFaults)) {
+func (r *agentRun) injectFaults(ctx context.Context, schedule AgentSchedule) error {
+	for _, i := range lab.DrawFaults(schedule.Seed, schedule.Steps, len(agentFaults)) {
 		fault := agentFaults[i]
 		if err := r.awaitServed(ctx, 20); err != nil {
 			return err
@@ -143,8 +143,8 @@
 // placeCalls runs caller n until stop is closed. It asks random agents for calls that other callers ask
 // for too, so that most calls are asked for several times: during their set-up, while they stand, or
 // while their agent dies.
-func (r *agentRun) placeCalls(n int, s AgentSchedule, stop <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(s.Seed, uint64(100+n)))
+func (r *agentRun) placeCalls(n int, schedule AgentSchedule, stop <-chan struct{}) {
+	rng := rand.New(rand.NewPCG(schedule.Seed, uint64(100+n)))
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -152,7 +152,7 @@
 		default:
 		}
 		id := isup.CallID(1 + i/2 + rng.IntN(4)) // callers advance through the calls together
-		r.recordAnswer(id, lab.SetUpCall(r.Agents[fmt.Sprintf("a%d", 1+rng.IntN(s.Agents))].Listen, id))
+		r.recordAnswer(id, lab.SetUpCall(r.Agents[fmt.Sprintf("a%d", 1+rng.IntN(schedule.Agents))].Listen, id))
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
 }
@@ -168,8 +168,8 @@
 		r.report.Refused++
 	default:
 		r.report.Served++
-		if was, ok := r.served[id]; ok && was != answer.Served {
-			r.report.Conflicting = append(r.report.Conflicting, fmt.Sprintf("%v: %q and %q", id, was, answer.Served))
+		if before, ok := r.served[id]; ok && before != answer.Served {
+			r.report.Conflicting = append(r.report.Conflicting, fmt.Sprintf("%v: %q and %q", id, before, answer.Served))
 		}
 		r.served[id] = answer.Served
 	}
@@ -214,11 +214,11 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.report.Served
-	}, n, "calls served", func() (said string) {
+	}, n, "calls served", func() (state string) {
 		for _, name := range r.Names() {
-			said += fmt.Sprintf("%s runs %v: %s", name, r.Agents[name].Running(), r.ConsoleCommand(name, "PROMISES"))
+			state += fmt.Sprintf("%s runs %v: %s", name, r.Agents[name].Running(), r.ConsoleCommand(name, "PROMISES"))
 		}
-		return said
+		return state
 	})
 }
 
--- a/internal/lab/promiselab/history.go
+++ b/internal/lab/promiselab/history.go
@@ -51,8 +51,8 @@
 
 // perform executes an operation and records it. An operation that took no effect is only counted, and
 // its error is returned.
-func (h *history) perform(client int, in operation, ask func() (outcome, error)) (outcome, error) {
-	begin := time.Since(h.startedAt).Nanoseconds()
+func (h *history) perform(client int, op operation, ask func() (outcome, error)) (outcome, error) {
+	start := time.Since(h.startedAt).Nanoseconds()
 	out, err := ask()
 	end := time.Since(h.startedAt).Nanoseconds()
 	h.mu.Lock()
@@ -60,32 +60,32 @@
 	switch {
 	case errors.Is(err, promise.ErrEntry):
 		out = outcome{ClaimedByAnother: true}
-	case errors.Is(err, replica.ErrUnknownOutcome) && in.Kind != "":
+	case errors.Is(err, replica.ErrUnknownOutcome) && op.Kind != "":
 		out, end = outcome{Unknown: true}, math.MaxInt64
 	case err != nil: // took no effect, or a read without an answer
 		h.refused++
 		return out, err
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: begin, Output: out, Return: end})
-	h.recordPromise(in, out)
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: start, Output: out, Return: end})
+	h.recordPromise(op, out)
 	return out, err
 }
 
 // recordPromise records what a client was promised, for the later check that nothing is lost.
-func (h *history) recordPromise(in operation, out outcome) {
-	if in.Kind != "" && !out.Unknown {
+func (h *history) recordPromise(op operation, out outcome) {
+	if op.Kind != "" && !out.Unknown {
 		h.acknowledged++
 	}
-	if out.Answer != "" && in.Kind != "" {
-		h.promised[in.Call] = out.Answer
+	if out.Answer != "" && op.Kind != "" {
+		h.promised[op.Call] = out.Answer
 	}
 	if !out.Claimed {
 		return
 	}
-	if t, ok := h.claimed[in.Call]; ok && t != in.Token {
-		h.doubleClaims = append(h.doubleClaims, in.Call)
+	if t, ok := h.claimed[op.Call]; ok && t != op.Token {
+		h.doubleClaims = append(h.doubleClaims, op.Call)
 	}
-	h.claimed[in.Call] = in.Token
+	h.claimed[op.Call] = op.Token
 }
 
 // acknowledgedCount returns how many claims and resolutions a quorum has committed so far. The number of
@@ -101,12 +101,12 @@
 	Partition: partitionByCall,
 	Init:      func() []any { return []any{""} },
 	Step: func(state, in, out any) []any {
-		s, i, o := state.(string), in.(operation), out.(outcome)
-		next, told := transition(s, i)
-		if o.Unknown {
-			return []any{s, next}
+		before, op, seen := state.(string), in.(operation), out.(outcome)
+		next, expected := transition(before, op)
+		if seen.Unknown {
+			return []any{before, next}
 		}
-		if told != o {
+		if expected != seen {
 			return nil
 		}
 		return []any{next}
@@ -116,33 +116,33 @@
 const claimPrefix = "claim "
 
 // transition returns a call's state after an operation and the outcome that the client must see.
-func transition(state string, in operation) (string, outcome) {
+func transition(state string, op operation) (string, outcome) {
 	holder, claimed := strings.CutPrefix(state, claimPrefix)
 	resolved := state != "" && !claimed
 	switch {
-	case in.Kind == "" && resolved:
+	case op.Kind == "" && resolved:
 		return state, outcome{Answer: state}
-	case in.Kind == "":
+	case op.Kind == "":
 		return state, outcome{}
 	case resolved:
 		return state, outcome{Answer: state}
-	case in.Kind == promise.OpClaim && claimed && holder != in.Token:
+	case op.Kind == promise.OpClaim && claimed && holder != op.Token:
 		return promise.AnswerRefused, outcome{Answer: promise.AnswerRefused}
-	case in.Kind == promise.OpClaim:
-		return claimPrefix + in.Token, outcome{Claimed: true}
-	case claimed && holder != in.Token:
+	case op.Kind == promise.OpClaim:
+		return claimPrefix + op.Token, outcome{Claimed: true}
+	case claimed && holder != op.Token:
 		return state, outcome{ClaimedByAnother: true}
 	}
-	return in.Answer, outcome{Answer: in.Answer}
+	return op.Answer, outcome{Answer: op.Answer}
 }
 
 func partitionByCall(ops []porcupine.Operation) (parts [][]porcupine.Operation) {
-	by := map[string][]porcupine.Operation{}
-	for _, o := range ops {
-		c := o.Input.(operation).Call
-		by[c] = append(by[c], o)
+	byCall := map[string][]porcupine.Operation{}
+	for _, op := range ops {
+		call := op.Input.(operation).Call
+		byCall[call] = append(byCall[call], op)
 	}
-	for _, p := range by {
+	for _, p := range byCall {
 		parts = append(parts, p)
 	}
 	return parts
@@ -160,17 +160,17 @@
 			return
 		default:
 		}
-		in := operation{Call: fmt.Sprintf("call-%d", rng.IntN(2000)), Token: fmt.Sprintf("c%d-%d", n, i), Answer: answers[rng.IntN(3)]}
+		op := operation{Call: fmt.Sprintf("call-%d", rng.IntN(2000)), Token: fmt.Sprintf("c%d-%d", n, i), Answer: answers[rng.IntN(3)]}
 		var err error
 		switch rng.IntN(4) {
 		case 0:
-			_, err = h.read(ctx, c, n, in.Call)
+			_, err = h.read(ctx, c, n, op.Call)
 		case 1:
-			_, err = h.propose(ctx, c, n, in, promise.OpResolve)
+			_, err = h.propose(ctx, c, n, op, promise.OpResolve)
 		default:
 			var out outcome
-			if out, err = h.propose(ctx, c, n, in, promise.OpClaim); out.Claimed {
-				_, err = h.propose(ctx, c, n, in, promise.OpResolve)
+			if out, err = h.propose(ctx, c, n, op, promise.OpClaim); out.Claimed {
+				_, err = h.propose(ctx, c, n, op, promise.OpResolve)
 			}
 		}
 		var later *replica.RetryAfterError
@@ -187,15 +187,15 @@
 	})
 }
 
-func (h *history) propose(ctx context.Context, c *replica.Client, n int, in operation, kind promise.Op) (outcome, error) {
-	in.Kind = kind
-	e := promise.Entry{Op: kind, Call: in.Call, Token: in.Token, AtUs: time.Now().UnixMicro()}
+func (h *history) propose(ctx context.Context, c *replica.Client, n int, op operation, kind promise.Op) (outcome, error) {
+	op.Kind = kind
+	e := promise.Entry{Op: kind, Call: op.Call, Token: op.Token, AtUs: time.Now().UnixMicro()}
 	if kind == promise.OpResolve {
-		e.Answer, e.Server = in.Answer, "s1"
+		e.Answer, e.Server = op.Answer, "s1"
 	} else {
-		in.Answer = ""
+		op.Answer = ""
 	}
-	return h.perform(n, in, func() (outcome, error) {
+	return h.perform(n, op, func() (outcome, error) {
 		r, err := c.Propose(ctx, e)
 		return outcome{Claimed: r.Claimed, Answer: r.Resolution.Answer}, err
 	})
--- a/internal/lab/promiselab/measure.go
+++ b/internal/lab/promiselab/measure.go
@@ -155,9 +155,9 @@
 			defer c.Close()
 			var err error
 			for i := next.Add(1); i <= int64(total) && err == nil; i = next.Add(1) {
-				t0 := time.Now()
+				sentAt := time.Now()
 				_, err = c.Propose(ctx, newResolution(fmt.Sprint("t", i)))
-				recordDuration(h, time.Since(t0))
+				recordDuration(h, time.Since(sentAt))
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/lab/promiselab/schedule.go
+++ b/internal/lab/promiselab/schedule.go
@@ -141,78 +141,78 @@
 	return out
 }
 
-func (s *groupRun) injectFaults(ctx context.Context, order []int, report *Report) error {
+func (r *groupRun) injectFaults(ctx context.Context, order []int, report *Report) error {
 	for _, i := range order {
 		if ctx.Err() != nil {
 			return fmt.Errorf("schedule not finished in %v (after %v)", lab.ScheduleTimeout, report.Faults)
 		}
-		if err := s.awaitAcknowledged(ctx, 50); err != nil { // load before each fault
+		if err := r.awaitAcknowledged(ctx, 50); err != nil { // load before each fault
 			return err
 		}
-		if err := lab.RunStep(ctx, func(ctx context.Context) error { return groupFaults[i].inject(s, ctx) }); err != nil {
+		if err := lab.RunStep(ctx, func(ctx context.Context) error { return groupFaults[i].inject(r, ctx) }); err != nil {
 			return fmt.Errorf("%s (after %v): %w", groupFaults[i].name, report.Faults, err)
 		}
 		report.Faults = append(report.Faults, groupFaults[i].name)
 	}
-	return s.awaitAcknowledged(ctx, 50)
+	return r.awaitAcknowledged(ctx, 50)
 }
 
 // awaitAcknowledged waits until a quorum has committed n more operations. An error includes the state of
 // every member.
-func (s *groupRun) awaitAcknowledged(ctx context.Context, n int) error {
-	return lab.AwaitProgress(ctx, s.history.acknowledgedCount, n, "operations answered by a quorum", s.describeMembers)
+func (r *groupRun) awaitAcknowledged(ctx context.Context, n int) error {
+	return lab.AwaitProgress(ctx, r.history.acknowledgedCount, n, "operations answered by a quorum", r.describeMembers)
 }
 
 // awaitAgreement waits until the members agree on a leader.
-func (s *groupRun) awaitAgreement(ctx context.Context) error {
-	_, err := s.AwaitLeader(ctx)
+func (r *groupRun) awaitAgreement(ctx context.Context) error {
+	_, err := r.AwaitLeader(ctx)
 	return err
 }
 
 // otherMember returns a member other than name, drawn from the seed.
-func (s *groupRun) otherMember(name string) string {
-	rest := slices.DeleteFunc(s.Names(), func(n string) bool { return n == name })
-	return rest[s.rng.IntN(len(rest))]
+func (r *groupRun) otherMember(name string) string {
+	rest := slices.DeleteFunc(r.Names(), func(n string) bool { return n == name })
+	return rest[r.rng.IntN(len(rest))]
 }
 
-func (s *groupRun) anyMember() string { return s.Names()[s.rng.IntN(len(s.Names()))] }
+func (r *groupRun) anyMember() string { return r.Names()[r.rng.IntN(len(r.Names()))] }
 
 // killLeader kills the leader and restarts it once the others have elected a new one.
-func (s *groupRun) killLeader(ctx context.Context) error {
-	leader, err := s.AwaitLeader(ctx)
+func (r *groupRun) killLeader(ctx context.Context) error {
+	leader, err := r.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
-	s.Procs[leader].Kill()
-	if err := s.awaitAgreement(ctx); err != nil {
+	r.Procs[leader].Kill()
+	if err := r.awaitAgreement(ctx); err != nil {
 		return err
 	}
-	if err := s.awaitAcknowledged(ctx, 10); err != nil {
+	if err := r.awaitAcknowledged(ctx, 10); err != nil {
 		return err
 	}
-	return s.Procs[leader].Start()
+	return r.Procs[leader].Start()
 }
 
 // isolateLeader partitions the leader from the others. A client on the leader's side must be refused
 // with a time to come back, and gets no promise once the lease has expired; the majority continues to
 // serve.
-func (s *groupRun) isolateLeader(ctx context.Context) error {
-	leader, err := s.AwaitLeader(ctx)
+func (r *groupRun) isolateLeader(ctx context.Context) error {
+	leader, err := r.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
-	s.Mesh.Partition(leader)
-	alone := s.ClientOf(leader)
+	r.Mesh.Partition(leader)
+	alone := r.ClientOf(leader)
 	defer alone.Close()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
 		_, err := alone.Propose(ctx, promise.Entry{Op: promise.OpDrain, Server: "s9"})
 		var later *replica.RetryAfterError
 		if errors.As(err, &later) && errors.Is(err, replica.ErrNoQuorum) && later.After > 0 {
-			if err := s.awaitAcknowledged(ctx, 10); err != nil {
+			if err := r.awaitAcknowledged(ctx, 10); err != nil {
 				return err
 			}
-			s.Mesh.Heal()
-			return s.awaitAgreement(ctx)
+			r.Mesh.Heal()
+			return r.awaitAgreement(ctx)
 		}
 	}
 	return errors.New("the isolated leader did not refuse a proposal within 10 s")
@@ -221,42 +221,42 @@
 // slowLink delays one link by 200 ms each way, then heals it. A delay left in place would affect the
 // next fault: after a kill, the remaining two members could have a 400 ms round trip with 300 ms
 // election timeouts, and no leader until the link heals.
-func (s *groupRun) slowLink(ctx context.Context) error {
-	a := s.anyMember()
-	s.Mesh.Delay(a, s.otherMember(a), 200*time.Millisecond, 20*time.Millisecond)
-	if err := s.awaitAcknowledged(ctx, 50); err != nil {
+func (r *groupRun) slowLink(ctx context.Context) error {
+	member := r.anyMember()
+	r.Mesh.Delay(member, r.otherMember(member), 200*time.Millisecond, 20*time.Millisecond)
+	if err := r.awaitAcknowledged(ctx, 50); err != nil {
 		return err
 	}
-	s.Mesh.Heal()
-	return s.awaitAgreement(ctx)
+	r.Mesh.Heal()
+	return r.awaitAgreement(ctx)
 }
 
 // wipeDisk wipes a member's disk, replaces the member, and waits until it has caught up.
-func (s *groupRun) wipeDisk(ctx context.Context) error {
-	name := s.anyMember()
-	s.replacements++
-	if err := s.Replace(ctx, name, fmt.Sprintf("%s-%d", name, s.replacements)); err != nil {
+func (r *groupRun) wipeDisk(ctx context.Context) error {
+	name := r.anyMember()
+	r.replacements++
+	if err := r.Replace(ctx, name, fmt.Sprintf("%s-%d", name, r.replacements)); err != nil {
 		return err
 	}
-	leader, err := s.AwaitLeader(ctx)
+	leader, err := r.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
-	status, err := s.Status(leader)
+	status, err := r.Status(leader)
 	if err != nil {
 		return err
 	}
-	return s.AwaitApplied(ctx, name, status.Applied)
+	return r.AwaitApplied(ctx, name, status.Applied)
 }
 
 // rollingRestart restarts the members one after another, as an upgrade does.
-func (s *groupRun) rollingRestart(ctx context.Context) error {
-	for _, n := range s.Names() {
-		s.Procs[n].Stop()
-		if err := s.Procs[n].Start(); err != nil {
+func (r *groupRun) rollingRestart(ctx context.Context) error {
+	for _, n := range r.Names() {
+		r.Procs[n].Stop()
+		if err := r.Procs[n].Start(); err != nil {
 			return err
 		}
-		if err := s.awaitAgreement(ctx); err != nil {
+		if err := r.awaitAgreement(ctx); err != nil {
 			return err
 		}
 	}
@@ -265,49 +265,49 @@
 
 // cutOneDirection cuts one direction of a link: one member receives from another that does not receive
 // from it.
-func (s *groupRun) cutOneDirection(ctx context.Context) error {
-	a := s.anyMember()
-	l := s.Mesh[a][s.otherMember(a)]
-	l.Set(faultnet.Drop, 0, 0)
-	l.Reset()
-	if err := s.awaitAcknowledged(ctx, 50); err != nil {
+func (r *groupRun) cutOneDirection(ctx context.Context) error {
+	member := r.anyMember()
+	link := r.Mesh[member][r.otherMember(member)]
+	link.Set(faultnet.Drop, 0, 0)
+	link.Reset()
+	if err := r.awaitAcknowledged(ctx, 50); err != nil {
 		return err
 	}
-	l.Set(faultnet.Pass, 0, 0)
-	l.Reset()
-	return s.awaitAgreement(ctx)
+	link.Set(faultnet.Pass, 0, 0)
+	link.Reset()
+	return r.awaitAgreement(ctx)
 }
 
 // flapLink cuts and restores a link several times under traffic, resetting its connections each time.
-func (s *groupRun) flapLink(ctx context.Context) error {
-	a := s.anyMember()
-	l := s.Mesh[a][s.otherMember(a)]
+func (r *groupRun) flapLink(ctx context.Context) error {
+	member := r.anyMember()
+	link := r.Mesh[member][r.otherMember(member)]
 	for range 4 {
-		l.Set(faultnet.Drop, 0, 0)
-		l.Reset()
-		if err := s.awaitAcknowledged(ctx, 3); err != nil {
+		link.Set(faultnet.Drop, 0, 0)
+		link.Reset()
+		if err := r.awaitAcknowledged(ctx, 3); err != nil {
 			return err
 		}
-		l.Set(faultnet.Pass, 0, 0)
-		l.Reset()
-		if err := s.awaitAcknowledged(ctx, 3); err != nil {
+		link.Set(faultnet.Pass, 0, 0)
+		link.Reset()
+		if err := r.awaitAcknowledged(ctx, 3); err != nil {
 			return err
 		}
 	}
-	return s.awaitAgreement(ctx)
+	return r.awaitAgreement(ctx)
 }
 
 // killAll kills all members at once and restarts them with only their disks left.
-func (s *groupRun) killAll(ctx context.Context) error {
+func (r *groupRun) killAll(ctx context.Context) error {
 	var down sync.WaitGroup
-	for _, p := range s.Procs {
+	for _, p := range r.Procs {
 		down.Go(p.Kill)
 	}
 	down.Wait()
-	for _, n := range s.Names() {
-		if err := s.Procs[n].Start(); err != nil {
+	for _, n := range r.Names() {
+		if err := r.Procs[n].Start(); err != nil {
 			return err
 		}
 	}
-	return s.awaitAgreement(ctx)
+	return r.awaitAgreement(ctx)
 }
--- a/internal/lab/zonelab/cost.go
+++ b/internal/lab/zonelab/cost.go
@@ -68,7 +68,7 @@
 		return cost, fmt.Errorf("joining: %w", err)
 	}
 	cost.JoinTime = time.Since(began)
-	sent0, bytes0 := totalTraffic(all)
+	sentBefore, bytesBefore := totalTraffic(all)
 	began = time.Now()
 	for seq := uint64(1); time.Since(began) < span && ctx.Err() == nil; seq++ {
 		for i, m := range all {
@@ -78,7 +78,7 @@
 	}
 	took := time.Since(began).Seconds()
 	sent, bytes := totalTraffic(all)
-	cost.DatagramRate, cost.ByteRate = float64(sent-sent0)/took/float64(agents), float64(bytes-bytes0)/took/float64(agents)
+	cost.DatagramRate, cost.ByteRate = float64(sent-sentBefore)/took/float64(agents), float64(bytes-bytesBefore)/took/float64(agents)
 	cost.FreshShare = freshShare(all[:controlGroupSize], agents)
 	text, _ := json.Marshal(exampleSummary(0, 1))
 	cost.SummaryByteRate = float64(len(text) * agents)
@@ -93,12 +93,12 @@
 
 // exampleSummary returns a summary of typical size, with four observed zones and two call classes.
 func exampleSummary(i int, seq uint64) failover.Summary {
-	s := failover.Summary{Agent: fmt.Sprint("a", i), Zone: zoneName(i % 4), Life: 1, Seq: seq,
+	summary := failover.Summary{Agent: fmt.Sprint("a", i), Zone: zoneName(i % 4), Life: 1, Seq: seq,
 		Offered: map[string]float64{"private-lesson": 3.2, "group-lesson": 1.7}, Seen: map[string]failover.Sight{}}
 	for z := range 4 {
-		s.Seen[zoneName(z)] = failover.Sight{Listed: 6, Up: 6, Capacity: 120.5, Tries: 1.25, WaitMs: 21}
+		summary.Seen[zoneName(z)] = failover.Sight{Listed: 6, Up: 6, Capacity: 120.5, Tries: 1.25, WaitMs: 21}
 	}
-	return s
+	return summary
 }
 
 // maxSummaryAge is the age up to which a summary counts as fresh, the value in deploy/failover.yaml.
--- a/internal/lab/zonelab/schedule.go
+++ b/internal/lab/zonelab/schedule.go
@@ -105,7 +105,7 @@
 	}
 	defer run.close()
 	var err error
-	if run.Fleet, err = lab.StartFleet(bin, dir, s.Agents, s.Seed, run.site()); err != nil {
+	if run.Fleet, err = lab.StartFleet(bin, dir, s.Agents, s.Seed, run.fleetConfig()); err != nil {
 		return report, err
 	}
 	if err := run.run(ctx, s); err != nil {
@@ -115,7 +115,7 @@
 	return report, nil
 }
 
-func (c *zoneRun) site() lab.FleetConfig {
+func (c *zoneRun) fleetConfig() lab.FleetConfig {
 	share := func(v float64) *float64 { return &v }
 	var zones []failover.Zone
 	for _, z := range zoneNames {
@@ -150,21 +150,21 @@
 	if c.Fleet != nil {
 		c.Fleet.Close()
 	}
-	for _, tos := range c.links {
-		for _, l := range tos {
+	for _, byZone := range c.links {
+		for _, l := range byZone {
 			l.Close()
 		}
 	}
-	for _, o := range c.servers {
-		o.Close()
+	for _, server := range c.servers {
+		server.Close()
 	}
 }
 
-func (c *zoneRun) run(ctx context.Context, s ZoneSchedule) error {
+func (c *zoneRun) run(ctx context.Context, schedule ZoneSchedule) error {
 	if err := c.checkHealthy(ctx); err != nil {
 		return err
 	}
-	for _, i := range lab.DrawFaults(s.Seed, s.Steps, len(zoneFaults)) {
+	for _, i := range lab.DrawFaults(schedule.Seed, schedule.Steps, len(zoneFaults)) {
 		fault := zoneFaults[i]
 		stop, done := make(chan struct{}), make(chan struct{})
 		go func() { c.placeCalls(stop); close(done) }()
@@ -211,14 +211,14 @@
 	c.lastCall++
 	id := c.lastCall
 	c.mu.Unlock()
-	h := lab.SetUpCall(c.Agents[agent].Listen, id)
+	result := lab.SetUpCall(c.Agents[agent].Listen, id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Calls++
-	if h.Served != "" {
+	if result.Served != "" {
 		c.report.Stood++
 	}
-	return id, h.Served != ""
+	return id, result.Served != ""
 }
 
 // checkHealthy waits until every zone is local, then places calls at each agent and reports those that
@@ -368,8 +368,8 @@
 }
 
 func (c *zoneRun) eachLink(do func(agent, zone string, l *faultnet.Link)) {
-	for agent, tos := range c.links {
-		for zone, l := range tos {
+	for agent, byZone := range c.links {
+		for zone, l := range byZone {
 			do(agent, zone, l)
 		}
 	}
--- a/internal/lab/zonelab/zonelab.go
+++ b/internal/lab/zonelab/zonelab.go
@@ -136,12 +136,12 @@
 
 func (r *simulation) simulate() {
 	steps := int(runSeconds / stepSeconds)
-	perSecond, perLook := int(math.Round(1/stepSeconds)), int(math.Round(decisionSeconds/stepSeconds))
+	stepsPerSecond, stepsPerDecision := int(math.Round(1/stepSeconds)), int(math.Round(decisionSeconds/stepSeconds))
 	for i := range steps {
 		r.now = float64(i) * stepSeconds
 		for j, a := range r.agents {
 			r.step(a)
-			if (i+j)%perLook == 0 && !r.Common { // agents decide at different times
+			if (i+j)%stepsPerDecision == 0 && !r.Common { // agents decide at different times
 				r.decideAlone(a)
 			}
 			if a.nextPlanAt > 0 && r.now >= a.nextPlanAt {
@@ -149,10 +149,10 @@
 				a.nextPlanAt = 0
 			}
 		}
-		if r.Common && i%perLook == 0 {
+		if r.Common && i%stepsPerDecision == 0 {
 			r.decideInCommon()
 		}
-		if i%perSecond == perSecond-1 {
+		if i%stepsPerSecond == stepsPerSecond-1 {
 			r.closeSecond()
 		}
 	}
@@ -160,18 +160,18 @@
 
 // step simulates one agent's calls during one time step.
 func (r *simulation) step(a *agentModel) {
-	keep := a.pending[:0]
-	for _, m := range a.pending {
-		if m.failsAt > r.now {
-			keep = append(keep, m)
+	remaining := a.pending[:0]
+	for _, failure := range a.pending {
+		if failure.failsAt > r.now {
+			remaining = append(remaining, failure)
 			continue
 		}
-		a.attempts[m.zone]++
-		a.failedAttempts[m.zone]++
-		a.failures[m.zone][m.server]++
-		a.lastFailureAt[m.zone][m.server] = r.now
+		a.attempts[failure.zone]++
+		a.failedAttempts[failure.zone]++
+		a.failures[failure.zone][failure.server]++
+		a.lastFailureAt[failure.zone][failure.server] = r.now
 	}
-	a.pending = keep
+	a.pending = remaining
 	for range int(r.arrivals.Rand()) {
 		a.offered++
 		r.placeCall(a)
@@ -232,22 +232,22 @@
 // takeSummary returns an agent's summary and resets its counters. In common mode, agents probe servers
 // about which calls reveal nothing, as the placer does; an agent that decides alone has its calls only.
 func (r *simulation) takeSummary(i int, a *agentModel) failover.Summary {
-	s := failover.Summary{Agent: fmt.Sprint(i), Zone: zoneName(a.zone), AtUs: r.nowMicros(), Offered: map[string]float64{"call": float64(a.offered) / decisionSeconds},
+	summary := failover.Summary{Agent: fmt.Sprint(i), Zone: zoneName(a.zone), AtUs: r.nowMicros(), Offered: map[string]float64{"call": float64(a.offered) / decisionSeconds},
 		Seen: map[string]failover.Sight{}}
 	for z := range r.Zones {
 		sight := failover.Sight{Listed: r.Servers, Capacity: 0, Tries: float64(a.attempts[z]) / decisionSeconds, Dead: float64(a.failedAttempts[z]) / decisionSeconds}
-		for v := range r.Servers {
-			r.probe(a, z, v)
-			if !r.believedDown(a, z, v) {
+		for server := range r.Servers {
+			r.probe(a, z, server)
+			if !r.believedDown(a, z, server) {
 				sight.Up++
 			}
 		}
 		sight.Capacity = serverRate * float64(sight.Up)
-		s.Seen[zoneName(z)] = sight
+		summary.Seen[zoneName(z)] = sight
 		a.attempts[z], a.failedAttempts[z] = 0, 0
 	}
 	a.offered = 0
-	return s
+	return summary
 }
 
 // probe models the placer's probes of servers that are down or in a lost zone. An agent that decides
@@ -269,10 +269,10 @@
 // decideAlone lets an agent decide on its own observations. It extrapolates its offered load to all
 // agents of a zone.
 func (r *simulation) decideAlone(a *agentModel) {
-	s := r.takeSummary(0, a)
-	s.Offered["call"] *= float64(r.Agents) / float64(r.Zones)
-	v := failover.Aggregate([]failover.Summary{s}, r.nowMicros(), 5e6)
-	if next, changed := failover.Decide(a.plan, r.topology, r.settings, v, r.nowMicros(), "self"); changed {
+	summary := r.takeSummary(0, a)
+	summary.Offered["call"] *= float64(r.Agents) / float64(r.Zones)
+	aggregate := failover.Aggregate([]failover.Summary{summary}, r.nowMicros(), 5e6)
+	if next, changed := failover.Decide(a.plan, r.topology, r.settings, aggregate, r.nowMicros(), "self"); changed {
 		r.adopt(a, next)
 	}
 }
@@ -292,25 +292,25 @@
 	}
 }
 
-func (r *simulation) adopt(a *agentModel, p failover.Plan) {
-	if was, ok := a.plan.Zones[zoneName(a.zone)]; ok && was.Mode != p.Zones[zoneName(a.zone)].Mode {
+func (r *simulation) adopt(a *agentModel, plan failover.Plan) {
+	if before, ok := a.plan.Zones[zoneName(a.zone)]; ok && before.Mode != plan.Zones[zoneName(a.zone)].Mode {
 		r.result.ModeChanges++
 	}
-	a.plan = p
+	a.plan = plan
 }
 
 // closeSecond evaluates and resets the counts of the current second.
 func (r *simulation) closeSecond() {
-	w := r.current
-	if r.fault.EndsAt > 0 && w.z1 > 0 {
-		if r.result.FailOver == 0 && r.now > 30.5 && float64(w.z1Lost) < 0.05*float64(w.z1) {
+	counts := r.current
+	if r.fault.EndsAt > 0 && counts.z1 > 0 {
+		if r.result.FailOver == 0 && r.now > 30.5 && float64(counts.z1Lost) < 0.05*float64(counts.z1) {
 			r.result.FailOver = r.now + stepSeconds - 30
 		}
-		if r.result.FailBack == 0 && r.now > r.fault.EndsAt && float64(w.z1Home) > 0.95*float64(w.z1) {
+		if r.result.FailBack == 0 && r.now > r.fault.EndsAt && float64(counts.z1Home) > 0.95*float64(counts.z1) {
 			r.result.FailBack = r.now + stepSeconds - r.fault.EndsAt
 		}
 	}
-	for z, n := range w.byZone {
+	for z, n := range counts.byZone {
 		capacity := serverRate * float64(r.Servers)
 		if z == 0 && r.fault.Down(r.now) {
 			continue
--- a/internal/lab/zonelab/zones_test.go
+++ b/internal/lab/zonelab/zones_test.go
@@ -265,8 +265,8 @@
 // isolateZone partitions a zone's agents and server from all others.
 func (w *zoneTest) isolateZone(zone string, agents ...string) {
 	w.fleet.Partition(agents...)
-	for from, tos := range w.links {
-		for to, l := range tos {
+	for from, byZone := range w.links {
+		for to, l := range byZone {
 			if (from == zone) != (to == zone) {
 				l.Set(faultnet.Drop, 0, 0)
 				l.Reset()
@@ -277,8 +277,8 @@
 
 func (w *zoneTest) heal() {
 	w.fleet.Partition()
-	for _, tos := range w.links {
-		for _, l := range tos {
+	for _, byZone := range w.links {
+		for _, l := range byZone {
 			l.Set(faultnet.Pass, 0, 0)
 			l.Reset()
 		}
