--- a/internal/lab/labcli/rollout.go
+++ b/internal/lab/labcli/rollout.go
@@ -41,7 +41,7 @@
 // run makes the measurement.
 func (c rolloutMeasureCommand) run(ctx context.Context, bin, dir string, out io.Writer) error {
 	return rolloutlab.Measurement{Bin: bin, Dir: dir, Hollow: c.Agents, Real: c.Real, Changes: c.Changes, Faults: c.Faults,
-		Seed: c.Seed, Delay: c.Delay, Hour: c.Hour}.Run(ctx, out)
+		Seed: c.Seed, Delay: c.Delay, RegionCut: c.Hour}.Run(ctx, out)
 }
 
 // run plays the schedules and prints a summary.
@@ -49,15 +49,15 @@
 	t := scheduleSummary{out: out}
 	stood, all := 0, hdrhistogram.New(1, 300_000, 3) // ms
 	playSeeds(ctx, c.Seed, c.Count, c.Parallel, dir, func(seed uint64, where string) {
-		r, err := rolloutlab.Schedule{Seed: seed, Hollow: c.Agents, Real: c.Real, Steps: c.Steps, Hour: c.Hour, Only: c.Only}.Play(ctx, bin, where)
-		t.add(seed, r.Faults, r.Took, errors.Join(r.Err(), err), func() string {
-			stood += r.Puts[rolloutlab.Stood]
-			for _, s := range r.Spreads {
-				if n := len(s.Agents); n > 0 {
-					all.RecordValue(s.Agents[n-1].Milliseconds())
+		r, err := rolloutlab.Schedule{Seed: seed, Hollow: c.Agents, Real: c.Real, Steps: c.Steps, RegionCut: c.Hour, Only: c.Only}.Run(ctx, bin, where)
+		t.add(seed, r.Faults, r.Elapsed, errors.Join(r.Err(), err), func() string {
+			stood += r.Puts[rolloutlab.Committed]
+			for _, s := range r.Propagations {
+				if n := len(s.Delays); n > 0 {
+					all.RecordValue(s.Delays[n-1].Milliseconds())
 				}
 			}
-			for _, slow := range r.Slow() {
+			for _, slow := range r.SlowChanges() {
 				fmt.Fprintf(out, "seed %d: slow: %s\n", seed, slow)
 			}
 			return fmt.Sprintf("puts %v, calls lost %d of %d", r.Puts, r.Calls.Lost, r.Calls.Calls)
--- a/internal/lab/labcli/scale.go
+++ b/internal/lab/labcli/scale.go
@@ -27,7 +27,7 @@
 func (c scaleCommand) run(ctx context.Context, command, bin, dir string, out, errs io.Writer) error {
 	switch command {
 	case "scale hollow":
-		return scalelab.Helper(os.Stdin, out, slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: slog.LevelError})))
+		return scalelab.RunHelper(os.Stdin, out, slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: slog.LevelError})))
 	case "scale fit <files>":
 		return c.Fit.run(out)
 	}
@@ -79,7 +79,7 @@
 		return errors.New("--delay: the least and the most")
 	}
 	printHeader(out)
-	var sizes []scalelab.Size
+	var sizes []scalelab.Result
 	var failed error
 	for _, n := range c.Agents {
 		p := plan
@@ -88,12 +88,12 @@
 		if err := os.MkdirAll(r.Dir, 0o750); err != nil {
 			return err
 		}
-		s, err := r.Play(ctx)
+		s, err := r.Execute(ctx)
 		if err != nil {
 			s.Err = err.Error()
 			failed = errors.Join(failed, fmt.Errorf("%d agents: %w", n, err))
 		}
-		s.Tell(out)
+		s.Print(out)
 		sizes = append(sizes, s)
 		if c.JSON != "" { // written after each size, in case the run is interrupted
 			text, err := json.MarshalIndent(runFigures{Sizes: sizes, Fits: scalelab.Fits(sizes, c.Target)}, "", " ")
@@ -109,12 +109,12 @@
 
 // runFigures are the figures of a run in the file that --json names.
 type runFigures struct {
-	Sizes []scalelab.Size `json:"sizes"`
-	Fits  []scalelab.Fit  `json:"fits"`
+	Sizes []scalelab.Result `json:"sizes"`
+	Fits  []scalelab.Fit    `json:"fits"`
 }
 
 // printFits prints the lines through the sizes, if there are any.
-func printFits(out io.Writer, sizes []scalelab.Size, target int) {
+func printFits(out io.Writer, sizes []scalelab.Result, target int) {
 	fits := scalelab.Fits(sizes, target)
 	if len(fits) == 0 {
 		return
@@ -127,7 +127,7 @@
 
 // run fits lines through the sizes of all files.
 func (c scaleFitCommand) run(out io.Writer) error {
-	var sizes []scalelab.Size
+	var sizes []scalelab.Result
 	for _, path := range c.Files {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	fmt.Fprintln(out, scalelab.Counted)
+	fmt.Fprintln(out, scalelab.Legend)
 	load, _ := os.ReadFile("/proc/loadavg")
 	fmt.Fprintf(out, "# %s %s/%s\n# machine: %d cores, load before %s# began %s\n", runtime.Version(), runtime.GOOS, runtime.GOARCH,
 		runtime.NumCPU(), load, time.Now().UTC().Format(time.RFC3339))
--- a/internal/lab/rolloutlab/authors.go
+++ b/internal/lab/rolloutlab/authors.go
@@ -15,14 +15,14 @@
 	"woodrouter/rollout"
 )
 
-// everyone is the document that all agents have.
-const everyone = "routes@all"
+// routesForAll is the document that all agents have.
+const routesForAll = "routes@all"
 
-// putMost bounds one put of an author.
-const putMost = 8 * time.Second
+// putTimeout bounds one put of an author.
+const putTimeout = 8 * time.Second
 
-// text is a file of per-route limits that every agent's loader takes, and that no other put has.
-func text(tag string, attempts int, marks ...string) string {
+// routesText is a file of per-route limits that every agent's loader takes, and that no other put has.
+func routesText(tag string, attempts int, marks ...string) string {
 	return fmt.Sprintf("# %s %s\nversion: 1\ndefaults:\n  attempt_timeout: deadline\n  attempts: %d\n  retry_spacing: 300ms\n  deadline_share: 1\n",
 		tag, strings.Join(marks, " "), attempts)
 }
@@ -30,14 +30,16 @@
 // author changes documents under a name of its own.
 type author struct {
 	name   string
-	world  *World
+	world  *Fleet
 	client *control.Client
 }
 
-func (w *World) author(name string) *author { return &author{name: name, world: w, client: w.ops} }
+func (w *Fleet) newAuthor(name string) *author {
+	return &author{name: name, world: w, client: w.client}
+}
 
-// through has the author reach some machines only, as one on a side of a cut.
-func (w *World) through(name string, machines ...string) *author {
+// newAuthorVia has the author reach some machines only, as one on a side of a cut.
+func (w *Fleet) newAuthorVia(name string, machines ...string) *author {
 	at := map[string]string{}
 	for _, id := range machines {
 		at[id] = w.machines[id].client
@@ -45,15 +47,15 @@
 	return &author{name: name, world: w, client: control.NewClient(at)}
 }
 
-// next is a text that nobody put yet.
-func (a *author) next(marks ...string) string {
-	n := a.world.texts.Add(1)
-	return text(fmt.Sprintf("%s-%d", a.name, n), int(2+n%4), marks...)
+// nextText is a text that nobody put yet.
+func (a *author) nextText(marks ...string) string {
+	n := a.world.textCount.Add(1)
+	return routesText(fmt.Sprintf("%s-%d", a.name, n), int(2+n%4), marks...)
 }
 
 // put tries once and enters what came of it.
 func (a *author) put(ctx context.Context, p Put) Put {
-	ctx, cancel := context.WithTimeout(ctx, putMost)
+	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	name, err := rollout.ParseName(p.Name)
 	if err != nil {
@@ -64,78 +66,78 @@
 		e.Text = []byte(p.Text)
 	}
 	h := a.world.History
-	p.Author, p.Called = a.name, h.Now()
+	p.Author, p.CalledAt = a.name, h.Now()
 	p.Revision, err = a.client.Put(ctx, e)
-	p.Told = h.Now()
+	p.AnsweredAt = h.Now()
 	switch {
 	case err == nil:
-		p.Outcome = Stood
+		p.Outcome = Committed
 	case errors.Is(err, rollout.ErrConflict):
 		p.Outcome, p.Revision = Conflict, 0
 	case errors.Is(err, rollout.ErrEntry):
 		p.Outcome, p.Revision = Refused, 0
 	case errors.Is(err, quorum.ErrNoQuorum):
-		p.Outcome, p.Revision = NotTaken, 0
+		p.Outcome, p.Revision = NoQuorum, 0
 	default:
 		p.Outcome, p.Revision = Unknown, 0
 	}
-	h.Put(p)
+	h.RecordPut(p)
 	return p
 }
 
-// head is the document's latest revision, as the leader last said.
-func (w *World) head(name string) uint64 {
+// latestRevision is the document's latest revision, as the leader last said.
+func (w *Fleet) latestRevision(name string) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.heads[name]
+	return w.latestRevisions[name]
 }
 
 // change puts until the change stands; what others changed meanwhile is written over.
 func (a *author) change(ctx context.Context, p Put) (Put, error) {
 	marks := p.Text
 	for {
-		if leader, err := a.world.Leader(ctx); err == nil {
-			a.world.look(ctx, leader)
+		if leader, err := a.world.AwaitLeader(ctx); err == nil {
+			a.world.readDocuments(ctx, leader)
 		}
-		p.Base = a.world.head(p.Name)
-		if p.Text = a.next(marks); p.Remove {
+		p.Base = a.world.latestRevision(p.Name)
+		if p.Text = a.nextText(marks); p.Remove {
 			p.Text = ""
 		}
 		done := a.put(ctx, p)
-		if done.Outcome == Stood {
+		if done.Outcome == Committed {
 			return done, nil
 		}
 		if ctx.Err() != nil {
-			return done, fmt.Errorf("%s by %s does not stand: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.world.states())
+			return done, fmt.Errorf("%s by %s does not stand: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.world.describeMachines())
 		}
 		lab.Sleep(ctx, 50*time.Millisecond)
 	}
 }
 
-// small are documents for a part of the hollow agents, changed beside the faults.
-var small = []string{"spread@zone/z2", "spread@zone/z5", "failover@zone/z3", "failover@service/svc02"}
+// partialDocuments are documents for a part of the hollow agents, changed beside the faults.
+var partialDocuments = []string{"spread@zone/z2", "spread@zone/z5", "failover@zone/z3", "failover@service/svc02"}
 
-// atWork changes small documents until stop: now and then two authors at once on one base, now
+// changeInBackground changes small documents until stop: now and then two authors at once on one base, now
 // and then on one that has passed.
-func (w *World) atWork(ctx context.Context, rng *rand.Rand, run int, stop <-chan struct{}) {
-	ann, bob := w.author(fmt.Sprintf("ann%d", run)), w.author(fmt.Sprintf("bob%d", run))
+func (w *Fleet) changeInBackground(ctx context.Context, rng *rand.Rand, run int, stop <-chan struct{}) {
+	ann, bob := w.newAuthor(fmt.Sprintf("ann%d", run)), w.newAuthor(fmt.Sprintf("bob%d", run))
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(500 * time.Millisecond):
 		}
-		p := Put{Name: small[rng.IntN(len(small))]}
-		if p.Base = w.head(p.Name); rng.IntN(5) == 0 {
+		p := Put{Name: partialDocuments[rng.IntN(len(partialDocuments))]}
+		if p.Base = w.latestRevision(p.Name); rng.IntN(5) == 0 {
 			p.Base /= 2
 		}
 		var both sync.WaitGroup
 		if rng.IntN(4) == 0 {
 			q := p
-			q.Text = bob.next()
+			q.Text = bob.nextText()
 			both.Go(func() { bob.put(ctx, q) })
 		}
-		p.Text = ann.next()
+		p.Text = ann.nextText()
 		ann.put(ctx, p)
 		both.Wait()
 	}
--- a/internal/lab/rolloutlab/lab_test.go
+++ b/internal/lab/rolloutlab/lab_test.go
@@ -30,12 +30,12 @@
 	for name, only := range runs {
 		dir := t.TempDir()
 		both.Go(func() { // both at once also where there is one processor: they wait most of the time
-			r, err := Schedule{Seed: 3, Hollow: 20, Real: 2, Only: only, Delay: 30 * time.Millisecond, Hour: 2 * time.Second}.Play(context.Background(), bin, dir)
+			r, err := Schedule{Seed: 3, Hollow: 20, Real: 2, Only: only, Delay: 30 * time.Millisecond, RegionCut: 2 * time.Second}.Run(context.Background(), bin, dir)
 			assert.NoError(t, errors.Join(r.Err(), err), name)
 			for i, f := range r.Faults {
-				t.Logf("%s: %v", f, r.Times[i])
+				t.Logf("%s: %v", f, r.FaultDurations[i])
 			}
-			t.Logf("%s: %v: puts %v, %d changes everywhere, calls %+v", name, r.Took, r.Puts, len(r.Spreads), r.Calls)
+			t.Logf("%s: %v: puts %v, %d changes everywhere, calls %+v", name, r.Elapsed, r.Puts, len(r.Propagations), r.Calls)
 		})
 	}
 	both.Wait()
--- a/internal/lab/rolloutlab/world.go
+++ b/internal/lab/rolloutlab/world.go
@@ -29,14 +29,14 @@
 	"woodrouter/rollout"
 )
 
-// Plan is what a world is started with.
-type Plan struct {
-	Bin, Dir string
-	Hollow   int // agents that are a watcher and a recording loader
-	Real     int // agents that are processes with callers
-	Seed     uint64
-	Delay    time.Duration // between the regions, each way
-	Spread   time.Duration // period by which the real agents spread their load by way of the machines; 0: they don't
+// Config is what a world is started with.
+type Config struct {
+	Bin, Dir     string
+	Hollow       int // agents that are a watcher and a recording loader
+	Real         int // agents that are processes with callers
+	Seed         uint64
+	Delay        time.Duration // between the regions, each way
+	SpreadPeriod time.Duration // period by which the real agents spread their load by way of the machines; 0: they don't
 }
 
 // The fleet's shape: five zones in two regions, 27 services; three control machines that vote and
@@ -55,29 +55,29 @@
 // Real agents are in two zones, one in each region: documents of the others are for hollow agents.
 var realZones = []string{"z1", "z4"}
 
-// World is machines and agents, and the links between them.
-type World struct {
-	Plan
+// Fleet is machines and agents, and the links between them.
+type Fleet struct {
+	Config
 	History *History
 
-	machines map[string]*machine
-	raft     faultnet.Mesh                        // between machines: the log
-	peers    faultnet.Mesh                        // between machines: reports
-	links    map[string]map[string]*faultnet.Link // from a zone's agents to a machine
-	hollow   []*hollow
-	crew     *cluster.Cluster
-	calls    *emulator.Callers
-	ops      *control.Client
-	stop     context.CancelFunc
-	work     sync.WaitGroup
-	texts    atomic.Int64 // written so far, by all authors
-
-	mu      sync.Mutex
-	cuts    []func(a, b string) bool
-	dropped map[*faultnet.Link]bool
-	leader  string            // as the machines said last
-	heads   map[string]uint64 // latest revision of each document, as the leader said last
-	known   map[string]string // machine and document -> what its history was read at
+	machines     map[string]*machine
+	raftLinks    faultnet.Mesh                        // between machines: the log
+	reportLinks  faultnet.Mesh                        // between machines: reports
+	agentLinks   map[string]map[string]*faultnet.Link // from a zone's agents to a machine
+	hollowAgents []*hollowAgent
+	cluster      *cluster.Cluster
+	callers      *emulator.Callers
+	client       *control.Client
+	stop         context.CancelFunc
+	work         sync.WaitGroup
+	textCount    atomic.Int64 // written so far, by all authors
+
+	mu              sync.Mutex
+	cuts            []func(a, b string) bool
+	dropped         map[*faultnet.Link]bool
+	leader          string            // as the machines said last
+	latestRevisions map[string]uint64 // latest revision of each document, as the leader said last
+	historyReadAt   map[string]string // machine and document -> what its history was read at
 }
 
 // machine is a control machine.
@@ -88,15 +88,15 @@
 }
 
 // Start starts the machines, waits until they have a leader, and starts the agents.
-func Start(ctx context.Context, p Plan) (*World, error) {
-	w := &World{Plan: p, machines: map[string]*machine{}, links: map[string]map[string]*faultnet.Link{},
-		dropped: map[*faultnet.Link]bool{}, heads: map[string]uint64{}, known: map[string]string{}}
+func Start(ctx context.Context, p Config) (*Fleet, error) {
+	w := &Fleet{Config: p, machines: map[string]*machine{}, agentLinks: map[string]map[string]*faultnet.Link{},
+		dropped: map[*faultnet.Link]bool{}, latestRevisions: map[string]uint64{}, historyReadAt: map[string]string{}}
 	var agents []rollout.Agent
 	for i := range p.Hollow {
 		z := zones[i%len(zones)]
 		a := rollout.Agent{Name: fmt.Sprintf("h%d", i), Service: fmt.Sprintf("svc%02d", (i/len(zones))%services+1), Zone: z, Region: regionOf[z]}
 		agents = append(agents, a)
-		w.hollow = append(w.hollow, &hollow{Agent: a, world: w, dir: filepath.Join(p.Dir, a.Name)})
+		w.hollowAgents = append(w.hollowAgents, &hollowAgent{Agent: a, world: w, dir: filepath.Join(p.Dir, a.Name)})
 	}
 	for i := range p.Real {
 		agents = append(agents, realAgent(i))
@@ -117,11 +117,11 @@
 	return rollout.Agent{Name: fmt.Sprintf("a%d", i), Service: "lessons", Zone: z, Region: regionOf[z]}
 }
 
-// startMost bounds the start of a world on a busy machine.
-const startMost = 90 * time.Second
+// startTimeout bounds the start of a world on a busy machine.
+const startTimeout = 90 * time.Second
 
-func (w *World) start(ctx, run context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startMost)
+func (w *Fleet) start(ctx, run context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := w.startMachines(); err != nil {
 		return err
@@ -130,27 +130,27 @@
 	for id, m := range w.machines {
 		clients[id] = m.client
 	}
-	w.ops = control.NewClient(clients)
+	w.client = control.NewClient(clients)
 	for _, id := range machineNames {
-		w.work.Go(func() { w.observe(run, id) })
+		w.work.Go(func() { w.pollMachine(run, id) })
 	}
 	first, done := context.WithTimeout(ctx, lab.StepTimeout)
 	defer done()
-	if _, err := w.Leader(first); err != nil {
+	if _, err := w.AwaitLeader(first); err != nil {
 		return err
 	}
 	if w.Real > 0 {
-		if err := w.startCrew(ctx, run); err != nil {
+		if err := w.startRealAgents(ctx, run); err != nil {
 			return err
 		}
 	}
-	err := each(w.hollow, func(a *hollow) error { return a.start() })
-	w.reach()
+	err := forEach(w.hollowAgents, func(a *hollowAgent) error { return a.start() })
+	w.updateReachable()
 	return err
 }
 
-// each does something for all, some at once.
-func each[T any](all []T, do func(T) error) error {
+// forEach does something for all, some at once.
+func forEach[T any](all []T, do func(T) error) error {
 	next, errs := make(chan T), make(chan error, len(all))
 	var work sync.WaitGroup
 	for range 16 {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (w *World) startMachines() error {
+func (w *Fleet) startMachines() error {
 	host, err := faultnet.NewHost()
 	if err != nil {
 		return err
@@ -197,14 +197,14 @@
 		w.machines[id] = &machine{id: id, raft: at[0], client: at[1], console: at[2], live: true}
 		raft[id], client[id] = at[0], at[1]
 	}
-	if w.raft, err = faultnet.NewMesh(raft, w.Seed); err == nil {
-		w.peers, err = faultnet.NewMesh(client, w.Seed+100)
+	if w.raftLinks, err = faultnet.NewMesh(raft, w.Seed); err == nil {
+		w.reportLinks, err = faultnet.NewMesh(client, w.Seed+100)
 	}
 	for i, z := range zones {
-		w.links[z] = map[string]*faultnet.Link{}
+		w.agentLinks[z] = map[string]*faultnet.Link{}
 		for j, id := range machineNames {
 			if err == nil {
-				w.links[z][id], err = faultnet.NewLink(client[id], w.Seed+uint64(200+10*i+j))
+				w.agentLinks[z][id], err = faultnet.NewLink(client[id], w.Seed+uint64(200+10*i+j))
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	w.relink()
+	w.updateLinks()
 	for _, m := range w.machines {
 		if err := w.launch(m); err != nil {
 			return err
@@ -221,11 +221,11 @@
 	return nil
 }
 
-// calm are timers with which a busy machine's pauses don't cost the group its leader, as lab.Calm.
-var calm = map[string]string{"heartbeat": lab.SlowTiming.Heartbeat, "election": lab.SlowTiming.Election, "lease": lab.SlowTiming.Lease}
+// slowTiming are timers with which a busy machine's pauses don't cost the group its leader, as lab.Calm.
+var slowTiming = map[string]string{"heartbeat": lab.SlowTiming.Heartbeat, "election": lab.SlowTiming.Election, "lease": lab.SlowTiming.Lease}
 
 // launch writes a machine's file and starts it.
-func (w *World) launch(m *machine) error {
+func (w *Fleet) launch(m *machine) error {
 	links, peers := map[string]string{}, map[string]string{}
 	var boot []map[string]any
 	for _, id := range machineNames {
@@ -233,11 +233,11 @@
 		boot = append(boot, map[string]any{"id": id, "raft": o.raft, "voter": slices.Contains(voters, id)})
 		peers[id] = o.client
 		if id != m.id {
-			links[o.raft], peers[id] = w.raft[m.id][id].Addr(), w.peers[m.id][id].Addr()
+			links[o.raft], peers[id] = w.raftLinks[m.id][id].Addr(), w.reportLinks[m.id][id].Addr()
 		}
 	}
 	text, err := yaml.Marshal(map[string]any{"id": m.id, "raft": m.raft, "client": m.client, "data": filepath.Join(w.Dir, m.id),
-		"bootstrap": boot, "links": links, "snapshot": map[string]any{"entries": 64}, "timing": calm,
+		"bootstrap": boot, "links": links, "snapshot": map[string]any{"entries": 64}, "timing": slowTiming,
 		"rollout": map[string]any{"console": m.console, "peers": peers}})
 	if err != nil {
 		return err
@@ -253,33 +253,33 @@
 }
 
 // machinesFor is the machines as the agents of a zone reach them.
-func (w *World) machinesFor(zone string) (out []watcher.Machine) {
+func (w *Fleet) machinesFor(zone string) (out []watcher.Machine) {
 	for _, id := range machineNames {
-		out = append(out, watcher.Machine{ID: id, Client: w.links[zone][id].Addr(), Region: regionOf[id], Zone: machineZones[id]})
+		out = append(out, watcher.Machine{ID: id, Client: w.agentLinks[zone][id].Addr(), Region: regionOf[id], Zone: machineZones[id]})
 	}
 	return out
 }
 
-// startCrew starts the real agents with callers at work, and watches what they have in force.
-func (w *World) startCrew(ctx, run context.Context) (err error) {
+// startRealAgents starts the real agents with callers at work, and watches what they have in force.
+func (w *Fleet) startRealAgents(ctx, run context.Context) (err error) {
 	d := emulator.Campus()
 	dir := filepath.Join(w.Dir, "crew")
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
-	w.crew, err = cluster.Start(ctx, cluster.Config{Bin: w.Bin, Dir: dir, Deployment: d, Agents: w.Real, Servers: 3, Seed: w.Seed, Env: w.file})
+	w.cluster, err = cluster.Start(ctx, cluster.Config{Bin: w.Bin, Dir: dir, Deployment: d, Agents: w.Real, Servers: 3, Seed: w.Seed, Env: w.writeAgentFiles})
 	if err != nil {
 		return err
 	}
-	w.calls = w.crew.StartCallers(run, emulator.Load{Rates: emulator.UnevenRates(w.Real, 0.5*d.Total(3), w.Seed), Seed: w.Seed, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
+	w.callers = w.cluster.StartCallers(run, emulator.Load{Rates: emulator.UnevenRates(w.Real, 0.5*d.Total(3), w.Seed), Seed: w.Seed, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
 	for i := range w.Real {
-		w.work.Go(func() { w.follow(run, i) })
+		w.work.Go(func() { w.pollAgent(run, i) })
 	}
 	return nil
 }
 
-// file writes a real agent's file of the rollout.
-func (w *World) file(c *cluster.Cluster, i int) ([]string, error) {
+// writeAgentFiles writes a real agent's file of the rollout.
+func (w *Fleet) writeAgentFiles(c *cluster.Cluster, i int) ([]string, error) {
 	a := realAgent(i)
 	text, err := yaml.Marshal(map[string]any{"service": a.Service, "zone": a.Zone, "region": a.Region,
 		"data": filepath.Join(c.Dir, a.Name+".rollout"), "machines": w.machinesFor(a.Zone)})
@@ -287,10 +287,10 @@
 		return nil, err
 	}
 	path := filepath.Join(c.Dir, a.Name+"-rollout.yaml")
-	if err := os.WriteFile(path, text, 0o600); err != nil || w.Spread == 0 {
+	if err := os.WriteFile(path, text, 0o600); err != nil || w.SpreadPeriod == 0 {
 		return []string{"WOODROUTER_ROLLOUT=" + path}, err
 	}
-	if text, err = yaml.Marshal(map[string]any{"mode": "control", "service": a.Service, "period": w.Spread.String(), "machines": w.machinesFor(a.Zone)}); err != nil {
+	if text, err = yaml.Marshal(map[string]any{"mode": "control", "service": a.Service, "period": w.SpreadPeriod.String(), "machines": w.machinesFor(a.Zone)}); err != nil {
 		return nil, err
 	}
 	spread := filepath.Join(c.Dir, a.Name+"-spread.yaml")
@@ -298,35 +298,35 @@
 }
 
 // region tells whose side a zone's agents or a machine are on.
-func across(a, b string) bool { return regionOf[a] != regionOf[b] }
+func inDifferentRegions(a, b string) bool { return regionOf[a] != regionOf[b] }
 
-func (w *World) severed(a, b string) bool {
+func (w *Fleet) isCut(a, b string) bool {
 	return slices.ContainsFunc(w.cuts, func(cut func(a, b string) bool) bool { return cut(a, b) || cut(b, a) })
 }
 
 // Cut cuts the links between zones and machines that are picked, beside what is cut already.
-func (w *World) Cut(pick func(a, b string) bool) {
+func (w *Fleet) Cut(pick func(a, b string) bool) {
 	w.mu.Lock()
 	w.cuts = append(w.cuts, pick)
 	w.mu.Unlock()
-	w.relink()
+	w.updateLinks()
 }
 
 // Heal makes all links whole.
-func (w *World) Heal() {
+func (w *Fleet) Heal() {
 	w.mu.Lock()
 	w.cuts = nil
 	w.mu.Unlock()
-	w.relink()
+	w.updateLinks()
 }
 
-// relink has every link as the cuts say, and tells the history who is within reach now.
-func (w *World) relink() {
+// updateLinks has every link as the cuts say, and tells the history who is within reach now.
+func (w *Fleet) updateLinks() {
 	w.mu.Lock()
 	set := func(l *faultnet.Link, from, to string) {
-		drop := w.severed(from, to)
+		drop := w.isCut(from, to)
 		mode, delay := faultnet.Pass, time.Duration(0)
-		if across(from, to) {
+		if inDifferentRegions(from, to) {
 			delay = w.Delay
 		}
 		if drop {
@@ -338,7 +338,7 @@
 			w.dropped[l] = drop
 		}
 	}
-	for _, mesh := range []map[string]map[string]*faultnet.Link{w.raft, w.peers, w.links} {
+	for _, mesh := range []map[string]map[string]*faultnet.Link{w.raftLinks, w.reportLinks, w.agentLinks} {
 		for from, tos := range mesh {
 			for to, l := range tos {
 				set(l, from, to)
@@ -346,48 +346,48 @@
 		}
 	}
 	w.mu.Unlock()
-	w.reach()
+	w.updateReachable()
 }
 
-// alive notes that a machine runs, or does not.
-func (w *World) alive(id string, on bool) {
+// setLive notes that a machine runs, or does not.
+func (w *Fleet) setLive(id string, on bool) {
 	w.mu.Lock()
 	w.machines[id].live = on
 	w.mu.Unlock()
-	w.reach()
+	w.updateReachable()
 }
 
-// reach tells the history which agents are within reach: those of a zone with a whole link to a
+// updateReachable tells the history which agents are within reach: those of a zone with a whole link to a
 // machine that runs and is with a majority of the voters.
-func (w *World) reach() {
+func (w *Fleet) updateReachable() {
 	if w.History == nil {
 		return
 	}
 	w.mu.Lock()
-	with := w.majority()
+	with := w.withMajority()
 	zone := map[string]bool{}
 	for _, z := range zones {
-		zone[z] = slices.ContainsFunc(with, func(id string) bool { return !w.severed(z, id) })
+		zone[z] = slices.ContainsFunc(with, func(id string) bool { return !w.isCut(z, id) })
 	}
 	w.mu.Unlock()
-	for _, a := range w.hollow {
-		w.History.Away(a.Name, !zone[a.Zone] || !a.up())
+	for _, a := range w.hollowAgents {
+		w.History.SetUnreachable(a.Name, !zone[a.Zone] || !a.running())
 	}
 	for i := range w.Real {
 		a := realAgent(i)
-		w.History.Away(a.Name, !zone[a.Zone] || w.crew == nil || !w.crew.Procs[i].Running())
+		w.History.SetUnreachable(a.Name, !zone[a.Zone] || w.cluster == nil || !w.cluster.Procs[i].Running())
 	}
 }
 
-// majority is the machines that run and reach, directly, a majority of voters that run and reach one another.
-func (w *World) majority() (out []string) {
+// withMajority is the machines that run and reach, directly, a majority of voters that run and reach one another.
+func (w *Fleet) withMajority() (out []string) {
 	for _, id := range machineNames {
 		if !w.machines[id].live {
 			continue
 		}
 		n := 0
 		for _, v := range voters {
-			if w.machines[v].live && (v == id || !w.severed(id, v)) {
+			if w.machines[v].live && (v == id || !w.isCut(id, v)) {
 				n++
 			}
 		}
@@ -398,24 +398,24 @@
 	return out
 }
 
-// lookEvery is the pause between two looks at a machine.
-const lookEvery = 150 * time.Millisecond
+// machinePollInterval is the pause between two looks at a machine.
+const machinePollInterval = 150 * time.Millisecond
 
-// observe reads a machine's documents, again where something changed, until ctx ends.
-func (w *World) observe(ctx context.Context, id string) {
+// pollMachine reads a machine's documents, again where something changed, until ctx ends.
+func (w *Fleet) pollMachine(ctx context.Context, id string) {
 	for ctx.Err() == nil {
-		w.look(ctx, id)
-		lab.Sleep(ctx, lookEvery)
+		w.readDocuments(ctx, id)
+		lab.Sleep(ctx, machinePollInterval)
 	}
 }
 
-// askMost bounds one question to a machine: a stalled one says nothing.
-const askMost = time.Second
+// requestTimeout bounds one question to a machine: a stalled one says nothing.
+const requestTimeout = time.Second
 
-func (w *World) look(ctx context.Context, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, askMost)
+func (w *Fleet) readDocuments(ctx context.Context, id string) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	v, err := w.ops.Overview(ctx, id, "")
+	v, err := w.client.Overview(ctx, id, "")
 	if err != nil {
 		return err
 	}
@@ -428,33 +428,33 @@
 		name := n.Latest.Name.String()
 		at := fmt.Sprint(n.Latest.Revision, n.Latest.Stage)
 		w.mu.Lock()
-		fresh := w.known[id+name] != at
+		fresh := w.historyReadAt[id+name] != at
 		if v.State == "Leader" {
-			w.heads[name] = n.Latest.Revision
+			w.latestRevisions[name] = n.Latest.Revision
 		}
 		w.mu.Unlock()
 		if !fresh {
 			continue
 		}
-		one, err := w.ops.Overview(ctx, id, name)
+		one, err := w.client.Overview(ctx, id, name)
 		if err != nil {
 			return err
 		}
 		for _, o := range one.Names {
 			if o.Latest.Name.String() == name {
-				w.History.Logged(id, o.History)
+				w.History.RecordRevisions(id, o.History)
 				at = fmt.Sprint(o.Latest.Revision, o.Latest.Stage)
 			}
 		}
 		w.mu.Lock()
-		w.known[id+name] = at
+		w.historyReadAt[id+name] = at
 		w.mu.Unlock()
 	}
 	return nil
 }
 
-// Leader waits until a machine that runs says that it leads, and names it.
-func (w *World) Leader(ctx context.Context, but ...string) (string, error) {
+// AwaitLeader waits until a machine that runs says that it leads, and names it.
+func (w *Fleet) AwaitLeader(ctx context.Context, but ...string) (string, error) {
 	for {
 		for _, id := range voters {
 			w.mu.Lock()
@@ -463,84 +463,84 @@
 			if !live {
 				continue
 			}
-			if s, err := w.status(ctx, id); err == nil && s.State == "Leader" {
+			if s, err := w.overview(ctx, id); err == nil && s.State == "Leader" {
 				return id, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("no leader: %w: %s", ctx.Err(), w.states())
+			return "", fmt.Errorf("no leader: %w: %s", ctx.Err(), w.describeMachines())
 		case <-time.After(30 * time.Millisecond):
 		}
 	}
 }
 
-func (w *World) status(ctx context.Context, id string) (control.OverviewReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askMost)
+func (w *Fleet) overview(ctx context.Context, id string) (control.OverviewReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	return w.ops.Overview(ctx, id, "")
+	return w.client.Overview(ctx, id, "")
 }
 
-// states is what each machine says of itself, for a step that did not end.
-func (w *World) states() string {
+// describeMachines is what each machine says of itself, for a step that did not end.
+func (w *Fleet) describeMachines() string {
 	var out []string
 	for _, id := range machineNames {
-		s, err := w.status(context.Background(), id)
+		s, err := w.overview(context.Background(), id)
 		out = append(out, fmt.Sprintf("%s runs %v: %s, leader %s, applied %d (%v)", id, w.machines[id].Running(), s.State, s.Leader, s.Applied, err))
 	}
 	return strings.Join(out, "; ")
 }
 
-// Settled waits until these documents, or all, stand everywhere and every agent within reach has
+// AwaitSettled waits until these documents, or all, stand everywhere and every agent within reach has
 // what stands.
-func (w *World) Settled(ctx context.Context, names ...string) error {
-	ctx, cancel := context.WithTimeout(ctx, settleMost)
+func (w *Fleet) AwaitSettled(ctx context.Context, names ...string) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	last := ""
 	for {
-		if last = w.unsettled(ctx, names); last == "" {
+		if last = w.firstUnsettled(ctx, names); last == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not settled in %v: %s; %s", settleMost, last, w.states())
+			return fmt.Errorf("not settled in %v: %s; %s", settleTimeout, last, w.describeMachines())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// settleMost bounds what a settling is waited for; whether it came in time the history tells.
-const settleMost = 3 * Within
+// settleTimeout bounds what a settling is waited for; whether it came in time the history tells.
+const settleTimeout = 3 * PropagationLimit
 
-// unsettled names what is not everywhere yet.
-func (w *World) unsettled(ctx context.Context, names []string) string {
-	leader, err := w.Leader(ctx)
+// firstUnsettled names what is not everywhere yet.
+func (w *Fleet) firstUnsettled(ctx context.Context, names []string) string {
+	leader, err := w.AwaitLeader(ctx)
 	if err != nil {
 		return err.Error()
 	}
-	if err := w.look(ctx, leader); err != nil {
+	if err := w.readDocuments(ctx, leader); err != nil {
 		return err.Error()
 	}
 	if names == nil {
 		w.mu.Lock()
-		names = slices.Sorted(maps.Keys(w.heads))
+		names = slices.Sorted(maps.Keys(w.latestRevisions))
 		w.mu.Unlock()
 	}
 	for _, name := range names {
-		r, ok := w.History.Standing(name)
+		r, ok := w.History.Latest(name)
 		if !ok {
 			return fmt.Sprintf("%s: %d by %s is %s", name, r.Revision, r.Author, r.Stage)
 		}
-		if lacking := w.lacking(r); len(lacking) > 0 {
+		if lacking := w.agentsLacking(r); len(lacking) > 0 {
 			return fmt.Sprintf("%s: %d is not at %d agents: %v", name, r.Revision, len(lacking), lacking[:min(len(lacking), 5)])
 		}
 	}
 	return ""
 }
 
-func (w *World) lacking(r rollout.Revision) (out []string) {
+func (w *Fleet) agentsLacking(r rollout.Revision) (out []string) {
 	for _, a := range w.History.agents {
-		if w.History.Reached(a.Name) && !w.History.Has(a.Name, r) {
+		if w.History.Reachable(a.Name) && !w.History.HasRevision(a.Name, r) {
 			out = append(out, a.Name)
 		}
 	}
@@ -549,7 +549,7 @@
 }
 
 // Logs is every machine's log, for a failed run.
-func (w *World) Logs() (out string) {
+func (w *Fleet) Logs() (out string) {
 	for _, id := range machineNames {
 		if m := w.machines[id]; m != nil && m.Proc != nil {
 			out += m.Log()
@@ -559,20 +559,20 @@
 }
 
 // Close ends everything.
-func (w *World) Close() {
+func (w *Fleet) Close() {
 	w.stop()
-	for _, a := range w.hollow {
+	for _, a := range w.hollowAgents {
 		a.cancel()
 	}
-	for _, a := range w.hollow {
+	for _, a := range w.hollowAgents {
 		a.wait()
 	}
-	if w.calls != nil {
-		w.calls.Wait()
+	if w.callers != nil {
+		w.callers.Wait()
 	}
 	w.work.Wait()
-	if w.crew != nil {
-		w.crew.Close()
+	if w.cluster != nil {
+		w.cluster.Close()
 	}
 	var down sync.WaitGroup
 	for _, m := range w.machines {
@@ -581,10 +581,10 @@
 		}
 	}
 	down.Wait()
-	if w.ops != nil {
-		w.ops.Close()
+	if w.client != nil {
+		w.client.Close()
 	}
-	for _, mesh := range []faultnet.Mesh{w.raft, w.peers, w.links} {
+	for _, mesh := range []faultnet.Mesh{w.raftLinks, w.reportLinks, w.agentLinks} {
 		for _, tos := range mesh {
 			for _, l := range tos {
 				if l != nil {
--- a/internal/lab/scalelab/config_test.go
+++ b/internal/lab/scalelab/config_test.go
@@ -20,8 +20,8 @@
 	"woodrouter/rollout"
 )
 
-// byHand is a stand-in for a control machine, whose watches end when the test says so.
-type byHand struct {
+// manualMachine is a stand-in for a control machine, whose watches end when the test says so.
+type manualMachine struct {
 	mu       sync.Mutex
 	version  uint64
 	doc      *rollout.Document
@@ -30,17 +30,17 @@
 	asked    map[string]int
 	answered map[string]int
 	open     map[string]int
-	most     int // watches of one agent at once
+	maxOpen  int // watches of one agent at once
 	last     map[string]rollout.WatchArgs
 }
 
 // Watch answers an agent's first at once, as a machine does one that has nothing.
-func (b *byHand) Watch(args rollout.WatchArgs, r *rollout.WatchReply) error {
+func (b *manualMachine) Watch(args rollout.WatchArgs, r *rollout.WatchReply) error {
 	name := args.Report.Agent.Name
 	b.mu.Lock()
 	b.asked[name]++
 	b.open[name]++
-	b.most = max(b.most, b.open[name])
+	b.maxOpen = max(b.maxOpen, b.open[name])
 	b.last[name] = args
 	expired, changed := b.expired, b.changed
 	lacks := b.doc != nil && args.Have[b.doc.Name.String()] < b.doc.Revision
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func (b *byHand) end(what *chan struct{}) {
+func (b *manualMachine) endWatches(what *chan struct{}) {
 	close(*what)
 	*what = make(chan struct{})
 }
@@ -73,7 +73,7 @@
 func TestConfigMessages(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const agents = 8
-	b := &byHand{version: 1, expired: make(chan struct{}), changed: make(chan struct{}),
+	b := &manualMachine{version: 1, expired: make(chan struct{}), changed: make(chan struct{}),
 		asked: map[string]int{}, answered: map[string]int{}, open: map[string]int{}, last: map[string]rollout.WatchArgs{}}
 	srv := rpc.NewServer()
 	require.NoError(t, srv.RegisterName("Rollout", b))
@@ -92,12 +92,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	all := make([]*watcher.Watcher, agents)
-	hollows := make([]*hollow, agents)
+	hollows := make([]*hollowAgent, agents)
 	for i := range all {
-		hollows[i] = newHollow(&Deal{Places: make([]Place, agents)}, i, slog.New(slog.DiscardHandler))
+		hollows[i] = newHollowAgent(&HelperConfig{Places: make([]Identity, agents)}, i, slog.New(slog.DiscardHandler))
 		all[i], err = watcher.Open(watcher.Config{Patience: "1m", Grace: "10s", Data: t.TempDir(),
 			Machines: []watcher.Machine{{ID: "c1", Client: ln.Addr().String()}}},
-			rollout.Agent{Name: fmt.Sprint("a", i), Service: "s1", Zone: "z1", Region: "r1"}, configKinds, loads{hollows[i]}, slog.New(slog.DiscardHandler))
+			rollout.Agent{Name: fmt.Sprint("a", i), Service: "s1", Zone: "z1", Region: "r1"}, configKinds, recordingLoader{hollows[i]}, slog.New(slog.DiscardHandler))
 		require.NoError(t, err)
 		work.Go(func() { all[i].Run(ctx) })
 	}
@@ -106,7 +106,7 @@
 		work.Wait()
 		ln.Close()
 		b.mu.Lock()
-		b.end(&b.expired)
+		b.endWatches(&b.expired)
 		b.mu.Unlock()
 		serving.Wait()
 	}()
@@ -116,8 +116,8 @@
 			defer b.mu.Unlock()
 			for i, w := range all {
 				name := fmt.Sprint("a", i)
-				if b.asked[name] != asked || b.answered[name] != asked-1 || b.open[name] != 1 || w.InForce()[revised] != revision ||
-					revision > 0 && b.last[name].Report.Seen[revised+"@all"] != revision {
+				if b.asked[name] != asked || b.answered[name] != asked-1 || b.open[name] != 1 || w.InForce()[revisedKind] != revision ||
+					revision > 0 && b.last[name].Report.Seen[revisedKind+"@all"] != revision {
 					return false
 				}
 			}
@@ -132,7 +132,7 @@
 	const watchMost, idleMost, body = 512, 256, 4096 // bytes; a body beside an idle answer
 	sent, received := settled(2, 0)
 	asked, revision := 2, uint64(0)
-	name, err := rollout.ParseName(revised + "@all")
+	name, err := rollout.ParseName(revisedKind + "@all")
 	require.NoError(t, err)
 	for step, change := range []bool{true, false, false, true, false} {
 		b.mu.Lock()
@@ -142,10 +142,10 @@
 			b.version = revision
 			text := make([]byte, body)
 			b.doc = &rollout.Document{Name: name, Revision: revision, Text: text, Sum: rollout.Sum(text)}
-			b.end(&b.changed)
+			b.endWatches(&b.changed)
 			most += body
 		} else {
-			b.end(&b.expired)
+			b.endWatches(&b.expired)
 		}
 		b.mu.Unlock()
 		asked++
@@ -156,11 +156,11 @@
 		}
 		sent, received = s, r
 	}
-	require.Equal(t, 1, b.most)
+	require.Equal(t, 1, b.maxOpen)
 }
 
-// TestPlayConfig: a small run with real control machines ends with everybody at the same revision.
-func TestPlayConfig(t *testing.T) {
+// TestRunConfig: a small run with real control machines ends with everybody at the same revision.
+func TestRunConfig(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	self, err := os.Executable()
 	require.NoError(t, err)
@@ -169,9 +169,9 @@
 	p := Plan{Agents: 8, Services: 2, Parts: []string{Config}, By: ByFleet, Servers: 10, PerProcess: 4, Delay: [2]time.Duration{time.Millisecond, 2 * time.Millisecond},
 		Span: 3 * time.Second, Warm: time.Second, Seed: 1} // a watch lasts 2.2 s at most
 	r := Run{Plan: p, Self: self, Bin: bin, Dir: t.TempDir(), Log: testLog{t}}
-	s, err := r.Play(t.Context())
+	s, err := r.Execute(t.Context())
 	require.NoError(t, err)
-	s.Tell(testLog{t})
+	s.Print(testLog{t})
 	for _, k := range s.Knew {
 		require.Equal(t, k.Of, k.Reached, "%s", k)
 	}
--- a/internal/lab/scalelab/control.go
+++ b/internal/lab/scalelab/control.go
@@ -24,26 +24,26 @@
 var machines = []watcher.Machine{{ID: "c1", Region: "r1", Zone: "z1"}, {ID: "c2", Region: "r1", Zone: "z2"},
 	{ID: "c3", Region: "r2", Zone: "z4"}, {ID: "c4", Region: "r2", Zone: "z5"}}
 
-const witness = "c4" // has the log, and no vote
+const nonVoter = "c4" // has the log, and no vote
 
 // The ports on each machine's own address.
 const (
-	machineRaft    = 7601
-	machineClient  = 7501
-	machineConsole = 7602
+	machineRaftPort    = 7601
+	machineClientPort  = 7501
+	machineConsolePort = 7602
 )
 
-// controls are the machines that keep the configuration, each its own process of the program.
-type controls struct {
-	procs  map[string]*faultnet.Proc
-	client *control.Client
-	last   uint64 // the latest revision of the document that is waited for
+// controlCluster are the machines that keep the configuration, each its own process of the program.
+type controlCluster struct {
+	procs        map[string]*faultnet.Proc
+	client       *control.Client
+	lastRevision uint64 // the latest revision of the document that is waited for
 }
 
-// startControls starts them, with a proxy on every way between the regions, and tells in the deal
+// startControlCluster starts them, with a proxy on every way between the regions, and tells in the deal
 // where agents of each region reach them.
-func startControls(r *Run, delay func() time.Duration) (*controls, error) {
-	c := &controls{procs: map[string]*faultnet.Proc{}}
+func startControlCluster(r *Run, delay func() time.Duration) (*controlCluster, error) {
+	c := &controlCluster{procs: map[string]*faultnet.Proc{}}
 	at := func(i, port int) string { return net.JoinHostPort(r.octet.Host(3+i), strconv.Itoa(port)) }
 	// far is an address as it is reached from the other region.
 	far := func(addr string) (string, error) {
@@ -59,37 +59,37 @@
 		return l.Addr(), nil
 	}
 	direct := map[string]string{}
-	r.deal.Machines = map[string][]watcher.Machine{}
+	r.helperConfig.Machines = map[string][]watcher.Machine{}
 	farRaft, farClient := map[string]string{}, map[string]string{}
 	var boot []quorum.Peer
 	for i, m := range machines {
 		var err error
-		if farRaft[m.ID], err = far(at(i, machineRaft)); err != nil {
+		if farRaft[m.ID], err = far(at(i, machineRaftPort)); err != nil {
 			return c, err
 		}
-		if farClient[m.ID], err = far(at(i, machineClient)); err != nil {
+		if farClient[m.ID], err = far(at(i, machineClientPort)); err != nil {
 			return c, err
 		}
-		direct[m.ID] = at(i, machineClient)
-		votes := m.ID != witness
-		boot = append(boot, quorum.Peer{ID: m.ID, Raft: at(i, machineRaft), Voter: &votes})
+		direct[m.ID] = at(i, machineClientPort)
+		votes := m.ID != nonVoter
+		boot = append(boot, quorum.Peer{ID: m.ID, Raft: at(i, machineRaftPort), Voter: &votes})
 		for _, region := range []string{"r1", "r2"} {
 			seen := m
 			if seen.Client = direct[m.ID]; region != m.Region {
 				seen.Client = farClient[m.ID]
 			}
-			r.deal.Machines[region] = append(r.deal.Machines[region], seen)
+			r.helperConfig.Machines[region] = append(r.helperConfig.Machines[region], seen)
 		}
 	}
 	for i, m := range machines {
-		f := control.Config{Rollout: control.RolloutConfig{Console: at(i, machineConsole), Peers: map[string]string{}}}
-		f.ID, f.Raft, f.Client, f.Data, f.Bootstrap, f.Links = m.ID, at(i, machineRaft), at(i, machineClient), filepath.Join(r.Dir, m.ID), boot, map[string]string{}
+		f := control.Config{Rollout: control.RolloutConfig{Console: at(i, machineConsolePort), Peers: map[string]string{}}}
+		f.ID, f.Raft, f.Client, f.Data, f.Bootstrap, f.Links = m.ID, at(i, machineRaftPort), at(i, machineClientPort), filepath.Join(r.Dir, m.ID), boot, map[string]string{}
 		f.Timing = quorum.TimingConfig{Heartbeat: "1s", Election: "1s", Commit: "20ms", Lease: "500ms"}
 		for j, o := range machines {
 			f.Rollout.Peers[o.ID] = direct[o.ID]
 			if o.Region != m.Region {
 				f.Rollout.Peers[o.ID] = farClient[o.ID]
-				f.Links[at(j, machineRaft)] = farRaft[o.ID]
+				f.Links[at(j, machineRaftPort)] = farRaft[o.ID]
 			}
 		}
 		text, err := yaml.Marshal(f)
@@ -109,7 +109,7 @@
 	return c, nil
 }
 
-func (c *controls) close() {
+func (c *controlCluster) close() {
 	for _, p := range c.procs {
 		p.Kill()
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// text is a document of a size.
-func text(size int, mark string) []byte {
+// documentText is a document of a size.
+func documentText(size int, mark string) []byte {
 	line := []byte("# " + mark + ": a line of a file of routes, as long as they are there\n")
 	return bytes.Repeat(line, size/len(line)+1)[:size]
 }
@@ -128,14 +128,14 @@
 var documents = []struct {
 	name string
 	size int
-}{{revised + "@all", 4096}, {"spread@all", 400}, {"failover@region/r2", 1500}, {"spread@service/s1", 400}}
+}{{revisedKind + "@all", 4096}, {"spread@all", 400}, {"failover@region/r2", 1500}, {"spread@service/s1", 400}}
 
-// putMost bounds a change's way into the log.
-const putMost = 20 * time.Second
+// putTimeout bounds a change's way into the log.
+const putTimeout = 20 * time.Second
 
 // put puts a document, at once or, while there is no leader yet, as soon as there is one.
-func (c *controls) put(ctx context.Context, name string, base uint64, body []byte) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, putMost)
+func (c *controlCluster) put(ctx context.Context, name string, base uint64, body []byte) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	n, err := rollout.ParseName(name)
 	if err != nil {
@@ -150,59 +150,59 @@
 	}
 }
 
-// first puts the first documents and waits until all agents have them.
-func (c *controls) first(ctx context.Context, r *Run, s *Size) error {
+// putFirst puts the first documents and waits until all agents have them.
+func (c *controlCluster) putFirst(ctx context.Context, r *Run, s *Result) error {
 	began := time.Now()
 	for _, d := range documents {
-		n, err := c.put(ctx, d.name, 0, text(d.size, "first"))
+		n, err := c.put(ctx, d.name, 0, documentText(d.size, "first"))
 		if err != nil {
 			return fmt.Errorf("%s: %w\n%s", d.name, err, c.logs())
 		}
-		if strings.HasPrefix(d.name, revised) {
-			c.last = n
+		if strings.HasPrefix(d.name, revisedKind) {
+			c.lastRevision = n
 		}
 	}
-	s.Knew = append(s.Knew, r.waitOne(ctx, "start: the first revision, by its first stage (config)", "revision", r.wantRevision(c.last), began, eventMost))
+	s.Knew = append(s.Knew, r.waitOne(ctx, "start: the first revision, by its first stage (config)", "revision", r.wantRevision(c.lastRevision), began, eventTimeout))
 	return nil
 }
 
 func (r *Run) wantRevision(n uint64) map[int]int64 {
 	out := map[int]int64{}
-	for g := range r.groups() {
+	for g := range r.groupSizes() {
 		out[g] = int64(n)
 	}
 	return out
 }
 
-// change puts another revision and waits until it is in force at all agents.
-func (c *controls) change(ctx context.Context, r *Run, s *Size) error {
-	before, began := c.look(), time.Now()
-	n, err := c.put(ctx, revised+"@all", c.last, text(4096, "changed"))
+// putChange puts another revision and waits until it is in force at all agents.
+func (c *controlCluster) putChange(ctx context.Context, r *Run, s *Result) error {
+	before, began := c.usage(), time.Now()
+	n, err := c.put(ctx, revisedKind+"@all", c.lastRevision, documentText(4096, "changed"))
 	if err != nil {
 		return fmt.Errorf("a change: %w\n%s", err, c.logs())
 	}
-	c.last = n
+	c.lastRevision = n
 	s.Notes = append(s.Notes, fmt.Sprintf("the change was committed after %.2f s", time.Since(began).Seconds()))
-	s.Knew = append(s.Knew, r.waitOne(ctx, "a revision put: in force, by a first stage with a dwell of 1 s (config)", "revision", r.wantRevision(n), began, eventMost))
+	s.Knew = append(s.Knew, r.waitOne(ctx, "a revision put: in force, by a first stage with a dwell of 1 s (config)", "revision", r.wantRevision(n), began, eventTimeout))
 	took := time.Since(began).Seconds()
-	after := c.look()
+	after := c.usage()
 	for _, m := range machines {
 		x := after[m.ID].since(before[m.ID], took, m.ID)
 		s.Notes = append(s.Notes, fmt.Sprintf("%s during the change (%.1f s): sent %.0f B/s, received %.0f B/s, %.2f %% of a core", m.ID, took, x.Sent, x.Received, 100*x.Core))
 	}
-	if err := c.settled(ctx, r); err != nil {
+	if err := c.awaitSettled(ctx, r); err != nil {
 		s.Notes = append(s.Notes, err.Error())
 	}
 	return nil
 }
 
-// settled waits until no stage is open any more: a change behind it would wait for it.
-func (c *controls) settled(ctx context.Context, r *Run) error {
-	end := time.Now().Add(eventMost / 2)
+// awaitSettled waits until no stage is open any more: a change behind it would wait for it.
+func (c *controlCluster) awaitSettled(ctx context.Context, r *Run) error {
+	end := time.Now().Add(eventTimeout / 2)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		open := false
 		for _, m := range machines {
-			o, err := c.client.Overview(ctx, m.ID, revised+"@all")
+			o, err := c.client.Overview(ctx, m.ID, revisedKind+"@all")
 			if err != nil || len(o.Names) != 1 || o.Names[0].Latest.Stage != rollout.StageEverywhere {
 				open = true
 			}
@@ -212,22 +212,22 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("a stage was still open after %v", eventMost/2)
+	return fmt.Errorf("a stage was still open after %v", eventTimeout/2)
 }
 
-func (c *controls) logs() (out string) {
+func (c *controlCluster) logs() (out string) {
 	for _, p := range c.procs {
 		out += p.Log()
 	}
 	return out
 }
 
-// look is what each machine's process has taken so far.
-func (c *controls) look() map[string]machineLook {
-	out := map[string]machineLook{}
+// usage is what each machine's process has taken so far.
+func (c *controlCluster) usage() map[string]processUsage {
+	out := map[string]processUsage{}
 	for name, p := range c.procs {
 		if pid := p.PID(); pid > 0 {
-			out[name] = lookAt(pid)
+			out[name] = readProcessUsage(pid)
 		}
 	}
 	return out
--- a/internal/lab/scalelab/helper.go
+++ b/internal/lab/scalelab/helper.go
@@ -17,58 +17,58 @@
 	"github.com/hashicorp/go-metrics"
 )
 
-// Order is what the measurement asks of a helper process, one JSON line each, in turn.
-type Order struct {
+// Request is what the measurement asks of a helper process, one JSON line each, in turn.
+type Request struct {
 	Do    string        // start, look, until, announce
 	Agent int           // start: this one alone; -1: all but the spare
-	Until []Until       // until: looked at together, so that none is seen late for another's sake
+	Until []Condition   // until: looked at together, so that none is seen late for another's sake
 	Most  time.Duration // until: the bound
 	Value int64         // announce: the epoch
 }
 
-// Until is something that a process's agents are to come to.
-type Until struct {
+// Condition is something that a process's agents are to come to.
+type Condition struct {
 	What string        // members, spread, zones, follows, or a mark's name
 	Want map[int]int64 // by group; groups not named are not waited for
 }
 
-// Answer answers an order.
-type Answer struct {
-	Error string `json:",omitempty"`
-	Look  *Look  `json:",omitempty"`
-	Until []Came `json:",omitempty"` // until: of each, in the order asked
+// Response answers an order.
+type Response struct {
+	Error string     `json:",omitempty"`
+	Look  *Usage     `json:",omitempty"`
+	Until []Progress `json:",omitempty"` // until: of each, in the order asked
 }
 
-// Came is what a process's agents came to.
-type Came struct {
+// Progress is what a process's agents came to.
+type Progress struct {
 	Reached map[int]int64 // by agent, Unix µs; 0: not within the bound
 	Saw     map[int]int64 // the latest figure
 }
 
-// Look is what a helper process counts, all of it since its start.
-type Look struct {
+// Usage is what a helper process counts, all of it since its start.
+type Usage struct {
 	CPUUs               int64 // user and system time (getrusage)
 	RSS, Peak           int64 // bytes (/proc/self/status)
 	FileIn, FileOut     int64 // bytes of read and write calls, those of orders and answers taken off: streams, and files of deciders
 	GossipIn, GossipOut int64 // bytes of datagrams of all memberships (memberlist's own counters)
 	Streams             int64 // bytes that memberships sent by stream, part of FileOut
-	Agents              map[int]Counts
+	Agents              map[int]AgentCounts
 }
 
-// Counts are an agent's.
-type Counts struct {
+// AgentCounts are an agent's.
+type AgentCounts struct {
 	Datagrams, Bytes map[string]int64 // of its memberships, sent, by part
 	In, Out          map[string]int64 // bytes by part where the code counts both ways
 	Views            int64            // of the steward, heard
 	Alive            int64            // thought alive by the first membership
 }
 
-// Helper is the main of a helper process: it plays its hollow agents until its input ends.
-func Helper(in io.Reader, out io.Writer, log *slog.Logger) error {
-	pipe := &counter{r: in, w: out}
+// RunHelper is the main of a helper process: it plays its hollow agents until its input ends.
+func RunHelper(in io.Reader, out io.Writer, log *slog.Logger) error {
+	pipe := &countingPipe{r: in, w: out}
 	lines := bufio.NewReader(pipe)
 	orders := json.NewDecoder(lines)
-	var d Deal
+	var d HelperConfig
 	if err := orders.Decode(&d); err != nil {
 		return fmt.Errorf("scale: the deal: %w", err)
 	}
@@ -78,29 +78,29 @@
 	if _, err := metrics.NewGlobal(c, sink); err != nil {
 		return err
 	}
-	w := &helper{deal: &d, log: log, agents: map[int]*hollow{}, sink: sink, pipe: pipe}
+	w := &helper{config: &d, log: log, agents: map[int]*hollowAgent{}, sink: sink, pipe: pipe}
 	defer w.stop()
 	answers := json.NewEncoder(pipe)
 	for {
-		var o Order
+		var o Request
 		switch err := orders.Decode(&o); {
 		case err == io.EOF:
 			return nil
 		case err != nil:
 			return err
 		}
-		if err := answers.Encode(w.carryOut(o)); err != nil {
+		if err := answers.Encode(w.handle(o)); err != nil {
 			return err
 		}
 	}
 }
 
 type helper struct {
-	deal   *Deal
+	config *HelperConfig
 	log    *slog.Logger
-	agents map[int]*hollow
+	agents map[int]*hollowAgent
 	sink   *gossipSink
-	pipe   *counter
+	pipe   *countingPipe
 }
 
 func (w *helper) stop() {
@@ -111,46 +111,46 @@
 	all.Wait()
 }
 
-func (w *helper) carryOut(o Order) Answer {
+func (w *helper) handle(o Request) Response {
 	switch o.Do {
 	case "start":
-		return w.start(o.Agent)
+		return w.startAgents(o.Agent)
 	case "look":
-		return Answer{Look: w.look()}
+		return Response{Look: w.usage()}
 	case "until":
-		return w.until(o)
+		return w.awaitConditions(o)
 	case "announce":
 		if h := w.agents[o.Agent]; h != nil && h.list != nil {
 			h.list.AnnounceEpoch(uint64(o.Value))
 		}
-		return Answer{}
+		return Response{}
 	}
-	return Answer{Error: "no such order: " + o.Do}
+	return Response{Error: "no such order: " + o.Do}
 }
 
-func (w *helper) start(one int) Answer {
-	for _, i := range w.deal.Mine {
-		if one >= 0 && i != one || one < 0 && i == w.deal.Agents {
+func (w *helper) startAgents(one int) Response {
+	for _, i := range w.config.Mine {
+		if one >= 0 && i != one || one < 0 && i == w.config.Agents {
 			continue
 		}
-		h := newHollow(w.deal, i, w.log)
+		h := newHollowAgent(w.config, i, w.log)
 		if err := h.start(); err != nil {
-			return Answer{Error: fmt.Sprintf("agent %s: %v", h.Name, err)}
+			return Response{Error: fmt.Sprintf("agent %s: %v", h.Name, err)}
 		}
 		w.agents[i] = h
-		time.Sleep(w.deal.Pace)
+		time.Sleep(w.config.Pace)
 	}
-	return Answer{}
+	return Response{}
 }
 
-// untilEvery lies between two looks at what is no mark: asking a membership costs it.
-const untilEvery = 25 * time.Millisecond
+// conditionPollInterval lies between two looks at what is no mark: asking a membership costs it.
+const conditionPollInterval = 25 * time.Millisecond
 
-func (w *helper) until(o Order) Answer {
-	a := Answer{Until: make([]Came, len(o.Until))}
+func (w *helper) awaitConditions(o Request) Response {
+	a := Response{Until: make([]Progress, len(o.Until))}
 	left := make([]int, len(o.Until))
 	for k := range a.Until {
-		a.Until[k] = Came{Reached: map[int]int64{}, Saw: map[int]int64{}}
+		a.Until[k] = Progress{Reached: map[int]int64{}, Saw: map[int]int64{}}
 	}
 	end := time.Now().Add(o.Most)
 	for turn := 0; ; turn++ {
@@ -158,19 +158,19 @@
 		for k, u := range o.Until {
 			// Zones are a list of all with their metadata each time: not at every turn.
 			if turn == 0 || left[k] > 0 && (u.What != Zones || turn%8 == 0 || last) {
-				left[k] = w.came(u, a.Until[k])
+				left[k] = w.updateProgress(u, a.Until[k])
 			}
 			sum += left[k]
 		}
 		if sum == 0 || last {
 			return a
 		}
-		time.Sleep(untilEvery)
+		time.Sleep(conditionPollInterval)
 	}
 }
 
-// came looks at the agents that have not come to something yet, and tells how many have not still.
-func (w *helper) came(u Until, c Came) (left int) {
+// updateProgress looks at the agents that have not come to something yet, and tells how many have not still.
+func (w *helper) updateProgress(u Condition, c Progress) (left int) {
 	for i, h := range w.agents {
 		want, asked := u.Want[h.Group]
 		if !asked || c.Reached[i] != 0 {
@@ -189,7 +189,7 @@
 }
 
 // figure is what an agent has come to, and since when as far as that is known.
-func (h *hollow) figure(what string) (int64, time.Time) {
+func (h *hollowAgent) figure(what string) (int64, time.Time) {
 	switch what {
 	case Members:
 		return int64(h.list.Size()), time.Now()
@@ -214,11 +214,11 @@
 		return int64(h.placer.Plan().AtUs), time.Now()
 	}
 	m := h.reached(what)
-	return m.n, m.at
+	return m.value, m.at
 }
 
-func (w *helper) look() *Look {
-	l := &Look{Agents: map[int]Counts{}}
+func (w *helper) usage() *Usage {
+	l := &Usage{Agents: map[int]AgentCounts{}}
 	for i, h := range w.agents {
 		l.Agents[i] = h.counts()
 	}
@@ -234,8 +234,8 @@
 	return l
 }
 
-func (h *hollow) counts() Counts {
-	c := Counts{Datagrams: map[string]int64{}, Bytes: map[string]int64{}, In: map[string]int64{}, Out: map[string]int64{}, Views: h.views.Load()}
+func (h *hollowAgent) counts() AgentCounts {
+	c := AgentCounts{Datagrams: map[string]int64{}, Bytes: map[string]int64{}, In: map[string]int64{}, Out: map[string]int64{}, Views: h.views.Load()}
 	if h.list != nil {
 		c.Datagrams[Members], c.Bytes[Members], _ = h.list.Traffic()
 		c.Alive = int64(h.list.Size())
@@ -271,20 +271,20 @@
 	return out
 }
 
-// counter counts what orders and answers take of the process's reads and writes.
-type counter struct {
+// countingPipe counts what orders and answers take of the process's reads and writes.
+type countingPipe struct {
 	r       io.Reader
 	w       io.Writer
 	in, out atomic.Int64
 }
 
-func (c *counter) Read(b []byte) (int, error) {
+func (c *countingPipe) Read(b []byte) (int, error) {
 	n, err := c.r.Read(b)
 	c.in.Add(int64(n))
 	return n, err
 }
 
-func (c *counter) Write(b []byte) (int, error) {
+func (c *countingPipe) Write(b []byte) (int, error) {
 	n, err := c.w.Write(b)
 	c.out.Add(int64(n))
 	return n, err
--- a/internal/lab/scalelab/list.go
+++ b/internal/lab/scalelab/list.go
@@ -12,65 +12,65 @@
 	"woodrouter/internal/faultnet"
 )
 
-// List is a stand-in for the bulletin: it tells agents of setup servers by long poll, counts what
+// ServerList is a stand-in for the bulletin: it tells agents of setup servers by long poll, counts what
 // each agent's connections carry, and may stand some milliseconds away. It is the platform's, so
 // what it costs is nobody's here.
-type List struct {
+type ServerList struct {
 	Addr string
-	// ByHand has no patience end by the clock: Expire ends it.
-	ByHand bool
+	// ManualExpiry has no patience end by the clock: Expire ends it.
+	ManualExpiry bool
 
 	srv  *http.Server
 	done chan struct{}
 
 	mu      sync.Mutex
 	items   []any
-	news    chan struct{} // closed at each change
+	changed chan struct{} // closed at each change
 	expired chan struct{} // closed where all patience ends
-	tally   map[string]*Watch
+	watches map[string]*WatchStats
 }
 
-// Watch is what one agent's watch came to, by its source address.
-type Watch struct {
+// WatchStats is what one agent's watch came to, by its source address.
+type WatchStats struct {
 	Asked, Answered    int
 	InFlight, MostOpen int   // watches open now, and at most at once
 	In, Out            int64 // bytes the list got and sent, heads and all, without TCP's and IP's own
 }
 
-// NewList listens on a host. gate tells the delay between an agent and the list, by its host; nil:
+// NewServerList listens on a host. gate tells the delay between an agent and the list, by its host; nil:
 // there is none.
-func NewList(host string, gate func(host string) *faultnet.WrappedLink) (*List, error) {
+func NewServerList(host string, gate func(host string) *faultnet.WrappedLink) (*ServerList, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	l := &List{Addr: ln.Addr().String(), news: make(chan struct{}), expired: make(chan struct{}), tally: map[string]*Watch{}, done: make(chan struct{})}
+	l := &ServerList{Addr: ln.Addr().String(), changed: make(chan struct{}), expired: make(chan struct{}), watches: map[string]*WatchStats{}, done: make(chan struct{})}
 	l.srv = &http.Server{Handler: l}
 	go func() {
 		defer close(l.done)
-		l.srv.Serve(&counting{ln, l, gate})
+		l.srv.Serve(&countingListener{ln, l, gate})
 	}()
 	return l, nil
 }
 
 // Close ends all watches.
-func (l *List) Close() {
+func (l *ServerList) Close() {
 	l.srv.Close()
 	<-l.done
 }
 
-// Tell adds an event: the whole list, or what has changed in it.
-func (l *List) Tell(whole bool, endpoints []map[string]any) {
+// AddEvent adds an event: the whole list, or what has changed in it.
+func (l *ServerList) AddEvent(whole bool, endpoints []map[string]any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	no := len(l.items) + 1
 	l.items = append(l.items, map[string]any{"no": no, "roster": map[string]any{"index": no, "snapshot": whole, "endpoints": endpoints}})
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Expire ends the patience of all open watches.
-func (l *List) Expire() {
+// ExpireWatches ends the patience of all open watches.
+func (l *ServerList) ExpireWatches() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.expired)
@@ -78,46 +78,46 @@
 }
 
 // Watches are a copy of the tally.
-func (l *List) Watches() map[string]Watch {
+func (l *ServerList) Watches() map[string]WatchStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[string]Watch{}
-	for host, w := range l.tally {
+	out := map[string]WatchStats{}
+	for host, w := range l.watches {
 		out[host] = *w
 	}
 	return out
 }
 
-func (l *List) of(host string) *Watch {
-	w := l.tally[host]
+func (l *ServerList) watchOf(host string) *WatchStats {
+	w := l.watches[host]
 	if w == nil {
-		w = &Watch{}
-		l.tally[host] = w
+		w = &WatchStats{}
+		l.watches[host] = w
 	}
 	return w
 }
 
-func (l *List) note(addr string, what func(w *Watch)) {
+func (l *ServerList) updateWatch(addr string, what func(w *WatchStats)) {
 	host, _, _ := net.SplitHostPort(addr)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	what(l.of(host))
+	what(l.watchOf(host))
 }
 
 // ServeHTTP answers one watch.
-func (l *List) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (l *ServerList) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	patience, _ := strconv.Atoi(r.URL.Query().Get("patience"))
 	var news, expired <-chan struct{}
 	var n int
-	l.note(r.RemoteAddr, func(w *Watch) { // at one moment: who sees it in flight may end it
+	l.updateWatch(r.RemoteAddr, func(w *WatchStats) { // at one moment: who sees it in flight may end it
 		w.Asked++
 		w.InFlight++
 		w.MostOpen = max(w.MostOpen, w.InFlight)
-		news, expired, n = l.news, l.expired, len(l.items)
+		news, expired, n = l.changed, l.expired, len(l.items)
 	})
 	var ends <-chan time.Time
-	if !l.ByHand {
+	if !l.ManualExpiry {
 		t := time.NewTimer(time.Duration(patience) * time.Millisecond)
 		defer t.Stop()
 		ends = t.C
@@ -128,7 +128,7 @@
 		case <-expired:
 		case <-ends:
 		case <-r.Context().Done():
-			l.note(r.RemoteAddr, func(w *Watch) { w.InFlight-- })
+			l.updateWatch(r.RemoteAddr, func(w *WatchStats) { w.InFlight-- })
 			return
 		}
 	}
@@ -136,49 +136,49 @@
 	items := l.items[min(after, len(l.items)):]
 	n = len(l.items)
 	l.mu.Unlock()
-	l.note(r.RemoteAddr, func(w *Watch) { // before the answer leaves: the next watch may come at once
+	l.updateWatch(r.RemoteAddr, func(w *WatchStats) { // before the answer leaves: the next watch may come at once
 		w.InFlight--
 		w.Answered++
 	})
 	json.NewEncoder(out).Encode(map[string]any{"no": n, "items": append([]any{}, items...)})
 }
 
-// counting counts what its connections carry, and leads them through their gates.
-type counting struct {
+// countingListener counts what its connections carry, and leads them through their gates.
+type countingListener struct {
 	net.Listener
-	list *List
-	gate func(host string) *faultnet.WrappedLink
+	list      *ServerList
+	delayLink func(host string) *faultnet.WrappedLink
 }
 
-func (c *counting) Accept() (net.Conn, error) {
+func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	from := conn.RemoteAddr().String()
-	if c.gate != nil {
+	if c.delayLink != nil {
 		host, _, _ := net.SplitHostPort(from)
-		if g := c.gate(host); g != nil {
+		if g := c.delayLink(host); g != nil {
 			conn = g.Wrap(conn)
 		}
 	}
-	return &counted{conn, from, c.list}, nil
+	return &countingConn{conn, from, c.list}, nil
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	from string
-	list *List
+	list *ServerList
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.list.note(c.from, func(w *Watch) { w.In += int64(n) })
+	c.list.updateWatch(c.from, func(w *WatchStats) { w.In += int64(n) })
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	c.list.note(c.from, func(w *Watch) { w.Out += int64(len(b)) })
+func (c *countingConn) Write(b []byte) (int, error) {
+	c.list.updateWatch(c.from, func(w *WatchStats) { w.Out += int64(len(b)) })
 	return c.Conn.Write(b)
 }
 
--- a/internal/lab/scalelab/plan.go
+++ b/internal/lab/scalelab/plan.go
@@ -40,8 +40,8 @@
 
 // Bounds of a run on this machine.
 const (
-	MostProcesses = 300
-	MostMemory    = 11 << 30 // bytes, of all processes of a run
+	MaxProcesses = 300
+	MaxMemory    = 11 << 30 // bytes, of all processes of a run
 )
 
 // Plan is one run: what agents there are, and what of control they do.
@@ -87,11 +87,11 @@
 	case p.PerProcess < 1 || p.Span <= 0 || p.Servers < 1:
 		return fmt.Errorf("%w: per process, span and servers must be positive", ErrPlan)
 	}
-	if n := len(p.processes(p.places())) + controlMachines + 2; n > MostProcesses {
-		return fmt.Errorf("%w: %d processes; at most %d", ErrPlan, n, MostProcesses)
+	if n := len(p.processes(p.identities())) + controlMachineCount + 2; n > MaxProcesses {
+		return fmt.Errorf("%w: %d processes; at most %d", ErrPlan, n, MaxProcesses)
 	}
-	if need := int64(p.Agents)*agentMost + int64(len(p.processes(p.places())))*processMost; need > MostMemory {
-		return fmt.Errorf("%w: %d MB may be needed; at most %d", ErrPlan, need>>20, MostMemory>>20)
+	if need := int64(p.Agents)*maxAgentMemory + int64(len(p.processes(p.identities())))*maxProcessMemory; need > MaxMemory {
+		return fmt.Errorf("%w: %d MB may be needed; at most %d", ErrPlan, need>>20, MaxMemory>>20)
 	}
 	return nil
 }
@@ -100,23 +100,23 @@
 // most that was seen of an agent (spread and zones at 400 of one membership). A run ends where its
 // processes pass MostMemory all the same.
 const (
-	agentMost   = 10 << 20
-	processMost = 40 << 20
+	maxAgentMemory   = 10 << 20
+	maxProcessMemory = 40 << 20
 )
 
-// controlMachines are what keeps the configuration.
-const controlMachines = 4
+// controlMachineCount are what keeps the configuration.
+const controlMachineCount = 4
 
 func (p Plan) has(part string) bool { return slices.Contains(p.Parts, part) }
 
 // atMachines tells whether the stewards of spread are on the control machines.
 func (p Plan) atMachines() bool { return p.Stewards == AtMachines }
 
-// talk tells whether agents talk among themselves, or of themselves to those of their service.
-func (p Plan) talk() bool { return p.has(Members) || p.has(Spread) || p.has(Zones) }
+// gossips tells whether agents talk among themselves, or of themselves to those of their service.
+func (p Plan) gossips() bool { return p.has(Members) || p.has(Spread) || p.has(Zones) }
 
-// Place is who a hollow agent is.
-type Place struct {
+// Identity is who a hollow agent is.
+type Identity struct {
 	Name, Service, Zone, Region string
 	Group                       int // whom it talks with
 }
@@ -131,9 +131,9 @@
 	return "r2"
 }
 
-// places are the agents and, last, a spare that joins later. The agents of a service lie in the
+// identities are the agents and, last, a spare that joins later. The agents of a service lie in the
 // zones in turn.
-func (p Plan) places() (out []Place) {
+func (p Plan) identities() (out []Identity) {
 	of := map[int]int{}
 	for i := range p.Agents + 1 {
 		service := i % p.Services
@@ -147,7 +147,7 @@
 		}
 		zone := zoneNames[of[service]%len(zoneNames)]
 		of[service]++
-		a := Place{Name: fmt.Sprintf("a%d", i), Service: fmt.Sprintf("s%d", service), Zone: zone, Region: regionOf(zone)}
+		a := Identity{Name: fmt.Sprintf("a%d", i), Service: fmt.Sprintf("s%d", service), Zone: zone, Region: regionOf(zone)}
 		if p.By == ByService {
 			a.Group = service
 		}
@@ -157,7 +157,7 @@
 }
 
 // peers are the agents of a group, without the spare.
-func peers(places []Place, group int) (out []int) {
+func peers(places []Identity, group int) (out []int) {
 	for i, a := range places[:len(places)-1] {
 		if a.Group == group {
 			out = append(out, i)
@@ -171,10 +171,10 @@
 
 // Roles of the agents that are measured in a process of their own.
 const (
-	steward  = "steward"  // told by all of its group (spread)
-	decider  = "decider"  // of its group's control group (zones)
-	ordinary = "ordinary" // none of these, for what sharing a process saves
-	empty    = "empty"    // a process without agents
+	roleSteward  = "steward"  // told by all of its group (spread)
+	roleDecider  = "decider"  // of its group's control group (zones)
+	roleOrdinary = "ordinary" // none of these, for what sharing a process saves
+	roleEmpty    = "empty"    // a process without agents
 )
 
 // process is one helper process and the agents in it.
@@ -187,7 +187,7 @@
 // their own, so that what they cost is known; so has one that is like all others. The rest are dealt
 // out in turn: the first of each group, its seeds and deciders, cost several times what others do,
 // and a process has one core.
-func (p Plan) processes(places []Place) []process {
+func (p Plan) processes(places []Identity) []process {
 	alone := map[int]string{}
 	first := peers(places, 0)
 	if p.has(Spread) && !p.atMachines() {
@@ -196,20 +196,20 @@
 			names = append(names, places[i].Name)
 		}
 		to := spread.StewardAt(names, 0)
-		alone[first[slices.Index(names, to)]] = steward
+		alone[first[slices.Index(names, to)]] = roleSteward
 	}
 	if p.has(Zones) {
 		for _, i := range first[:min(deciders, len(first))] {
-			alone[i] = decider
+			alone[i] = roleDecider
 		}
 	}
 	for last := p.Agents - 1; last >= 0; last-- {
 		if alone[last] == "" {
-			alone[last] = ordinary
+			alone[last] = roleOrdinary
 			break
 		}
 	}
-	out := []process{{Role: empty}}
+	out := []process{{Role: roleEmpty}}
 	var many []int
 	for i := range places[:p.Agents] {
 		if alone[i] == "" {
--- a/internal/lab/scalelab/report.go
+++ b/internal/lab/scalelab/report.go
@@ -25,8 +25,8 @@
 	return Distribution{stat.Mean(x, nil), stat.Quantile(0.5, stat.Empirical, x, nil), stat.Quantile(0.99, stat.Empirical, x, nil), x[len(x)-1]}
 }
 
-// Knew is how long it took until all agents knew of something.
-type Knew struct {
+// Convergence is how long it took until all agents knew of something.
+type Convergence struct {
 	What    string
 	Of      int // agents that were to know
 	Reached int // that did within MostS
@@ -37,7 +37,7 @@
 	Err     string `json:",omitempty"`
 }
 
-func (k Knew) String() string {
+func (k Convergence) String() string {
 	text := fmt.Sprintf("%s: %d of %d, p50 %.2f s, p99 %.2f s, last %.2f s", k.What, k.Reached, k.Of, k.Seconds.P50, k.Seconds.P99, k.Seconds.Max)
 	if k.Reached < k.Of {
 		text += fmt.Sprintf(" (given up after %.0f s; mean share known %.1f %%; %s)", k.MostS, 100*k.Share, strings.Join(k.Lack, ", "))
@@ -58,8 +58,8 @@
 	Datagrams float64 // sent a second
 }
 
-// Size is what one plan's run showed.
-type Size struct {
+// Result is what one plan's run showed.
+type Result struct {
 	Plan
 	Began     time.Time
 	Processes int
@@ -78,15 +78,15 @@
 	Watches                               float64 // of the list, asked an agent a second
 	Views                                 float64 // heard an agent a second
 	Alive                                 Distribution
-	Knew                                  []Knew
+	Knew                                  []Convergence
 	Notes                                 []string
 	Err                                   string `json:",omitempty"`
 }
 
-// figures takes the figures between two looks.
-func (s *Size) figures(r *Run, before, after map[*helperProc]Answer, listBefore, listAfter map[string]Watch) {
+// recordSpan takes the figures between two looks.
+func (s *Result) recordSpan(r *Run, before, after map[*helperProcess]Response, listBefore, listAfter map[string]WatchStats) {
 	type rates struct{ sent, received, core, memory float64 }
-	of := func(h *helperProc) (x rates) {
+	of := func(h *helperProcess) (x rates) {
 		a, b := before[h].Look, after[h].Look
 		if a == nil || b == nil {
 			return x
@@ -98,20 +98,20 @@
 		return x
 	}
 	var base rates
-	for _, h := range r.procs {
-		if h.Role == empty {
+	for _, h := range r.helpers {
+		if h.Role == roleEmpty {
 			base = of(h)
 		}
 	}
-	s.Empty = Cost{Role: empty, Sent: base.sent, Received: base.received, Core: base.core, Memory: base.memory}
+	s.Empty = Cost{Role: roleEmpty, Sent: base.sent, Received: base.received, Core: base.core, Memory: base.memory}
 	var sent, received, core, memory []float64
 	part := map[string]map[string][]float64{"sent": {}, "received": {}, "datagrams": {}}
 	add := func(what, name string, x float64) { part[what][name] = append(part[what][name], x) }
 	var alive []float64
 	views := 0.0
-	for _, h := range r.procs {
+	for _, h := range r.helpers {
 		a, b := before[h].Look, after[h].Look
-		if h.Role == empty || a == nil || b == nil {
+		if h.Role == roleEmpty || a == nil || b == nil {
 			continue
 		}
 		x := of(h)
@@ -130,7 +130,7 @@
 				add("received", name, float64(c.In[name]-was.In[name])/s.SpanS)
 			}
 			if r.has(Discovery) {
-				w, w0 := listAfter[r.deal.Hosts[i]], listBefore[r.deal.Hosts[i]]
+				w, w0 := listAfter[r.helperConfig.Hosts[i]], listBefore[r.helperConfig.Hosts[i]]
 				add("sent", Discovery, float64(w.In-w0.In)/s.SpanS)
 				add("received", Discovery, float64(w.Out-w0.Out)/s.SpanS)
 				s.Watches += float64(w.Asked-w0.Asked) / s.SpanS / float64(r.Agents)
@@ -161,25 +161,25 @@
 	s.PartSent, s.PartReceived, s.PartDatagrams = to("sent"), to("received"), to("datagrams")
 }
 
-// machineLook is what a control machine's process has taken so far.
-type machineLook struct {
+// processUsage is what a control machine's process has taken so far.
+type processUsage struct {
 	CPU     time.Duration
 	Memory  int64
 	In, Out int64 // bytes of its read and write calls: streams, and its files where the log grows
 }
 
 // ticks are of 10 ms in /proc/PID/stat, on Linux for its programs.
-const tick = 10 * time.Millisecond
+const clockTick = 10 * time.Millisecond
 
-// lookAt reads /proc of a process of this run.
-func lookAt(pid int) (m machineLook) {
+// readProcessUsage reads /proc of a process of this run.
+func readProcessUsage(pid int) (m processUsage) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	if stat, err := os.ReadFile(dir + "stat"); err == nil {
 		_, rest, _ := strings.Cut(string(stat), ") ")
 		if f := strings.Fields(rest); len(f) > 12 {
 			user, _ := strconv.ParseInt(f[11], 10, 64)
 			system, _ := strconv.ParseInt(f[12], 10, 64)
-			m.CPU = time.Duration(user+system) * tick
+			m.CPU = time.Duration(user+system) * clockTick
 		}
 	}
 	io := procFields(dir + "io")
@@ -187,33 +187,33 @@
 	return m
 }
 
-func (m machineLook) since(was machineLook, span float64, name string) Cost {
+func (m processUsage) since(was processUsage, span float64, name string) Cost {
 	return Cost{Role: name, Sent: float64(m.Out-was.Out) / span, Received: float64(m.In-was.In) / span,
 		Core: (m.CPU - was.CPU).Seconds() / span, Memory: float64(m.Memory)}
 }
 
-// busy is what the machine's cores and the measurement's own process have worked so far.
-type busy struct {
+// cpuUse is what the machine's cores and the measurement's own process have worked so far.
+type cpuUse struct {
 	at       time.Time
 	all, own time.Duration
 }
 
-func busyNow() busy {
-	b := busy{at: time.Now(), own: lookAt(os.Getpid()).CPU}
+func readCPUUse() cpuUse {
+	b := cpuUse{at: time.Now(), own: readProcessUsage(os.Getpid()).CPU}
 	stat, _ := os.ReadFile("/proc/stat")
 	first, _, _ := strings.Cut(string(stat), "\n")
 	for i, f := range strings.Fields(first) {
 		if i > 0 && i < 8 && i != 4 && i != 5 { // all but idle and waiting for a disk
 			n, _ := strconv.ParseInt(f, 10, 64)
-			b.all += time.Duration(n) * tick
+			b.all += time.Duration(n) * clockTick
 		}
 	}
 	return b
 }
 
-// since words what was worked since then: where nearly all cores are, times are the machine's.
-func (b busy) since() string {
-	now := busyNow()
+// describeSince words what was worked since then: where nearly all cores are, times are the machine's.
+func (b cpuUse) describeSince() string {
+	now := readCPUUse()
 	took := now.at.Sub(b.at).Seconds()
 	return fmt.Sprintf("(%.1f s) the machine worked on %.1f of its %d cores, of that the measurement's own process (proxies, the list, setup servers) %.2f",
 		took, (now.all-b.all).Seconds()/took, runtime.NumCPU(), (now.own-b.own).Seconds()/took)
@@ -226,8 +226,8 @@
 	BudgetBytes  = 20_000
 )
 
-// Counted says what the figures are of.
-const Counted = `# Three figures are mean / p99 / largest. Bytes are those in datagrams and streams, without the headers of UDP, TCP and IP.
+// Legend says what the figures are of.
+const Legend = `# Three figures are mean / p99 / largest. Bytes are those in datagrams and streams, without the headers of UDP, TCP and IP.
 # "An agent among many": of each helper process all that it sent and received (memberlist's counters of datagrams, the
 # process's read and write calls for streams), its time by getrusage and its RSS at the span's end, the empty process's
 # taken off, divided by its agents; p99 and largest are over processes. "By agent": discovery counted at the list, config
@@ -235,8 +235,8 @@
 # "Alone": a process of one agent, or a control machine's (/proc: files where its log grows are in its bytes).
 # An agent with zones and no callers looks at two setup servers of its zone a second; that is in its figures.`
 
-// Tell words a size.
-func (s Size) Tell(out io.Writer) {
+// Print words a size.
+func (s Result) Print(out io.Writer) {
 	skew := ""
 	if s.Skew {
 		skew = ", one service with a third"
@@ -248,15 +248,15 @@
 	}
 	if s.SpanS > 0 {
 		fmt.Fprintf(out, "an agent among many: sent %s B/s, received %s B/s, %s %% of a core, %s KB\n",
-			words(s.Sent, 1), words(s.Received, 1), words(s.Core, 100), words(s.Memory, 1.0/1024))
+			formatDistribution(s.Sent, 1), formatDistribution(s.Received, 1), formatDistribution(s.Core, 100), formatDistribution(s.Memory, 1.0/1024))
 		for _, p := range s.Parts {
 			d := s.PartSent[p]
-			fmt.Fprintf(out, "  %s by agent: sent %s B/s", p, words(d, 1))
+			fmt.Fprintf(out, "  %s by agent: sent %s B/s", p, formatDistribution(d, 1))
 			if d, ok := s.PartReceived[p]; ok {
-				fmt.Fprintf(out, ", received %s B/s", words(d, 1))
+				fmt.Fprintf(out, ", received %s B/s", formatDistribution(d, 1))
 			}
 			if d, ok := s.PartDatagrams[p]; ok {
-				fmt.Fprintf(out, " in datagrams, %s datagrams/s", words(d, 1))
+				fmt.Fprintf(out, " in datagrams, %s datagrams/s", formatDistribution(d, 1))
 			}
 			fmt.Fprintln(out)
 		}
@@ -282,8 +282,8 @@
 	}
 }
 
-// words is mean / p99 / max.
-func words(d Distribution, by float64) string {
+// formatDistribution is mean / p99 / max.
+func formatDistribution(d Distribution, by float64) string {
 	return fmt.Sprintf("%.4g / %.4g / %.4g", by*d.Mean, by*d.P99, by*d.Max)
 }
 
@@ -298,8 +298,8 @@
 	Budget           float64
 }
 
-// FitOf fits a line by least squares.
-func FitOf(what string, sizes, values []float64, target, budget float64) Fit {
+// FitLine fits a line by least squares.
+func FitLine(what string, sizes, values []float64, target, budget float64) Fit {
 	f := Fit{What: what, Sizes: sizes, Values: values, Target: target, Budget: budget}
 	f.Base, f.Slope = stat.LinearRegression(sizes, values, nil, false)
 	f.R2 = stat.RSquared(sizes, values, nil, f.Base, f.Slope)
@@ -330,7 +330,7 @@
 }
 
 // Fits fits the figures of an agent, of those alone and of the control machines over the sizes.
-func Fits(sizes []Size, target int) (out []Fit) {
+func Fits(sizes []Result, target int) (out []Fit) {
 	values := map[string]map[float64]float64{}
 	budgets := map[string]float64{}
 	var order []string
@@ -368,7 +368,7 @@
 			}
 		}
 		if len(x) > 1 {
-			out = append(out, FitOf(what, x, y, float64(target), budgets[what]))
+			out = append(out, FitLine(what, x, y, float64(target), budgets[what]))
 		}
 	}
 	return out
--- a/internal/lab/scalelab/run.go
+++ b/internal/lab/scalelab/run.go
@@ -28,21 +28,21 @@
 	Self, Bin, Dir string
 	Log            io.Writer // what goes on; nil: nowhere
 
-	places  []Place
-	octet   *faultnet.Octet
-	list    *List
-	known   []map[string]any
-	servers map[string][]net.Listener // stand-ins for setup servers by zone
-	links   []*faultnet.Link
-	deal    Deal
-	procs   []*helperProc
-	control *controls
-	dead    map[int]bool
-	busy    busy // at the first agent's start
+	identities   []Identity
+	octet        *faultnet.Octet
+	serverList   *ServerList
+	listed       []map[string]any
+	servers      map[string][]net.Listener // stand-ins for setup servers by zone
+	links        []*faultnet.Link
+	helperConfig HelperConfig
+	helpers      []*helperProcess
+	control      *controlCluster
+	dead         map[int]bool
+	cpuAtStart   cpuUse // at the first agent's start
 }
 
-// helperProc is a helper process.
-type helperProc struct {
+// helperProcess is a helper process.
+type helperProcess struct {
 	process
 	cmd *exec.Cmd
 	in  io.WriteCloser
@@ -50,22 +50,22 @@
 	mu  sync.Mutex // of one order
 }
 
-// eventMost bounds the wait until all know of something.
-const eventMost = 60 * time.Second
+// eventTimeout bounds the wait until all know of something.
+const eventTimeout = 60 * time.Second
 
-// Play plays the plan and measures it. An error that comes with figures is a bounded end: they
+// Execute plays the plan and measures it. An error that comes with figures is a bounded end: they
 // are what was seen until then.
-func (r *Run) Play(ctx context.Context) (Size, error) {
-	s := Size{Plan: r.Plan, Began: time.Now()}
+func (r *Run) Execute(ctx context.Context) (Result, error) {
+	s := Result{Plan: r.Plan, Began: time.Now()}
 	if err := r.Check(); err != nil {
 		return s, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer r.close()
-	err := r.set(ctx)
+	err := r.setUp(ctx)
 	if err == nil {
-		go r.watchMemory(ctx, cancel, slices.Clone(r.procs))
+		go r.watchMemory(ctx, cancel, slices.Clone(r.helpers))
 		err = r.measure(ctx, &s)
 	}
 	if cause := context.Cause(ctx); err != nil && cause != nil {
@@ -74,69 +74,69 @@
 	return s, err
 }
 
-func (r *Run) say(format string, args ...any) {
+func (r *Run) logf(format string, args ...any) {
 	if r.Log != nil {
 		fmt.Fprintf(r.Log, time.Now().Format("15:04:05 ")+format+"\n", args...)
 	}
 }
 
-// set starts everything but the agents.
-func (r *Run) set(ctx context.Context) (err error) {
-	r.places, r.dead = r.Plan.places(), map[int]bool{}
+// setUp starts everything but the agents.
+func (r *Run) setUp(ctx context.Context) (err error) {
+	r.identities, r.dead = r.Plan.identities(), map[int]bool{}
 	if r.octet, err = faultnet.ReserveOctet(); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(r.Seed, 7))
 	delay := func() time.Duration { return r.Delay[0] + time.Duration(rng.Int64N(int64(r.Delay[1]-r.Delay[0])+1)) }
-	r.deal = Deal{Plan: r.Plan, Places: r.places, Via: map[string]string{}, Dir: r.Dir}
+	r.helperConfig = HelperConfig{Plan: r.Plan, Places: r.identities, Via: map[string]string{}, Dir: r.Dir}
 	gates := map[string]*faultnet.WrappedLink{}
-	for i, a := range r.places {
+	for i, a := range r.identities {
 		host := r.octet.Host(i + 10)
-		r.deal.Hosts = append(r.deal.Hosts, host)
+		r.helperConfig.Hosts = append(r.helperConfig.Hosts, host)
 		if r.Delay[1] > 0 && a.Region != regionOf(zoneNames[0]) { // the list and the control machines stand in the first region
 			gates[host] = faultnet.NewWrappedLink()
 			gates[host].Delay(delay())
 		}
 	}
-	if err := r.setServers(); err != nil {
+	if err := r.startServers(); err != nil {
 		return err
 	}
-	if r.list, err = NewList(r.octet.Host(1), func(host string) *faultnet.WrappedLink { return gates[host] }); err != nil {
+	if r.serverList, err = NewServerList(r.octet.Host(1), func(host string) *faultnet.WrappedLink { return gates[host] }); err != nil {
 		return err
 	}
-	r.list.Tell(true, r.known)
-	r.deal.List = r.list.Addr
-	if r.deal.Known, err = json.Marshal(map[string]any{"no": 1, "items": []any{map[string]any{"no": 1,
-		"roster": map[string]any{"index": 1, "snapshot": true, "endpoints": r.known}}}}); err != nil {
+	r.serverList.AddEvent(true, r.listed)
+	r.helperConfig.List = r.serverList.Addr
+	if r.helperConfig.Known, err = json.Marshal(map[string]any{"no": 1, "items": []any{map[string]any{"no": 1,
+		"roster": map[string]any{"index": 1, "snapshot": true, "endpoints": r.listed}}}}); err != nil {
 		return err
 	}
 	if r.Delay[1] > 0 {
-		if err := r.setLinks(delay); err != nil {
+		if err := r.startLinks(delay); err != nil {
 			return err
 		}
 	}
 	if r.has(Config) {
-		if r.control, err = startControls(r, delay); err != nil {
+		if r.control, err = startControlCluster(r, delay); err != nil {
 			return err
 		}
 	}
-	for _, p := range r.processes(r.places) {
-		if err := r.spawn(p); err != nil {
+	for _, p := range r.processes(r.identities) {
+		if err := r.startHelper(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// setServers listens for the looks of the agents' zones: a setup server speaks first.
-func (r *Run) setServers() error {
+// startServers listens for the looks of the agents' zones: a setup server speaks first.
+func (r *Run) startServers() error {
 	r.servers = map[string][]net.Listener{}
 	hello, err := isup.Message{Type: isup.GroupState}.WithText(isup.Report, "x0:900;x1:1000").Append(nil)
 	if err != nil {
 		return err
 	}
 	var failed error
-	r.known = endpoints(r.Servers, func(zone string) string {
+	r.listed = endpoints(r.Servers, func(zone string) string {
 		ln, err := net.Listen("tcp", r.octet.Host(2)+":0")
 		if err != nil {
 			failed = err
@@ -161,8 +161,8 @@
 	return failed
 }
 
-// setLinks puts a proxy before each address that agents of the other region call.
-func (r *Run) setLinks(delay func() time.Duration) error {
+// startLinks puts a proxy before each address that agents of the other region call.
+func (r *Run) startLinks(delay func() time.Duration) error {
 	far := func(to string, link func(string, uint64) (*faultnet.Link, error)) error {
 		l, err := link(to, r.Seed)
 		if err != nil {
@@ -170,24 +170,24 @@
 		}
 		r.links = append(r.links, l)
 		l.Set(faultnet.Pass, delay(), 0)
-		r.deal.Via[to] = l.Addr()
+		r.helperConfig.Via[to] = l.Addr()
 		return nil
 	}
 	for part, port := range map[string]int{Members: membersPort, Spread: spreadPort, Zones: zonesPort} {
 		if !r.has(part) {
 			continue
 		}
-		for i := range r.places {
-			if err := far(r.deal.addr(i, port), faultnet.NewGossipLink); err != nil {
+		for i := range r.identities {
+			if err := far(r.helperConfig.addr(i, port), faultnet.NewGossipLink); err != nil {
 				return err
 			}
 		}
 	}
 	if r.has(Zones) {
-		for g := range r.groups() {
-			control := peers(r.places, g)
+		for g := range r.groupSizes() {
+			control := peers(r.identities, g)
 			for _, i := range control[:min(deciders, len(control))] {
-				if err := far(r.deal.addr(i, clientPort), faultnet.NewLink); err != nil {
+				if err := far(r.helperConfig.addr(i, clientPort), faultnet.NewLink); err != nil {
 					return err
 				}
 			}
@@ -196,16 +196,16 @@
 	return nil
 }
 
-// groups are how many agents talk together, by group.
-func (r *Run) groups() map[int]int64 {
+// groupSizes are how many agents talk together, by group.
+func (r *Run) groupSizes() map[int]int64 {
 	out := map[int]int64{}
-	for _, a := range r.places[:r.Agents] {
+	for _, a := range r.identities[:r.Agents] {
 		out[a.Group]++
 	}
 	return out
 }
 
-func (r *Run) spawn(p process) error {
+func (r *Run) startHelper(p process) error {
 	cmd := exec.Command(r.Self, "--bin", r.Self, "scale", "hollow")
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	cmd.Stderr = os.Stderr
@@ -220,15 +220,15 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	h := &helperProc{process: p, cmd: cmd, in: in, out: json.NewDecoder(out)}
-	r.procs = append(r.procs, h)
-	d := r.deal
+	h := &helperProcess{process: p, cmd: cmd, in: in, out: json.NewDecoder(out)}
+	r.helpers = append(r.helpers, h)
+	d := r.helperConfig
 	d.Role, d.Mine = p.Role, p.Agents
 	return json.NewEncoder(in).Encode(d)
 }
 
-// order gives an order to a process and takes its answer.
-func (h *helperProc) order(o Order) (a Answer, err error) {
+// request gives an order to a process and takes its answer.
+func (h *helperProcess) request(o Request) (a Response, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err := json.NewEncoder(h.in).Encode(o); err != nil {
@@ -243,17 +243,17 @@
 	return a, nil
 }
 
-// all gives an order to all processes that run.
-func (r *Run) all(ctx context.Context, o Order) (map[*helperProc]Answer, error) {
+// requestAll gives an order to all processes that run.
+func (r *Run) requestAll(ctx context.Context, o Request) (map[*helperProcess]Response, error) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
-	out, errs := map[*helperProc]Answer{}, []error{}
-	for _, h := range r.procs {
+	out, errs := map[*helperProcess]Response{}, []error{}
+	for _, h := range r.helpers {
 		if h.in == nil {
 			continue
 		}
 		work.Go(func() {
-			a, err := h.order(o)
+			a, err := h.request(o)
 			mu.Lock()
 			defer mu.Unlock()
 			out[h] = a
@@ -273,7 +273,7 @@
 }
 
 // watchMemory ends a run whose processes take more than it may.
-func (r *Run) watchMemory(ctx context.Context, cancel context.CancelCauseFunc, procs []*helperProc) {
+func (r *Run) watchMemory(ctx context.Context, cancel context.CancelCauseFunc, procs []*helperProcess) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -284,21 +284,21 @@
 		for _, h := range procs {
 			sum += procFields(fmt.Sprintf("/proc/%d/status", h.cmd.Process.Pid))["VmRSS"] << 10
 		}
-		if sum > MostMemory {
-			cancel(fmt.Errorf("the processes took %d MB, more than the %d a run may", sum>>20, MostMemory>>20))
+		if sum > MaxMemory {
+			cancel(fmt.Errorf("the processes took %d MB, more than the %d a run may", sum>>20, MaxMemory>>20))
 			return
 		}
 	}
 }
 
 func (r *Run) close() {
-	for _, h := range r.procs {
+	for _, h := range r.helpers {
 		if h.in != nil {
 			h.in.Close()
 		}
 	}
 	var all sync.WaitGroup
-	for _, h := range r.procs {
+	for _, h := range r.helpers {
 		all.Go(func() {
 			late := time.AfterFunc(10*time.Second, func() { h.cmd.Process.Kill() }) // by its own id
 			h.cmd.Wait()
@@ -317,8 +317,8 @@
 			ln.Close()
 		}
 	}
-	if r.list != nil {
-		r.list.Close()
+	if r.serverList != nil {
+		r.serverList.Close()
 	}
 	if r.octet != nil {
 		r.octet.Release()
@@ -326,27 +326,27 @@
 }
 
 // measure starts the agents, waits until they know one another, and takes all figures.
-func (r *Run) measure(ctx context.Context, s *Size) error {
-	s.Processes = len(r.procs)
-	groups := r.groups()
-	r.say("%d agents in %d processes, parts %s, by %s", r.Agents, len(r.procs), strings.Join(r.Parts, "+"), r.By)
+func (r *Run) measure(ctx context.Context, s *Result) error {
+	s.Processes = len(r.helpers)
+	groups := r.groupSizes()
+	r.logf("%d agents in %d processes, parts %s, by %s", r.Agents, len(r.helpers), strings.Join(r.Parts, "+"), r.By)
 	began := time.Now()
-	r.busy = busyNow()
+	r.cpuAtStart = readCPUUse()
 	// Those alone first: seeds and deciders are among them.
-	slices.SortStableFunc(r.procs, func(a, b *helperProc) int { return cmp.Compare(b.Role, a.Role) })
-	for _, h := range r.procs {
-		if h.Role != "" && h.Role != empty {
-			if _, err := h.order(Order{Do: "start", Agent: -1}); err != nil {
+	slices.SortStableFunc(r.helpers, func(a, b *helperProcess) int { return cmp.Compare(b.Role, a.Role) })
+	for _, h := range r.helpers {
+		if h.Role != "" && h.Role != roleEmpty {
+			if _, err := h.request(Request{Do: "start", Agent: -1}); err != nil {
 				return err
 			}
 		}
 	}
 	var starting sync.WaitGroup
-	errs := make(chan error, len(r.procs))
-	for _, h := range r.procs {
+	errs := make(chan error, len(r.helpers))
+	for _, h := range r.helpers {
 		if h.Role == "" {
 			starting.Go(func() {
-				if _, err := h.order(Order{Do: "start", Agent: -1}); err != nil {
+				if _, err := h.request(Request{Do: "start", Agent: -1}); err != nil {
 					errs <- err
 				}
 			})
@@ -359,23 +359,23 @@
 	default:
 	}
 	s.Started = time.Since(began).Seconds()
-	r.say("all started after %.1f s", s.Started)
-	var start []wait
+	r.logf("all started after %.1f s", s.Started)
+	var start []namedCondition
 	for _, part := range []string{Members, Spread, Zones} {
 		if r.has(part) {
-			start = append(start, wait{"start: all know all (" + part + ")", Until{part, groups}})
+			start = append(start, namedCondition{"start: all know all (" + part + ")", Condition{part, groups}})
 		}
 	}
 	if r.has(Spread) {
-		start = append(start, wait{"start: all follow a view (spread)", Until{"follows", ones(groups)}})
+		start = append(start, namedCondition{"start: all follow a view (spread)", Condition{"follows", wantOne(groups)}})
 	}
 	if r.has(Discovery) {
-		start = append(start, wait{"start: the list is known (discovery)", Until{"event", ones(groups)}})
+		start = append(start, namedCondition{"start: the list is known (discovery)", Condition{"event", wantOne(groups)}})
 	}
 	s.Knew = append(s.Knew, r.waitFor(ctx, start, began, max(r.JoinMost-time.Since(began), time.Second))...)
-	s.Notes = append(s.Notes, "from the first start until then "+r.busy.since())
+	s.Notes = append(s.Notes, "from the first start until then "+r.cpuAtStart.describeSince())
 	if r.has(Config) {
-		if err := r.control.first(ctx, r, s); err != nil {
+		if err := r.control.putFirst(ctx, r, s); err != nil {
 			return err
 		}
 	}
@@ -384,13 +384,13 @@
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	if err := r.span(ctx, s); err != nil {
+	if err := r.measureSpan(ctx, s); err != nil {
 		return err
 	}
-	return r.events(ctx, s, groups)
+	return r.measureEvents(ctx, s, groups)
 }
 
-func ones(groups map[int]int64) map[int]int64 {
+func wantOne(groups map[int]int64) map[int]int64 {
 	out := map[int]int64{}
 	for g := range groups {
 		out[g] = 1
@@ -398,45 +398,45 @@
 	return out
 }
 
-// wait is what the agents are waited for, and its name in the figures.
-type wait struct {
+// namedCondition is what the agents are waited for, and its name in the figures.
+type namedCondition struct {
 	name string
-	Until
+	Condition
 }
 
 // waitFor waits until all agents asked for have come to all that is wanted, or most has passed, and
 // words how long each took since began.
-func (r *Run) waitFor(ctx context.Context, waits []wait, began time.Time, most time.Duration) (out []Knew) {
-	o := Order{Do: "until", Most: most}
+func (r *Run) waitFor(ctx context.Context, waits []namedCondition, began time.Time, most time.Duration) (out []Convergence) {
+	o := Request{Do: "until", Most: most}
 	for _, w := range waits {
-		o.Until = append(o.Until, w.Until)
+		o.Until = append(o.Until, w.Condition)
 	}
-	answers, err := r.all(ctx, o)
+	answers, err := r.requestAll(ctx, o)
 	for n, w := range waits {
-		var came []Came
+		var came []Progress
 		for _, a := range answers {
 			if n < len(a.Until) {
 				came = append(came, a.Until[n])
 			}
 		}
-		k := r.knew(w, came, began)
+		k := r.convergence(w, came, began)
 		if k.MostS = most.Seconds(); err != nil {
 			k.Err = err.Error()
 		}
-		r.say("%s", k)
+		r.logf("%s", k)
 		out = append(out, k)
 	}
 	return out
 }
 
-func (r *Run) knew(w wait, came []Came, began time.Time) Knew {
-	k := Knew{What: w.name}
+func (r *Run) convergence(w namedCondition, came []Progress, began time.Time) Convergence {
+	k := Convergence{What: w.name}
 	var took []float64
 	var share float64
 	for _, c := range came {
 		for i, at := range c.Reached {
 			k.Of++
-			want := w.Want[r.places[i].Group]
+			want := w.Want[r.identities[i].Group]
 			if want > 0 {
 				share += min(float64(c.Saw[i])/float64(want), 1)
 			}
@@ -444,11 +444,11 @@
 				took = append(took, max(time.UnixMicro(at).Sub(began).Seconds(), 0))
 				continue
 			}
-			k.Lack = append(k.Lack, fmt.Sprintf("%s: %d of %d", r.places[i].Name, c.Saw[i], want))
+			k.Lack = append(k.Lack, fmt.Sprintf("%s: %d of %d", r.identities[i].Name, c.Saw[i], want))
 		}
 	}
 	slices.Sort(k.Lack)
-	k.Lack = k.Lack[:min(len(k.Lack), mostLack)]
+	k.Lack = k.Lack[:min(len(k.Lack), maxLacking)]
 	k.Reached = len(took)
 	if k.Of > 0 {
 		k.Share = share / float64(k.Of)
@@ -457,111 +457,111 @@
 	return k
 }
 
-// mostLack bounds the agents that are named.
-const mostLack = 8
+// maxLacking bounds the agents that are named.
+const maxLacking = 8
 
 // waitOne waits for one thing.
-func (r *Run) waitOne(ctx context.Context, name, what string, want map[int]int64, began time.Time, most time.Duration) Knew {
-	return r.waitFor(ctx, []wait{{name, Until{what, want}}}, began, most)[0]
+func (r *Run) waitOne(ctx context.Context, name, what string, want map[int]int64, began time.Time, most time.Duration) Convergence {
+	return r.waitFor(ctx, []namedCondition{{name, Condition{what, want}}}, began, most)[0]
 }
 
-// span takes the figures of a span in which nothing changes.
-func (r *Run) span(ctx context.Context, s *Size) error {
-	before, watches, machines, err := r.look(ctx)
+// measureSpan takes the figures of a span in which nothing changes.
+func (r *Run) measureSpan(ctx context.Context, s *Result) error {
+	before, watches, machines, err := r.usage(ctx)
 	if err != nil {
 		return err
 	}
-	began, busy := time.Now(), busyNow()
+	began, busy := time.Now(), readCPUUse()
 	select {
 	case <-time.After(r.Span):
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	after, watchesAfter, machinesAfter, err := r.look(ctx)
+	after, watchesAfter, machinesAfter, err := r.usage(ctx)
 	if err != nil {
 		return err
 	}
 	s.SpanS = time.Since(began).Seconds()
-	s.figures(r, before, after, watches, watchesAfter)
+	s.recordSpan(r, before, after, watches, watchesAfter)
 	for _, name := range slices.Sorted(maps.Keys(machinesAfter)) {
 		s.Machines = append(s.Machines, machinesAfter[name].since(machines[name], s.SpanS, name))
 	}
-	s.Notes = append(s.Notes, "in the span "+busy.since())
-	r.say("span of %.1f s taken", s.SpanS)
+	s.Notes = append(s.Notes, "in the span "+busy.describeSince())
+	r.logf("span of %.1f s taken", s.SpanS)
 	return nil
 }
 
-func (r *Run) look(ctx context.Context) (map[*helperProc]Answer, map[string]Watch, map[string]machineLook, error) {
-	looks, err := r.all(ctx, Order{Do: "look"})
-	machines := map[string]machineLook{}
+func (r *Run) usage(ctx context.Context) (map[*helperProcess]Response, map[string]WatchStats, map[string]processUsage, error) {
+	looks, err := r.requestAll(ctx, Request{Do: "look"})
+	machines := map[string]processUsage{}
 	if r.control != nil {
-		machines = r.control.look()
+		machines = r.control.usage()
 	}
-	return looks, r.list.Watches(), machines, err
+	return looks, r.serverList.Watches(), machines, err
 }
 
-// events has things happen, and waits until all know of each.
-func (r *Run) events(ctx context.Context, s *Size, groups map[int]int64) error {
-	add := func(k Knew) { s.Knew = append(s.Knew, k) }
+// measureEvents has things happen, and waits until all know of each.
+func (r *Run) measureEvents(ctx context.Context, s *Result, groups map[int]int64) error {
+	add := func(k Convergence) { s.Knew = append(s.Knew, k) }
 	if r.has(Discovery) {
 		began := time.Now()
-		r.list.Tell(false, []map[string]any{r.changed()})
-		add(r.waitOne(ctx, "a change of the list (discovery)", "event", twos(groups), began, eventMost))
+		r.serverList.AddEvent(false, []map[string]any{r.drainingServer()})
+		add(r.waitOne(ctx, "a change of the list (discovery)", "event", wantTwo(groups), began, eventTimeout))
 	}
 	if r.has(Config) {
-		if err := r.control.change(ctx, r, s); err != nil {
+		if err := r.control.putChange(ctx, r, s); err != nil {
 			return err
 		}
 	}
 	if r.has(Members) {
 		began := time.Now()
-		if _, err := r.procs[r.owner(0)].order(Order{Do: "announce", Agent: 0, Value: 9}); err != nil {
+		if _, err := r.helpers[r.processOf(0)].request(Request{Do: "announce", Agent: 0, Value: 9}); err != nil {
 			return err
 		}
-		add(r.waitOne(ctx, "an epoch announced (members)", "announced", map[int]int64{r.places[0].Group: 9}, began, eventMost))
+		add(r.waitOne(ctx, "an epoch announced (members)", "announced", map[int]int64{r.identities[0].Group: 9}, began, eventTimeout))
 	}
-	if r.talk() {
+	if r.gossips() {
 		began := time.Now()
-		if _, err := r.procs[r.owner(r.Agents)].order(Order{Do: "start", Agent: r.Agents}); err != nil {
+		if _, err := r.helpers[r.processOf(r.Agents)].request(Request{Do: "start", Agent: r.Agents}); err != nil {
 			return err
 		}
-		g := r.places[r.Agents].Group
+		g := r.identities[r.Agents].Group
 		groups[g]++
-		var join, death []wait
+		var join, death []namedCondition
 		for _, part := range []string{Members, Spread, Zones} {
 			if r.has(part) {
-				join = append(join, wait{"a join (" + part + ")", Until{part, map[int]int64{g: groups[g]}}})
+				join = append(join, namedCondition{"a join (" + part + ")", Condition{part, map[int]int64{g: groups[g]}}})
 			}
 		}
-		s.Knew = append(s.Knew, r.waitFor(ctx, join, began, eventMost)...)
+		s.Knew = append(s.Knew, r.waitFor(ctx, join, began, eventTimeout)...)
 		if ctx.Err() != nil { // orders are under way still
 			return context.Cause(ctx)
 		}
-		i := r.procs[r.ordinary()].Agents[0]
+		i := r.helpers[r.ordinaryProcess()].Agents[0]
 		began = time.Now()
-		r.kill(r.ordinary())
-		g = r.places[i].Group
+		r.killHelper(r.ordinaryProcess())
+		g = r.identities[i].Group
 		groups[g]--
 		// Zones have a membership as members do, and looking at it costs more there.
 		for _, part := range []string{Spread, Members} {
 			if r.has(part) && r.DeathMost > 0 {
-				death = append(death, wait{"a death (" + part + ")", Until{part, map[int]int64{g: groups[g]}}})
+				death = append(death, namedCondition{"a death (" + part + ")", Condition{part, map[int]int64{g: groups[g]}}})
 			}
 		}
 		s.Knew = append(s.Knew, r.waitFor(ctx, death, began, r.DeathMost)...)
 	}
 	if r.has(Zones) {
-		return r.zoneLost(ctx, s, groups)
+		return r.loseZone(ctx, s, groups)
 	}
 	return nil
 }
 
-// zoneLost has the setup servers of a zone die, and waits until all agents have the epoch that
+// loseZone has the setup servers of a zone die, and waits until all agents have the epoch that
 // moves its calls.
-func (r *Run) zoneLost(ctx context.Context, s *Size, groups map[int]int64) error {
-	now := func(what string) ([]Came, error) {
-		answers, err := r.all(ctx, Order{Do: "until", Until: []Until{{what, ones(groups)}}})
-		var out []Came
+func (r *Run) loseZone(ctx context.Context, s *Result, groups map[int]int64) error {
+	now := func(what string) ([]Progress, error) {
+		answers, err := r.requestAll(ctx, Request{Do: "until", Until: []Condition{{what, wantOne(groups)}}})
+		var out []Progress
 		for _, a := range answers {
 			out = append(out, a.Until...)
 		}
@@ -574,7 +574,7 @@
 	want := map[int]int64{}
 	for _, a := range before {
 		for i, n := range a.Saw {
-			g := r.places[i].Group
+			g := r.identities[i].Group
 			want[g] = max(want[g], n+1)
 		}
 	}
@@ -582,7 +582,7 @@
 	for _, ln := range r.servers[zoneNames[0]] {
 		ln.Close()
 	}
-	k := r.waitOne(ctx, "a zone's servers lost: the next epoch (zones)", "epoch", want, began, eventMost)
+	k := r.waitOne(ctx, "a zone's servers lost: the next epoch (zones)", "epoch", want, began, eventTimeout)
 	s.Knew = append(s.Knew, k)
 	if k.Reached == 0 {
 		return nil
@@ -605,7 +605,7 @@
 	return nil
 }
 
-func twos(groups map[int]int64) map[int]int64 {
+func wantTwo(groups map[int]int64) map[int]int64 {
 	out := map[int]int64{}
 	for g := range groups {
 		out[g] = 2
@@ -613,25 +613,25 @@
 	return out
 }
 
-// changed is a setup server that drains, of a zone whose others suffice.
-func (r *Run) changed() map[string]any {
-	e := maps.Clone(r.known[len(r.known)-1])
+// drainingServer is a setup server that drains, of a zone whose others suffice.
+func (r *Run) drainingServer() map[string]any {
+	e := maps.Clone(r.listed[len(r.listed)-1])
 	e["status"] = "draining"
 	return e
 }
 
-// owner is the process that an agent is in, ordinary the one that holds an ordinary agent alone.
-func (r *Run) owner(agent int) int {
-	return slices.IndexFunc(r.procs, func(h *helperProc) bool { return slices.Contains(h.Agents, agent) })
+// processOf is the process that an agent is in, ordinary the one that holds an ordinary agent alone.
+func (r *Run) processOf(agent int) int {
+	return slices.IndexFunc(r.helpers, func(h *helperProcess) bool { return slices.Contains(h.Agents, agent) })
 }
 
-func (r *Run) ordinary() int {
-	return slices.IndexFunc(r.procs, func(h *helperProc) bool { return h.Role == ordinary })
+func (r *Run) ordinaryProcess() int {
+	return slices.IndexFunc(r.helpers, func(h *helperProcess) bool { return h.Role == roleOrdinary })
 }
 
-// kill ends a helper process with SIGKILL.
-func (r *Run) kill(i int) {
-	h := r.procs[i]
+// killHelper ends a helper process with SIGKILL.
+func (r *Run) killHelper(i int) {
+	h := r.helpers[i]
 	h.cmd.Process.Kill()
 	h.in.Close()
 	h.in = nil
--- a/internal/lab/scalelab/scale_test.go
+++ b/internal/lab/scalelab/scale_test.go
@@ -25,7 +25,7 @@
 // TestMain is the helper process too: a run starts this binary as it would start woodlab.
 func TestMain(m *testing.M) {
 	if slices.Contains(os.Args, "hollow") {
-		if err := Helper(os.Stdin, os.Stdout, slog.New(slog.DiscardHandler)); err != nil {
+		if err := RunHelper(os.Stdin, os.Stdout, slog.New(slog.DiscardHandler)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -34,10 +34,10 @@
 	os.Exit(m.Run())
 }
 
-// heard is a core that counts events of the list.
-type heard struct{ n atomic.Int64 }
+// eventCounter is a core that counts events of the list.
+type eventCounter struct{ n atomic.Int64 }
 
-func (h *heard) Servers([]agent.Server, bool) { h.n.Add(1) }
+func (h *eventCounter) Servers([]agent.Server, bool) { h.n.Add(1) }
 
 // TestDiscoveryMessages: of 8 agents each has one watch in flight; nothing is sent while nothing
 // changes and no patience ends; each change and each end of patience is one answer and one new
@@ -48,13 +48,13 @@
 	octet, err := faultnet.ReserveOctet()
 	require.NoError(t, err)
 	defer octet.Release()
-	list, err := NewList(octet.Host(1), nil)
+	list, err := NewServerList(octet.Host(1), nil)
 	require.NoError(t, err)
-	list.ByHand = true
-	list.Tell(true, endpoints(24, func(string) string { return "127.0.0.1:1" }))
+	list.ManualExpiry = true
+	list.AddEvent(true, endpoints(24, func(string) string { return "127.0.0.1:1" }))
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
-	cores := make([]heard, agents)
+	cores := make([]eventCounter, agents)
 	for i := range cores {
 		f := &bulletin.Follower{Core: &cores[i], Log: slog.New(slog.DiscardHandler), PollWait: time.Hour, Grace: time.Hour,
 			RetryDelay: time.Millisecond, Source: &net.TCPAddr{IP: net.ParseIP(octet.Host(10 + i))}}
@@ -62,8 +62,8 @@
 		work.Go(func() { f.Run(ctx) })
 	}
 	defer func() { cancel(); work.Wait(); list.Close() }()
-	settled := func(asked, answered, events int) map[string]Watch {
-		var w map[string]Watch
+	settled := func(asked, answered, events int) map[string]WatchStats {
+		var w map[string]WatchStats
 		require.Eventually(t, func() bool {
 			w = list.Watches()
 			ok := len(w) == agents
@@ -88,10 +88,10 @@
 		events int
 		most   int64
 	}{
-		{"a change", func() { list.Tell(false, endpoints(1, func(string) string { return "127.0.0.1:2" })) }, 1, changeMost},
-		{"patience ends", list.Expire, 0, idleMost},
-		{"patience ends again", list.Expire, 0, idleMost},
-		{"another change", func() { list.Tell(false, endpoints(1, func(string) string { return "127.0.0.1:3" })) }, 1, changeMost},
+		{"a change", func() { list.AddEvent(false, endpoints(1, func(string) string { return "127.0.0.1:2" })) }, 1, changeMost},
+		{"patience ends", list.ExpireWatches, 0, idleMost},
+		{"patience ends again", list.ExpireWatches, 0, idleMost},
+		{"another change", func() { list.AddEvent(false, endpoints(1, func(string) string { return "127.0.0.1:3" })) }, 1, changeMost},
 	}
 	asked, events := 2, 1
 	for _, s := range steps {
@@ -154,18 +154,18 @@
 	require.LessOrEqual(t, sum, agents*most*ticks)
 }
 
-// TestPlay: a small run of all that is here ends with figures of every agent and process, and
+// TestRunAllButConfig: a small run of all that is here ends with figures of every agent and process, and
 // everybody comes to know everything.
-func TestPlay(t *testing.T) {
+func TestRunAllButConfig(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	self, err := os.Executable()
 	require.NoError(t, err)
 	p := Plan{Agents: 8, Services: 2, Parts: []string{Discovery, Members, Spread, Zones}, By: ByService, Servers: 10, PerProcess: 4,
 		Span: time.Second, Warm: time.Second, JoinMost: 20 * time.Second, DeathMost: 20 * time.Second, Seed: 1}
 	r := Run{Plan: p, Self: self, Dir: t.TempDir(), Log: testLog{t}}
-	s, err := r.Play(t.Context())
+	s, err := r.Execute(t.Context())
 	require.NoError(t, err)
-	s.Tell(testLog{t})
+	s.Print(testLog{t})
 	for _, k := range s.Knew {
 		require.Equal(t, k.Of, k.Reached, "%s", k)
 	}
@@ -183,8 +183,8 @@
 	return len(b), nil
 }
 
-// TestCheck: plans that can't be played here are refused.
-func TestCheck(t *testing.T) {
+// TestPlanCheck: plans that can't be played here are refused.
+func TestPlanCheck(t *testing.T) {
 	good := Plan{Agents: 730, Services: 27, Parts: []string{Discovery}, By: ByFleet, Servers: 24, PerProcess: 50, Span: time.Second}
 	require.NoError(t, good.Check())
 	cases := map[string]func(p *Plan){
@@ -206,13 +206,13 @@
 
 // TestFit: a line is found, its largest deviation told, and what lies past the sizes is worded so.
 func TestFit(t *testing.T) {
-	f := FitOf("x", []float64{100, 200, 400}, []float64{12, 18, 42}, 730, 50)
+	f := FitLine("x", []float64{100, 200, 400}, []float64{12, 18, 42}, 730, 50)
 	require.InDelta(t, 0.1029, f.Slope, 1e-3)
 	require.InDelta(t, 2.57, f.Residual, 0.1)
 	require.False(t, f.Measured)
 	require.Contains(t, f.String(), "past the largest size run (400)")
 	require.Contains(t, f.String(), "OVER the budget")
-	f = FitOf("x", []float64{100, 730}, []float64{10, 20}, 730, 50)
+	f = FitLine("x", []float64{100, 730}, []float64{10, 20}, 730, 50)
 	require.True(t, f.Measured)
 	require.Equal(t, 20.0, f.AtTarget)
 	require.Contains(t, f.String(), "within the budget")
@@ -223,7 +223,7 @@
 	for _, p := range []Plan{{Agents: 200, By: ByFleet}, {Agents: 200, By: ByService}, {Agents: 730, By: ByFleet}, {Agents: 730, By: ByService}} {
 		for _, skew := range []bool{false, true} {
 			p.Services, p.Parts, p.Skew, p.PerProcess = 27, []string{Spread, Zones}, skew, 50
-			places := p.places()
+			places := p.identities()
 			seen, roles := map[int]int{}, map[string]int{}
 			for _, x := range p.processes(places) {
 				roles[x.Role]++
@@ -235,9 +235,9 @@
 			for i, n := range seen {
 				require.Equal(t, 1, n, i)
 			}
-			require.Equal(t, 1, roles[empty])
-			require.Equal(t, 1, roles[ordinary])
-			require.GreaterOrEqual(t, roles[decider], 2) // the steward may be one of three
+			require.Equal(t, 1, roles[roleEmpty])
+			require.Equal(t, 1, roles[roleOrdinary])
+			require.GreaterOrEqual(t, roles[roleDecider], 2) // the steward may be one of three
 			for _, i := range peers(places, 0)[:deciders] {
 				require.Equal(t, "r1", places[i].Region)
 			}
@@ -249,7 +249,7 @@
 // evenly, and so are all agents.
 func TestEvenProcesses(t *testing.T) {
 	p := Plan{Agents: 730, Services: 27, Parts: []string{Spread, Zones}, By: ByService, PerProcess: 50}
-	places := p.places()
+	places := p.identities()
 	leaned := map[int]bool{}
 	for g := range p.Services {
 		for _, i := range peers(places, g)[:deciders] {
@@ -274,36 +274,36 @@
 	require.LessOrEqual(t, slices.Max(agents), p.PerProcess+1)
 }
 
-// TestUntilTogether: what is waited for together is looked at together: what never comes holds up
+// TestConditionsPolledTogether: what is waited for together is looked at together: what never comes holds up
 // the sight of nothing else, and who lacks it is named.
-func TestUntilTogether(t *testing.T) {
-	places := []Place{{Name: "a0"}, {Name: "a1"}}
-	w := &helper{agents: map[int]*hollow{}}
+func TestConditionsPolledTogether(t *testing.T) {
+	places := []Identity{{Name: "a0"}, {Name: "a1"}}
+	w := &helper{agents: map[int]*hollowAgent{}}
 	for i := range places {
-		w.agents[i] = newHollow(&Deal{Places: places}, i, slog.New(slog.DiscardHandler))
+		w.agents[i] = newHollowAgent(&HelperConfig{Places: places}, i, slog.New(slog.DiscardHandler))
 		w.agents[i].follows.Store(true)
 	}
-	w.agents[0].rise("revision", 7)
+	w.agents[0].advance("revision", 7)
 	ones := map[int]int64{0: 1}
 	began := time.Now()
-	a := w.until(Order{Until: []Until{{"revision", map[int]int64{0: 7}}, {"follows", ones}}, Most: 10 * untilEvery})
+	a := w.awaitConditions(Request{Until: []Condition{{"revision", map[int]int64{0: 7}}, {"follows", ones}}, Most: 10 * conditionPollInterval})
 	require.Len(t, a.Until, 2)
-	r := Run{places: places}
-	k := r.knew(wait{"revision", Until{"revision", map[int]int64{0: 7}}}, a.Until[:1], began)
+	r := Run{identities: places}
+	k := r.convergence(namedCondition{"revision", Condition{"revision", map[int]int64{0: 7}}}, a.Until[:1], began)
 	require.Equal(t, 1, k.Reached)
 	require.Equal(t, []string{"a1: 0 of 7"}, k.Lack)
 	require.Contains(t, k.String(), "a1: 0 of 7")
-	k = r.knew(wait{"follows", Until{"follows", ones}}, a.Until[1:], began)
+	k = r.convergence(namedCondition{"follows", Condition{"follows", ones}}, a.Until[1:], began)
 	require.Equal(t, 2, k.Reached)
-	require.Less(t, k.Seconds.Max, (10 * untilEvery).Seconds())
+	require.Less(t, k.Seconds.Max, (10 * conditionPollInterval).Seconds())
 }
 
-// TestAtMachines: stewards on the control machines need what carries them, and no agent has the role.
-func TestAtMachines(t *testing.T) {
+// TestStewardsAtMachines: stewards on the control machines need what carries them, and no agent has the role.
+func TestStewardsAtMachines(t *testing.T) {
 	p := Plan{Agents: 54, Services: 2, Parts: []string{Spread, Config}, By: ByService, Stewards: AtMachines, Servers: 24, PerProcess: 50, Span: time.Second}
 	require.NoError(t, p.Check())
-	for _, o := range p.processes(p.places()) {
-		require.NotEqual(t, steward, o.Role)
+	for _, o := range p.processes(p.identities()) {
+		require.NotEqual(t, roleSteward, o.Role)
 	}
 	for _, bad := range []func(*Plan){
 		func(p *Plan) { p.By = ByFleet },
