--- a/internal/lab/rolloutlab/agents.go
+++ b/internal/lab/rolloutlab/agents.go
@@ -31,7 +31,7 @@
 // hollowAgent is an agent without callers: a watcher and a loader that records.
 type hollowAgent struct {
 	rollout.Agent
-	world *Fleet
+	fleet *Fleet
 	dir   string
 
 	mu          sync.Mutex
@@ -52,17 +52,17 @@
 	a.callsEnded, a.callsFailed, a.callsFail, a.countedAt = 0, 0, false, time.Now()
 	a.mu.Unlock()
 	w, err := watcher.Open(watcher.Config{Service: a.Service, Zone: a.Zone, Region: a.Region, Data: a.dir,
-		Machines: a.world.machinesFor(a.Zone)}, a.Agent, kinds, a, slog.New(slog.DiscardHandler))
+		Machines: a.fleet.machinesFor(a.Zone)}, a.Agent, kinds, a, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
 	force := w.InForce()
 	for _, kind := range kinds {
 		if force[kind] == 0 {
-			a.world.History.RecordObservation(Observation{Agent: a.Name, Kind: kind, At: a.world.History.Now()})
+			a.fleet.History.RecordObservation(Observation{Agent: a.Name, Kind: kind, At: a.fleet.History.Now()})
 		}
 	}
-	a.world.recordAcknowledged(a.Name, w.Status()) // from its disk
+	a.fleet.recordAcknowledged(a.Name, w.Status()) // from its disk
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	a.mu.Lock()
@@ -98,7 +98,7 @@
 	a.mu.Unlock()
 	if done != nil {
 		<-done
-		a.world.recordAcknowledged(a.Name, a.watcher.Status())
+		a.fleet.recordAcknowledged(a.Name, a.watcher.Status())
 	}
 }
 
@@ -118,7 +118,7 @@
 	if !strings.Contains(string(text), markRefuseAll) && !(strings.Contains(string(text), markRefuseSome) && a.refusesMarkSome()) {
 		return nil
 	}
-	a.world.History.RecordObservation(Observation{Agent: a.Name, Kind: kind, Sum: textSum(string(text), false), Refused: true, At: a.world.History.Now()})
+	a.fleet.History.RecordObservation(Observation{Agent: a.Name, Kind: kind, Sum: textSum(string(text), false), Refused: true, At: a.fleet.History.Now()})
 	return errMarkedRefusal
 }
 
@@ -131,11 +131,11 @@
 
 // Apply implements watcher.Loader.
 func (a *hollowAgent) Apply(kind string, d rollout.Document, ok bool) error {
-	s := Observation{Agent: a.Name, Kind: kind, At: a.world.History.Now()}
+	s := Observation{Agent: a.Name, Kind: kind, At: a.fleet.History.Now()}
 	if ok {
 		s.Name, s.Revision, s.Sum = d.Name.String(), d.Revision, textSum(string(d.Text), false)
 	}
-	a.world.History.RecordObservation(s)
+	a.fleet.History.RecordObservation(s)
 	a.countCalls()
 	if kind == "routes" {
 		a.mu.Lock()
@@ -175,30 +175,30 @@
 )
 
 // pollAgent reads what a real agent says of itself until ctx ends.
-func (w *Fleet) pollAgent(ctx context.Context, i int) {
+func (f *Fleet) pollAgent(ctx context.Context, i int) {
 	name := realAgent(i).Name
 	for ; ctx.Err() == nil; lab.Sleep(ctx, agentPollInterval) {
-		said := w.cluster.ConsoleCommand(i, "ROLLOUT")
-		for _, s := range parseObservations(said) {
-			s.Agent, s.At = name, w.History.Now()
-			w.History.RecordObservation(s)
+		answer := f.cluster.ConsoleCommand(i, "ROLLOUT")
+		for _, s := range parseObservations(answer) {
+			s.Agent, s.At = name, f.History.Now()
+			f.History.RecordObservation(s)
 		}
-		if said != "" {
-			w.recordAcknowledged(name, said)
+		if answer != "" {
+			f.recordAcknowledged(name, answer)
 		}
 	}
 }
 
 // recordAcknowledged takes from an agent's answer what it acknowledges: what it accepted and has saved.
-func (w *Fleet) recordAcknowledged(agent, said string) {
-	if !strings.Contains(said, "saved true") {
+func (f *Fleet) recordAcknowledged(agent, answer string) {
+	if !strings.Contains(answer, "saved true") {
 		return
 	}
 	all := map[string]uint64{}
-	for _, m := range acceptedLine.FindAllStringSubmatch(said, -1) {
+	for _, m := range acceptedLine.FindAllStringSubmatch(answer, -1) {
 		all[m[1]] = parseNumber(m[2])
 	}
-	w.History.RecordAcknowledged(agent, all)
+	f.History.RecordAcknowledged(agent, all)
 }
 
 func parseNumber(s string) uint64 {
@@ -207,31 +207,31 @@
 }
 
 // parseObservations takes the sights from an agent's answer.
-func parseObservations(said string) (out []Observation) {
-	for _, m := range refusedLine.FindAllStringSubmatch(said, -1) {
+func parseObservations(answer string) (out []Observation) {
+	for _, m := range refusedLine.FindAllStringSubmatch(answer, -1) {
 		kind, _, _ := strings.Cut(m[1], "@")
 		out = append(out, Observation{Kind: kind, Name: m[1], Revision: parseNumber(m[2]), Refused: true})
 	}
-	for _, m := range inForceLine.FindAllStringSubmatch(said, -1) {
+	for _, m := range inForceLine.FindAllStringSubmatch(answer, -1) {
 		out = append(out, Observation{Kind: m[1], Name: m[3], Revision: parseNumber(m[2])})
 	}
-	for _, m := range ownFileLine.FindAllStringSubmatch(said, -1) {
+	for _, m := range ownFileLine.FindAllStringSubmatch(answer, -1) {
 		out = append(out, Observation{Kind: m[1]})
 	}
 	return out
 }
 
 // restartAgent ends a real agent with SIGKILL and starts it again; its callers know.
-func (w *Fleet) restartAgent(ctx context.Context, i int) error {
-	w.callers.MarkFaulty(i, true)
-	w.cluster.Procs[i].Kill()
-	w.updateReachable()
-	if err := w.cluster.StartAgent(i); err != nil {
+func (f *Fleet) restartAgent(ctx context.Context, i int) error {
+	f.callers.MarkFaulty(i, true)
+	f.cluster.Procs[i].Kill()
+	f.updateReachable()
+	if err := f.cluster.StartAgent(i); err != nil {
 		return err
 	}
-	err := w.cluster.AwaitReady(ctx, i)
-	w.callers.MarkFaulty(i, false)
-	w.updateReachable()
+	err := f.cluster.AwaitReady(ctx, i)
+	f.callers.MarkFaulty(i, false)
+	f.updateReachable()
 	return err
 }
 
--- a/internal/lab/rolloutlab/authors.go
+++ b/internal/lab/rolloutlab/authors.go
@@ -30,26 +30,26 @@
 // author changes documents under a name of its own.
 type author struct {
 	name   string
-	world  *Fleet
+	fleet  *Fleet
 	client *control.Client
 }
 
-func (w *Fleet) newAuthor(name string) *author {
-	return &author{name: name, world: w, client: w.client}
+func (f *Fleet) newAuthor(name string) *author {
+	return &author{name: name, fleet: f, client: f.client}
 }
 
 // newAuthorVia has the author reach some machines only, as one on a side of a cut.
-func (w *Fleet) newAuthorVia(name string, machines ...string) *author {
+func (f *Fleet) newAuthorVia(name string, machines ...string) *author {
 	at := map[string]string{}
 	for _, id := range machines {
-		at[id] = w.machines[id].client
+		at[id] = f.machines[id].client
 	}
-	return &author{name: name, world: w, client: control.NewClient(at)}
+	return &author{name: name, fleet: f, client: control.NewClient(at)}
 }
 
 // nextText is a text that nobody put yet.
 func (a *author) nextText(marks ...string) string {
-	n := a.world.textCount.Add(1)
+	n := a.fleet.textCount.Add(1)
 	return routesText(fmt.Sprintf("%s-%d", a.name, n), int(2+n%4), marks...)
 }
 
@@ -65,7 +65,7 @@
 	if !p.Remove && p.Restore == 0 {
 		e.Text = []byte(p.Text)
 	}
-	h := a.world.History
+	h := a.fleet.History
 	p.Author, p.CalledAt = a.name, h.Now()
 	p.Revision, err = a.client.Put(ctx, e)
 	p.AnsweredAt = h.Now()
@@ -86,20 +86,20 @@
 }
 
 // latestRevision is the document's latest revision, as the leader last said.
-func (w *Fleet) latestRevision(name string) uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.latestRevisions[name]
+func (f *Fleet) latestRevision(name string) uint64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.latestRevisions[name]
 }
 
 // change puts until the change stands; what others changed meanwhile is written over.
 func (a *author) change(ctx context.Context, p Put) (Put, error) {
 	marks := p.Text
 	for {
-		if leader, err := a.world.AwaitLeader(ctx); err == nil {
-			a.world.readDocuments(ctx, leader)
+		if leader, err := a.fleet.AwaitLeader(ctx); err == nil {
+			a.fleet.readDocuments(ctx, leader)
 		}
-		p.Base = a.world.latestRevision(p.Name)
+		p.Base = a.fleet.latestRevision(p.Name)
 		if p.Text = a.nextText(marks); p.Remove {
 			p.Text = ""
 		}
@@ -108,7 +108,7 @@
 			return done, nil
 		}
 		if ctx.Err() != nil {
-			return done, fmt.Errorf("%s by %s does not stand: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.world.describeMachines())
+			return done, fmt.Errorf("%s by %s does not stand: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.fleet.describeMachines())
 		}
 		lab.Sleep(ctx, 50*time.Millisecond)
 	}
@@ -119,8 +119,8 @@
 
 // changeInBackground changes small documents until stop: now and then two authors at once on one base, now
 // and then on one that has passed.
-func (w *Fleet) changeInBackground(ctx context.Context, rng *rand.Rand, run int, stop <-chan struct{}) {
-	ann, bob := w.newAuthor(fmt.Sprintf("ann%d", run)), w.newAuthor(fmt.Sprintf("bob%d", run))
+func (f *Fleet) changeInBackground(ctx context.Context, rng *rand.Rand, run int, stop <-chan struct{}) {
+	ann, bob := f.newAuthor(fmt.Sprintf("ann%d", run)), f.newAuthor(fmt.Sprintf("bob%d", run))
 	for {
 		select {
 		case <-stop:
@@ -128,7 +128,7 @@
 		case <-time.After(500 * time.Millisecond):
 		}
 		p := Put{Name: partialDocuments[rng.IntN(len(partialDocuments))]}
-		if p.Base = w.latestRevision(p.Name); rng.IntN(5) == 0 {
+		if p.Base = f.latestRevision(p.Name); rng.IntN(5) == 0 {
 			p.Base /= 2
 		}
 		var both sync.WaitGroup
--- a/internal/lab/rolloutlab/measure.go
+++ b/internal/lab/rolloutlab/measure.go
@@ -26,46 +26,46 @@
 // not end.
 func (m Measurement) Run(ctx context.Context, out io.Writer) error {
 	rng := rand.New(rand.NewPCG(m.Seed, 2))
-	w, err := Start(ctx, Config{Bin: m.Bin, Dir: m.Dir, Hollow: m.Hollow, Real: m.Real, Seed: m.Seed, Delay: m.Delay})
+	f, err := Start(ctx, Config{Bin: m.Bin, Dir: m.Dir, Hollow: m.Hollow, Real: m.Real, Seed: m.Seed, Delay: m.Delay})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
+	defer f.Close()
 	r := Report{Schedule: Schedule{Seed: m.Seed, Hollow: m.Hollow, Real: m.Real, Delay: m.Delay, RegionCut: m.RegionCut}}
-	c := &scenario{Fleet: w, Schedule: r.Schedule, rng: rng, ann: w.newAuthor("ann"), bob: w.newAuthor("bob"), report: &r}
-	err = c.measure(ctx, m)
-	c.finish()
+	run := &scenario{Fleet: f, Schedule: r.Schedule, rng: rng, ann: f.newAuthor("ann"), bob: f.newAuthor("bob"), report: &r}
+	err = run.measure(ctx, m)
+	run.finish()
 	r.Print(out, m.Faults > 0)
 	if err != nil {
-		err = fmt.Errorf("%w\n%s", err, w.Logs())
+		err = fmt.Errorf("%w\n%s", err, f.Logs())
 	}
 	if broken := r.Err(); broken != nil {
-		return fmt.Errorf("%w (run: %v)\n%s", broken, err, w.Logs())
+		return fmt.Errorf("%w (run: %v)\n%s", broken, err, f.Logs())
 	}
 	return err
 }
 
-func (c *scenario) measure(ctx context.Context, m Measurement) error {
-	if err := c.changeForAll(ctx); err != nil {
+func (s *scenario) measure(ctx context.Context, m Measurement) error {
+	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
-	if err := c.AwaitSettled(ctx); err != nil {
+	if err := s.AwaitSettled(ctx); err != nil {
 		return err
 	}
 	for range m.Changes {
-		if err := c.changeForAll(ctx); err != nil {
+		if err := s.changeForAll(ctx); err != nil {
 			return err
 		}
-		if err := c.AwaitSettled(ctx); err != nil {
+		if err := s.AwaitSettled(ctx); err != nil {
 			return err
 		}
 	}
-	for i := 0; m.Faults > 0 && (i < len(faults) || c.History.OutcomeCounts()[Committed] < 1+m.Changes+m.Faults); i++ { // each fault once at least
+	for i := 0; m.Faults > 0 && (i < len(faults) || s.History.OutcomeCounts()[Committed] < 1+m.Changes+m.Faults); i++ { // each fault once at least
 		f := faults[i%len(faults)]
 		if i >= len(faults) {
-			f = faults[c.rng.IntN(len(faults))]
+			f = faults[s.rng.IntN(len(faults))]
 		}
-		if err := c.injectAndSettle(ctx, i, f); err != nil {
+		if err := s.injectAndSettle(ctx, i, f); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 	}
--- a/internal/lab/rolloutlab/schedule.go
+++ b/internal/lab/rolloutlab/schedule.go
@@ -133,19 +133,19 @@
 		s.Delay = drawn
 	}
 	r.Schedule = s
-	w, err := Start(ctx, Config{Bin: bin, Dir: dir, Hollow: s.Hollow, Real: s.Real, Seed: s.Seed, Delay: s.Delay})
+	f, err := Start(ctx, Config{Bin: bin, Dir: dir, Hollow: s.Hollow, Real: s.Real, Seed: s.Seed, Delay: s.Delay})
 	if err != nil {
 		return r, err
 	}
-	defer w.Close()
-	c := &scenario{Fleet: w, Schedule: s, rng: rng, ann: w.newAuthor("ann"), bob: w.newAuthor("bob"), report: &r}
-	if err := c.injectAll(ctx); err != nil {
-		return r, fmt.Errorf("%w (after %v)\n%s", err, r.Faults, w.Logs())
+	defer f.Close()
+	run := &scenario{Fleet: f, Schedule: s, rng: rng, ann: f.newAuthor("ann"), bob: f.newAuthor("bob"), report: &r}
+	if err := run.injectAll(ctx); err != nil {
+		return r, fmt.Errorf("%w (after %v)\n%s", err, r.Faults, f.Logs())
 	}
-	c.finish()
+	run.finish()
 	r.Elapsed = time.Since(began)
 	if r.Err() != nil {
-		return r, fmt.Errorf("members' logs:\n%s", w.Logs())
+		return r, fmt.Errorf("members' logs:\n%s", f.Logs())
 	}
 	return r, nil
 }
@@ -167,19 +167,19 @@
 	return out, nil
 }
 
-func (c *scenario) injectAll(ctx context.Context) error {
-	order, err := c.chooseFaults()
+func (s *scenario) injectAll(ctx context.Context) error {
+	order, err := s.chooseFaults()
 	if err != nil {
 		return err
 	}
-	if _, err := c.ann.change(ctx, Put{Name: routesForAll}); err != nil {
+	if _, err := s.ann.change(ctx, Put{Name: routesForAll}); err != nil {
 		return err
 	}
-	if err := c.AwaitSettled(ctx); err != nil {
+	if err := s.AwaitSettled(ctx); err != nil {
 		return err
 	}
 	for i, f := range order {
-		if err := c.injectAndSettle(ctx, i, f); err != nil {
+		if err := s.injectAndSettle(ctx, i, f); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 	}
@@ -187,121 +187,121 @@
 }
 
 // injectAndSettle plays one fault with authors at work beside it, heals all, and waits until all stands.
-func (c *scenario) injectAndSettle(ctx context.Context, i int, f fault) error {
-	began, at, stop, done := time.Now(), c.History.Now(), make(chan struct{}), make(chan struct{})
-	rng := rand.New(rand.NewPCG(c.Schedule.Seed, uint64(1000+i)))
+func (s *scenario) injectAndSettle(ctx context.Context, i int, f fault) error {
+	began, at, stop, done := time.Now(), s.History.Now(), make(chan struct{}), make(chan struct{})
+	rng := rand.New(rand.NewPCG(s.Schedule.Seed, uint64(1000+i)))
 	go func() {
 		defer close(done)
-		c.changeInBackground(ctx, rng, i, stop)
+		s.changeInBackground(ctx, rng, i, stop)
 	}()
-	most, cancel := context.WithTimeout(ctx, lab.StepTimeout+c.RegionCut)
-	err := f.inject(c, most)
+	faultCtx, cancel := context.WithTimeout(ctx, lab.StepTimeout+s.RegionCut)
+	err := f.inject(s, faultCtx)
 	cancel()
 	close(stop)
 	<-done
-	c.Heal()
-	if err = errors.Join(err, c.AwaitSettled(ctx)); err == nil {
-		c.report.Faults, c.report.FaultStarts, c.report.FaultDurations = append(c.report.Faults, f.name), append(c.report.FaultStarts, at), append(c.report.FaultDurations, time.Since(began))
+	s.Heal()
+	if err = errors.Join(err, s.AwaitSettled(ctx)); err == nil {
+		s.report.Faults, s.report.FaultStarts, s.report.FaultDurations = append(s.report.Faults, f.name), append(s.report.FaultStarts, at), append(s.report.FaultDurations, time.Since(began))
 	}
 	return err
 }
 
 // finish closes the history and checks it.
-func (c *scenario) finish() {
-	c.History.End()
-	c.report.Puts, c.report.Propagations, c.report.Violations = c.History.OutcomeCounts(), c.History.Propagations(), c.History.Violations()
-	if c.callers != nil {
-		c.callers.Wait()
-		c.report.Calls, _ = c.callers.Tally()
-		c.report.RuleErr = c.cluster.World.Check.Err()
+func (s *scenario) finish() {
+	s.History.End()
+	s.report.Puts, s.report.Propagations, s.report.Violations = s.History.OutcomeCounts(), s.History.Propagations(), s.History.Violations()
+	if s.callers != nil {
+		s.callers.Wait()
+		s.report.Calls, _ = s.callers.Tally()
+		s.report.RuleErr = s.cluster.World.Check.Err()
 	}
 }
 
 // changeForAll is a change for all agents that must come to stand.
-func (c *scenario) changeForAll(ctx context.Context) error {
-	_, err := c.ann.change(ctx, Put{Name: routesForAll})
+func (s *scenario) changeForAll(ctx context.Context) error {
+	_, err := s.ann.change(ctx, Put{Name: routesForAll})
 	return err
 }
 
 // stallLeader stops the leader (SIGSTOP) with a put under way, has the others elect and take
 // changes, and lets it go on: it thinks that it leads.
-func (c *scenario) stallLeader(ctx context.Context) error {
-	leader, err := c.AwaitLeader(ctx)
+func (s *scenario) stallLeader(ctx context.Context) error {
+	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
-	base, under := c.latestRevision(routesForAll), make(chan struct{})
+	base, putDone := s.latestRevision(routesForAll), make(chan struct{})
 	go func() {
-		defer close(under)
-		c.bob.put(ctx, Put{Name: routesForAll, Base: base, Text: c.bob.nextText()})
+		defer close(putDone)
+		s.bob.put(ctx, Put{Name: routesForAll, Base: base, Text: s.bob.nextText()})
 	}()
-	lab.Sleep(ctx, time.Duration(c.rng.IntN(40))*time.Millisecond)
-	c.machines[leader].Suspend()
-	c.setLive(leader, false)
+	lab.Sleep(ctx, time.Duration(s.rng.IntN(40))*time.Millisecond)
+	s.machines[leader].Suspend()
+	s.setLive(leader, false)
 	defer func() {
-		c.machines[leader].Resume()
-		c.setLive(leader, true)
+		s.machines[leader].Resume()
+		s.setLive(leader, true)
 	}()
-	if _, err := c.AwaitLeader(ctx, leader); err != nil {
+	if _, err := s.AwaitLeader(ctx, leader); err != nil {
 		return err
 	}
-	<-under
-	return c.changeForAll(ctx)
+	<-putDone
+	return s.changeForAll(ctx)
 }
 
 // kill ends a machine; start starts it again.
-func (c *scenario) kill(id string) {
-	c.setLive(id, false)
-	c.machines[id].Kill()
+func (s *scenario) kill(id string) {
+	s.setLive(id, false)
+	s.machines[id].Kill()
 }
 
-func (c *scenario) startMachine(id string) error {
-	err := c.machines[id].Proc.Start()
-	c.setLive(id, err == nil)
+func (s *scenario) startMachine(id string) error {
+	err := s.machines[id].Proc.Start()
+	s.setLive(id, err == nil)
 	return err
 }
 
 // killMachine kills a machine, the leader as often as any, and starts it again.
-func (c *scenario) killMachine(ctx context.Context) error {
-	id := machineNames[c.rng.IntN(len(machineNames))]
-	if leader, err := c.AwaitLeader(ctx); err == nil && c.rng.IntN(2) == 0 {
+func (s *scenario) killMachine(ctx context.Context) error {
+	id := machineNames[s.rng.IntN(len(machineNames))]
+	if leader, err := s.AwaitLeader(ctx); err == nil && s.rng.IntN(2) == 0 {
 		id = leader
 	}
-	c.kill(id)
-	if err := c.changeForAll(ctx); err != nil {
+	s.kill(id)
+	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
-	return c.startMachine(id)
+	return s.startMachine(id)
 }
 
 // restoreOldDisk brings a machine back with a copy of its disk from before some changes. The others hold
 // all that was committed then, so nothing may be lost; its agents know more than it does.
-func (c *scenario) restoreOldDisk(ctx context.Context) error {
-	id := machineNames[c.rng.IntN(len(machineNames))]
-	c.kill(id)
-	data, copied := c.machines[id].Data, c.machines[id].Data+".old"
+func (s *scenario) restoreOldDisk(ctx context.Context) error {
+	id := machineNames[s.rng.IntN(len(machineNames))]
+	s.kill(id)
+	data, copied := s.machines[id].Data, s.machines[id].Data+".old"
 	if err := os.RemoveAll(copied); err != nil {
 		return err
 	}
 	if err := os.CopyFS(copied, os.DirFS(data)); err != nil {
 		return err
 	}
-	if err := c.startMachine(id); err != nil {
+	if err := s.startMachine(id); err != nil {
 		return err
 	}
 	for range 3 {
-		if err := c.changeForAll(ctx); err != nil {
+		if err := s.changeForAll(ctx); err != nil {
 			return err
 		}
 	}
-	if err := c.AwaitSettled(ctx, routesForAll); err != nil {
+	if err := s.AwaitSettled(ctx, routesForAll); err != nil {
 		return err
 	}
-	if err := c.awaitApplied(ctx); err != nil {
+	if err := s.awaitApplied(ctx); err != nil {
 		return err
 	}
-	c.kill(id)
-	if err := c.awaitApplied(ctx); err != nil { // what came since is at the others too
+	s.kill(id)
+	if err := s.awaitApplied(ctx); err != nil { // what came since is at the others too
 		return err
 	}
 	if err := os.RemoveAll(data); err != nil {
@@ -310,29 +310,29 @@
 	if err := os.Rename(copied, data); err != nil {
 		return err
 	}
-	if err := c.startMachine(id); err != nil {
+	if err := s.startMachine(id); err != nil {
 		return err
 	}
-	return c.changeForAll(ctx)
+	return s.changeForAll(ctx)
 }
 
 // awaitApplied waits until all voters that run have applied what the leader has.
-func (c *scenario) awaitApplied(ctx context.Context) error {
-	leader, err := c.AwaitLeader(ctx)
+func (s *scenario) awaitApplied(ctx context.Context) error {
+	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
 		return err
 	}
-	s, err := c.overview(ctx, leader)
+	atLeader, err := s.overview(ctx, leader)
 	if err != nil {
 		return err
 	}
 	for _, id := range voters {
-		for c.machines[id].Running() {
-			if v, err := c.overview(ctx, id); err == nil && v.Applied >= s.Applied {
+		for s.machines[id].Running() {
+			if v, err := s.overview(ctx, id); err == nil && v.Applied >= atLeader.Applied {
 				break
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s did not come level with %s: %w: %s", id, leader, ctx.Err(), c.describeMachines())
+				return fmt.Errorf("%s did not come level with %s: %w: %s", id, leader, ctx.Err(), s.describeMachines())
 			}
 			lab.Sleep(ctx, 20*time.Millisecond)
 		}
@@ -341,53 +341,53 @@
 }
 
 // restartTenth kills a tenth of the agents, real ones among them, with a change under way.
-func (c *scenario) restartTenth(ctx context.Context) error {
-	if err := c.changeForAll(ctx); err != nil {
+func (s *scenario) restartTenth(ctx context.Context) error {
+	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
-	lab.Sleep(ctx, time.Duration(c.rng.IntN(1500))*time.Millisecond)
+	lab.Sleep(ctx, time.Duration(s.rng.IntN(1500))*time.Millisecond)
 	var picked []*hollowAgent
-	for _, i := range c.rng.Perm(len(c.hollowAgents))[:(len(c.hollowAgents)+9)/10] {
-		picked = append(picked, c.hollowAgents[i])
+	for _, i := range s.rng.Perm(len(s.hollowAgents))[:(len(s.hollowAgents)+9)/10] {
+		picked = append(picked, s.hollowAgents[i])
 	}
-	c.stopAgents(picked)
-	for _, i := range c.rng.Perm(c.Fleet.Real)[:(c.Fleet.Real+9)/10] {
-		if err := c.restartAgent(ctx, i); err != nil {
+	s.stopAgents(picked)
+	for _, i := range s.rng.Perm(s.Fleet.Real)[:(s.Fleet.Real+9)/10] {
+		if err := s.restartAgent(ctx, i); err != nil {
 			return err
 		}
 	}
-	return c.startAgents(picked)
+	return s.startAgents(picked)
 }
 
 // stopAgents has agents stop, up has them start at once.
-func (w *Fleet) stopAgents(all []*hollowAgent) {
+func (f *Fleet) stopAgents(all []*hollowAgent) {
 	for _, a := range all {
 		a.cancel()
 	}
-	w.updateReachable()
+	f.updateReachable()
 	for _, a := range all {
 		a.wait()
 	}
 }
 
-func (w *Fleet) startAgents(all []*hollowAgent) error {
+func (f *Fleet) startAgents(all []*hollowAgent) error {
 	err := forEach(all, func(a *hollowAgent) error { return a.start() })
-	w.updateReachable()
+	f.updateReachable()
 	return err
 }
 
 // isolateMachine cuts a machine off from the others, but not from its agents: it lags, and they must
 // hear of a change all the same.
-func (c *scenario) isolateMachine(ctx context.Context) error {
-	id := machineNames[c.rng.IntN(len(machineNames))]
-	c.Cut(func(a, b string) bool { return a == id && c.machines[b] != nil })
-	if _, err := c.AwaitLeader(ctx, id); err != nil {
+func (s *scenario) isolateMachine(ctx context.Context) error {
+	id := machineNames[s.rng.IntN(len(machineNames))]
+	s.Cut(func(a, b string) bool { return a == id && s.machines[b] != nil })
+	if _, err := s.AwaitLeader(ctx, id); err != nil {
 		return err
 	}
-	if err := c.changeForAll(ctx); err != nil {
+	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
-	return c.AwaitSettled(ctx, routesForAll) // while it is cut off
+	return s.AwaitSettled(ctx, routesForAll) // while it is cut off
 }
 
 // maxReturnBytes bounds what an agent that comes back may have sent and fetched until it has a change:
@@ -395,37 +395,37 @@
 const maxReturnBytes = 64 << 10
 
 // restartZone has all of a zone's hollow agents go, changes what they had, and has them back at once.
-func (c *scenario) restartZone(ctx context.Context) error {
-	zone := zones[c.rng.IntN(len(zones))]
+func (s *scenario) restartZone(ctx context.Context) error {
+	zone := zones[s.rng.IntN(len(zones))]
 	var picked []*hollowAgent
-	for _, a := range c.hollowAgents {
+	for _, a := range s.hollowAgents {
 		if a.Zone == zone {
 			picked = append(picked, a)
 		}
 	}
-	c.stopAgents(picked)
-	if err := c.changeForAll(ctx); err != nil {
+	s.stopAgents(picked)
+	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
 	r := ZoneReturn{Agents: len(picked), Conns: map[string]int64{}, Bytes: map[string]int64{}}
-	for id, l := range c.agentLinks[zone] {
+	for id, l := range s.agentLinks[zone] {
 		r.Conns[id], r.Bytes[id] = l.Traffic()
 	}
 	began := time.Now()
-	if err := c.startAgents(picked); err != nil {
+	if err := s.startAgents(picked); err != nil {
 		return err
 	}
-	if err := c.AwaitSettled(ctx, routesForAll); err != nil {
+	if err := s.AwaitSettled(ctx, routesForAll); err != nil {
 		return err
 	}
 	r.Elapsed = time.Since(began)
 	conns, most, bytes := int64(0), int64(0), int64(0)
-	for id, l := range c.agentLinks[zone] {
+	for id, l := range s.agentLinks[zone] {
 		n, b := l.Traffic()
 		r.Conns[id], r.Bytes[id] = n-r.Conns[id], b-r.Bytes[id]
 		conns, most, bytes = conns+r.Conns[id], max(most, r.Conns[id]), bytes+r.Bytes[id]
 	}
-	c.report.Returns = append(c.report.Returns, r)
+	s.report.Returns = append(s.report.Returns, r)
 	if conns > int64(4*len(picked)+8) {
 		return fmt.Errorf("%d agents of %s made %d connections: %v", len(picked), zone, conns, r.Conns)
 	}
@@ -440,39 +440,39 @@
 
 // cutRegions cuts the regions apart for an hour, as it were: the side with a majority takes
 // changes and its agents have them, the other takes none, and its agents serve on.
-func (c *scenario) cutRegions(ctx context.Context) error {
-	c.Cut(inDifferentRegions)
-	if _, err := c.AwaitLeader(ctx, "c3"); err != nil {
+func (s *scenario) cutRegions(ctx context.Context) error {
+	s.Cut(inDifferentRegions)
+	if _, err := s.AwaitLeader(ctx, "c3"); err != nil {
 		return err
 	}
-	west, east := c.newAuthorVia("west", "c1", "c2"), c.newAuthorVia("east", "c3", "c4")
+	west, east := s.newAuthorVia("west", "c1", "c2"), s.newAuthorVia("east", "c3", "c4")
 	defer west.client.Close()
 	defer east.client.Close()
 	if _, err := west.change(ctx, Put{Name: routesForAll}); err != nil {
 		return err
 	}
-	if p := east.put(ctx, Put{Name: routesForAll, Base: c.latestRevision(routesForAll), Text: east.nextText()}); p.Outcome == Committed {
+	if p := east.put(ctx, Put{Name: routesForAll, Base: s.latestRevision(routesForAll), Text: east.nextText()}); p.Outcome == Committed {
 		return fmt.Errorf("a put stands on the side of the minority: %+v", p)
 	}
-	if err := c.AwaitSettled(ctx, routesForAll); err != nil { // those within reach
+	if err := s.AwaitSettled(ctx, routesForAll); err != nil { // those within reach
 		return err
 	}
-	lab.Sleep(ctx, c.RegionCut)
+	lab.Sleep(ctx, s.RegionCut)
 	_, err := west.change(ctx, Put{Name: routesForAll})
 	return err
 }
 
 // changeInBurst is ten changes within a second on one document by two authors who look at what is latest.
-func (c *scenario) changeInBurst(ctx context.Context) error {
+func (s *scenario) changeInBurst(ctx context.Context) error {
 	var both sync.WaitGroup
-	for _, a := range []*author{c.ann, c.bob} {
+	for _, a := range []*author{s.ann, s.bob} {
 		both.Go(func() {
 			for range 5 {
 				began := time.Now()
-				if leader, err := c.AwaitLeader(ctx); err == nil {
-					c.readDocuments(ctx, leader)
+				if leader, err := s.AwaitLeader(ctx); err == nil {
+					s.readDocuments(ctx, leader)
 				}
-				a.put(ctx, Put{Name: routesForAll, Base: c.latestRevision(routesForAll), Text: a.nextText()})
+				a.put(ctx, Put{Name: routesForAll, Base: s.latestRevision(routesForAll), Text: a.nextText()})
 				lab.Sleep(ctx, 200*time.Millisecond-time.Since(began))
 			}
 		})
@@ -483,35 +483,35 @@
 
 // refusedBySome is a document that one hollow agent in eight does not take. Where one of them is
 // in the first stage it is halted, otherwise they stay with the former text.
-func (c *scenario) refusedBySome(ctx context.Context) error {
-	_, err := c.ann.change(ctx, Put{Name: routesForAll, Text: markRefuseSome})
-	return errors.Join(err, c.AwaitSettled(ctx, routesForAll), c.changeForAll(ctx))
+func (s *scenario) refusedBySome(ctx context.Context) error {
+	_, err := s.ann.change(ctx, Put{Name: routesForAll, Text: markRefuseSome})
+	return errors.Join(err, s.AwaitSettled(ctx, routesForAll), s.changeForAll(ctx))
 }
 
 // failFirstStage is a text that no hollow agent takes, or that makes calls fail, with the next change
 // waiting behind it: the former text comes back, and the next goes its own way.
-func (c *scenario) failFirstStage(ctx context.Context) error {
+func (s *scenario) failFirstStage(ctx context.Context) error {
 	mark := markRefuseAll
-	if c.rng.IntN(2) == 0 {
+	if s.rng.IntN(2) == 0 {
 		mark = markFailCalls
 	}
-	bad, err := c.ann.change(ctx, Put{Name: routesForAll, Text: mark})
+	bad, err := s.ann.change(ctx, Put{Name: routesForAll, Text: mark})
 	if err != nil {
 		return err
 	}
-	for !c.History.HasBegun(bad.Revision) { // what still waits would be superseded by the next, and never fail
+	for !s.History.HasBegun(bad.Revision) { // what still waits would be superseded by the next, and never fail
 		if ctx.Err() != nil {
-			return fmt.Errorf("%d does not begin: %w: %s", bad.Revision, ctx.Err(), c.describeMachines())
+			return fmt.Errorf("%d does not begin: %w: %s", bad.Revision, ctx.Err(), s.describeMachines())
 		}
-		if leader, err := c.AwaitLeader(ctx); err == nil {
-			c.readDocuments(ctx, leader)
+		if leader, err := s.AwaitLeader(ctx); err == nil {
+			s.readDocuments(ctx, leader)
 		}
 	}
-	c.bob.put(ctx, Put{Name: routesForAll, Base: bad.Revision, Text: c.bob.nextText()})
-	if err := c.AwaitSettled(ctx, routesForAll); err != nil {
+	s.bob.put(ctx, Put{Name: routesForAll, Base: bad.Revision, Text: s.bob.nextText()})
+	if err := s.AwaitSettled(ctx, routesForAll); err != nil {
 		return err
 	}
-	if !c.History.WasHalted(bad.Revision) {
+	if !s.History.WasHalted(bad.Revision) {
 		return fmt.Errorf("%d (%s) was not halted", bad.Revision, mark)
 	}
 	return nil
@@ -519,17 +519,17 @@
 
 // breakDisks has agents whose disks take nothing: a change is in force there all the same, and is
 // on their disks once they take it again.
-func (c *scenario) breakDisks(ctx context.Context) error {
+func (s *scenario) breakDisks(ctx context.Context) error {
 	var picked []*hollowAgent
-	for _, i := range c.rng.Perm(len(c.hollowAgents))[:max(len(c.hollowAgents)/20, 1)] {
-		picked = append(picked, c.hollowAgents[i])
+	for _, i := range s.rng.Perm(len(s.hollowAgents))[:max(len(s.hollowAgents)/20, 1)] {
+		picked = append(picked, s.hollowAgents[i])
 	}
 	for _, a := range picked {
 		if err := a.breakDisk(); err != nil {
 			return err
 		}
 	}
-	err := errors.Join(c.changeForAll(ctx), c.AwaitSettled(ctx, routesForAll))
+	err := errors.Join(s.changeForAll(ctx), s.AwaitSettled(ctx, routesForAll))
 	for _, a := range picked {
 		err = errors.Join(err, a.restoreDisk())
 	}
@@ -543,22 +543,22 @@
 	if err != nil {
 		return err
 	}
-	c.stopAgents(picked)
-	return c.startAgents(picked) // from their disks
+	s.stopAgents(picked)
+	return s.startAgents(picked) // from their disks
 }
 
 // sendJunk sends what nobody would send to a machine's ports.
-func (c *scenario) sendJunk(ctx context.Context) error {
-	m := c.machines[machineNames[c.rng.IntN(len(machineNames))]]
+func (s *scenario) sendJunk(ctx context.Context) error {
+	m := s.machines[machineNames[s.rng.IntN(len(machineNames))]]
 	for _, addr := range []string{m.raft, m.client, m.console} {
 		for range 40 {
 			conn, err := net.DialTimeout("tcp", addr, time.Second)
 			if err != nil {
 				return fmt.Errorf("%s takes no connections: %w", m.id, err)
 			}
-			junk := make([]byte, 1+c.rng.IntN(2000))
+			junk := make([]byte, 1+s.rng.IntN(2000))
 			for i := range junk {
-				junk[i] = byte(c.rng.Uint32())
+				junk[i] = byte(s.rng.Uint32())
 			}
 			conn.Write(junk) // it may be ended before all is out
 			conn.Close()
@@ -567,33 +567,33 @@
 	if !m.Running() {
 		return fmt.Errorf("%s ended by junk", m.id)
 	}
-	return c.changeForAll(ctx)
+	return s.changeForAll(ctx)
 }
 
 // changeNarrowDocument puts a document for one zone over that for all, changes both, and removes it: the zone
 // goes back to the latest for all. A former text comes again, too.
-func (c *scenario) changeNarrowDocument(ctx context.Context) error {
+func (s *scenario) changeNarrowDocument(ctx context.Context) error {
 	const name = "routes@zone/z2"
-	first, err := c.ann.change(ctx, Put{Name: name})
+	first, err := s.ann.change(ctx, Put{Name: name})
 	if err != nil {
 		return err
 	}
-	if err := c.AwaitSettled(ctx, routesForAll, name); err != nil {
+	if err := s.AwaitSettled(ctx, routesForAll, name); err != nil {
 		return err
 	}
-	if _, err := c.bob.change(ctx, Put{Name: name}); err != nil {
+	if _, err := s.bob.change(ctx, Put{Name: name}); err != nil {
 		return err
 	}
-	if err := c.changeForAll(ctx); err != nil {
+	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
-	if err := c.AwaitSettled(ctx, routesForAll, name); err != nil {
+	if err := s.AwaitSettled(ctx, routesForAll, name); err != nil {
 		return err
 	}
-	c.bob.put(ctx, Put{Name: name, Base: c.latestRevision(name), Restore: first.Revision, Text: first.Text})
-	if err := c.AwaitSettled(ctx, routesForAll, name); err != nil {
+	s.bob.put(ctx, Put{Name: name, Base: s.latestRevision(name), Restore: first.Revision, Text: first.Text})
+	if err := s.AwaitSettled(ctx, routesForAll, name); err != nil {
 		return err
 	}
-	_, err = c.ann.change(ctx, Put{Name: name, Remove: true})
+	_, err = s.ann.change(ctx, Put{Name: name, Remove: true})
 	return err
 }
--- a/internal/lab/rolloutlab/spread_test.go
+++ b/internal/lab/rolloutlab/spread_test.go
@@ -20,9 +20,9 @@
 )
 
 // spreadStatus is whom an agent tells of its load, how old its view is, and whether it follows one.
-func (w *Fleet) spreadStatus(i int) (steward string, old time.Duration, follows bool) {
-	said := w.cluster.ConsoleCommand(i, "SPREAD")
-	m := stewardLine.FindStringSubmatch(said)
+func (f *Fleet) spreadStatus(i int) (steward string, old time.Duration, follows bool) {
+	answer := f.cluster.ConsoleCommand(i, "SPREAD")
+	m := stewardLine.FindStringSubmatch(answer)
 	if m == nil {
 		return "", forever, false
 	}
@@ -30,17 +30,17 @@
 	if err != nil {
 		old = forever
 	}
-	return m[1], old, strings.HasPrefix(said, "in common true, by control machines")
+	return m[1], old, strings.HasPrefix(answer, "in common true, by control machines")
 }
 
 // awaitSpread waits until every agent has a fresh view of a machine that is not one of those lost and,
 // if so asked, follows it, and names the machine of the first agent.
-func (w *Fleet) awaitSpread(ctx context.Context, t *testing.T, what string, follow bool, lost ...string) (steward string) {
+func (f *Fleet) awaitSpread(ctx context.Context, t *testing.T, what string, follow bool, lost ...string) (steward string) {
 	began := time.Now()
 	for {
 		ok, states := true, ""
-		for i := range w.Real {
-			at, old, follows := w.spreadStatus(i)
+		for i := range f.Real {
+			at, old, follows := f.spreadStatus(i)
 			states += fmt.Sprintf(" a%d: %s, %v old, follows %v;", i, at, old, follows)
 			ok = ok && at != "" && old < maxViewAge && (follows || !follow)
 			for _, id := range lost {
@@ -55,7 +55,7 @@
 			return steward
 		}
 		lab.Sleep(ctx, 50*time.Millisecond)
-		require.NoError(t, ctx.Err(), "%s:%s\n%s", what, states, w.cluster.Logs(0))
+		require.NoError(t, ctx.Err(), "%s:%s\n%s", what, states, f.cluster.Logs(0))
 	}
 }
 
@@ -65,29 +65,29 @@
 func TestSpread(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	w, err := Start(ctx, Config{Bin: bin, Dir: t.TempDir(), Real: 4, Seed: 9, Delay: 10 * time.Millisecond, SpreadPeriod: 200 * time.Millisecond})
+	f, err := Start(ctx, Config{Bin: bin, Dir: t.TempDir(), Real: 4, Seed: 9, Delay: 10 * time.Millisecond, SpreadPeriod: 200 * time.Millisecond})
 	require.NoError(t, err)
-	defer w.Close()
-	first := w.awaitSpread(ctx, t, "all follow", true)
-	w.machines[first].Kill()
-	w.setLive(first, false)
-	second := w.awaitSpread(ctx, t, first+" killed", false, first)
-	w.machines[second].Suspend()
-	w.setLive(second, false)
-	third := w.awaitSpread(ctx, t, second+" stopped", false, first, second)
-	w.Cut(func(a, b string) bool { return a == third })
-	w.awaitSpread(ctx, t, third+" cut off", false, first, second, third)
-	require.NoError(t, w.launch(w.machines[first]))
-	w.machines[second].Resume()
-	w.setLive(first, true)
-	w.setLive(second, true)
-	w.Heal()
-	w.awaitSpread(ctx, t, "all back", true)
-	w.stop()
-	w.callers.Wait()
-	sum, _ := w.callers.Tally()
+	defer f.Close()
+	first := f.awaitSpread(ctx, t, "all follow", true)
+	f.machines[first].Kill()
+	f.setLive(first, false)
+	second := f.awaitSpread(ctx, t, first+" killed", false, first)
+	f.machines[second].Suspend()
+	f.setLive(second, false)
+	third := f.awaitSpread(ctx, t, second+" stopped", false, first, second)
+	f.Cut(func(a, b string) bool { return a == third })
+	f.awaitSpread(ctx, t, third+" cut off", false, first, second, third)
+	require.NoError(t, f.launch(f.machines[first]))
+	f.machines[second].Resume()
+	f.setLive(first, true)
+	f.setLive(second, true)
+	f.Heal()
+	f.awaitSpread(ctx, t, "all back", true)
+	f.stop()
+	f.callers.Wait()
+	sum, _ := f.callers.Tally()
 	assert.Zero(t, sum.Lost)
-	assert.NoError(t, w.cluster.World.Check.Err())
+	assert.NoError(t, f.cluster.World.Check.Err())
 	assert.Greater(t, sum.Share(), 0.5, "%+v", sum)
 	t.Logf("%+v", sum)
 }
--- a/internal/lab/rolloutlab/world.go
+++ b/internal/lab/rolloutlab/world.go
@@ -89,27 +89,27 @@
 
 // Start starts the machines, waits until they have a leader, and starts the agents.
 func Start(ctx context.Context, p Config) (*Fleet, error) {
-	w := &Fleet{Config: p, machines: map[string]*machine{}, agentLinks: map[string]map[string]*faultnet.Link{},
+	f := &Fleet{Config: p, machines: map[string]*machine{}, agentLinks: map[string]map[string]*faultnet.Link{},
 		dropped: map[*faultnet.Link]bool{}, latestRevisions: map[string]uint64{}, historyReadAt: map[string]string{}}
 	var agents []rollout.Agent
 	for i := range p.Hollow {
 		z := zones[i%len(zones)]
 		a := rollout.Agent{Name: fmt.Sprintf("h%d", i), Service: fmt.Sprintf("svc%02d", (i/len(zones))%services+1), Zone: z, Region: regionOf[z]}
 		agents = append(agents, a)
-		w.hollowAgents = append(w.hollowAgents, &hollowAgent{Agent: a, world: w, dir: filepath.Join(p.Dir, a.Name)})
+		f.hollowAgents = append(f.hollowAgents, &hollowAgent{Agent: a, fleet: f, dir: filepath.Join(p.Dir, a.Name)})
 	}
 	for i := range p.Real {
 		agents = append(agents, realAgent(i))
 	}
-	w.History = NewHistory(agents)
+	f.History = NewHistory(agents)
 	run, cancel := context.WithCancel(ctx)
-	w.stop = cancel
-	if err := w.start(ctx, run); err != nil {
-		logs := w.Logs()
-		w.Close()
+	f.stop = cancel
+	if err := f.start(ctx, run); err != nil {
+		logs := f.Logs()
+		f.Close()
 		return nil, fmt.Errorf("%w\n%s", err, logs)
 	}
-	return w, nil
+	return f, nil
 }
 
 func realAgent(i int) rollout.Agent {
@@ -120,32 +120,32 @@
 // startTimeout bounds the start of a world on a busy machine.
 const startTimeout = 90 * time.Second
 
-func (w *Fleet) start(ctx, run context.Context) error {
+func (f *Fleet) start(ctx, run context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := w.startMachines(); err != nil {
+	if err := f.startMachines(); err != nil {
 		return err
 	}
 	clients := map[string]string{}
-	for id, m := range w.machines {
+	for id, m := range f.machines {
 		clients[id] = m.client
 	}
-	w.client = control.NewClient(clients)
+	f.client = control.NewClient(clients)
 	for _, id := range machineNames {
-		w.work.Go(func() { w.pollMachine(run, id) })
+		f.work.Go(func() { f.pollMachine(run, id) })
 	}
-	first, done := context.WithTimeout(ctx, lab.StepTimeout)
-	defer done()
-	if _, err := w.AwaitLeader(first); err != nil {
+	leaderCtx, cancelLeader := context.WithTimeout(ctx, lab.StepTimeout)
+	defer cancelLeader()
+	if _, err := f.AwaitLeader(leaderCtx); err != nil {
 		return err
 	}
-	if w.Real > 0 {
-		if err := w.startRealAgents(ctx, run); err != nil {
+	if f.Real > 0 {
+		if err := f.startRealAgents(ctx, run); err != nil {
 			return err
 		}
 	}
-	err := forEach(w.hollowAgents, func(a *hollowAgent) error { return a.start() })
-	w.updateReachable()
+	err := forEach(f.hollowAgents, func(a *hollowAgent) error { return a.start() })
+	f.updateReachable()
 	return err
 }
 
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (w *Fleet) startMachines() error {
+func (f *Fleet) startMachines() error {
 	host, err := faultnet.NewHost()
 	if err != nil {
 		return err
@@ -194,17 +194,17 @@
 				return err
 			}
 		}
-		w.machines[id] = &machine{id: id, raft: at[0], client: at[1], console: at[2], live: true}
+		f.machines[id] = &machine{id: id, raft: at[0], client: at[1], console: at[2], live: true}
 		raft[id], client[id] = at[0], at[1]
 	}
-	if w.raftLinks, err = faultnet.NewMesh(raft, w.Seed); err == nil {
-		w.reportLinks, err = faultnet.NewMesh(client, w.Seed+100)
+	if f.raftLinks, err = faultnet.NewMesh(raft, f.Seed); err == nil {
+		f.reportLinks, err = faultnet.NewMesh(client, f.Seed+100)
 	}
 	for i, z := range zones {
-		w.agentLinks[z] = map[string]*faultnet.Link{}
+		f.agentLinks[z] = map[string]*faultnet.Link{}
 		for j, id := range machineNames {
 			if err == nil {
-				w.agentLinks[z][id], err = faultnet.NewLink(client[id], w.Seed+uint64(200+10*i+j))
+				f.agentLinks[z][id], err = faultnet.NewLink(client[id], f.Seed+uint64(200+10*i+j))
 			}
 		}
 	}
@@ -212,9 +212,9 @@
 	if err != nil {
 		return err
 	}
-	w.updateLinks()
-	for _, m := range w.machines {
-		if err := w.launch(m); err != nil {
+	f.updateLinks()
+	for _, m := range f.machines {
+		if err := f.launch(m); err != nil {
 			return err
 		}
 	}
@@ -225,72 +225,72 @@
 var slowTiming = map[string]string{"heartbeat": lab.SlowTiming.Heartbeat, "election": lab.SlowTiming.Election, "lease": lab.SlowTiming.Lease}
 
 // launch writes a machine's file and starts it.
-func (w *Fleet) launch(m *machine) error {
+func (f *Fleet) launch(m *machine) error {
 	links, peers := map[string]string{}, map[string]string{}
-	var boot []map[string]any
+	var bootstrap []map[string]any
 	for _, id := range machineNames {
-		o := w.machines[id]
-		boot = append(boot, map[string]any{"id": id, "raft": o.raft, "voter": slices.Contains(voters, id)})
+		o := f.machines[id]
+		bootstrap = append(bootstrap, map[string]any{"id": id, "raft": o.raft, "voter": slices.Contains(voters, id)})
 		peers[id] = o.client
 		if id != m.id {
-			links[o.raft], peers[id] = w.raftLinks[m.id][id].Addr(), w.reportLinks[m.id][id].Addr()
+			links[o.raft], peers[id] = f.raftLinks[m.id][id].Addr(), f.reportLinks[m.id][id].Addr()
 		}
 	}
-	text, err := yaml.Marshal(map[string]any{"id": m.id, "raft": m.raft, "client": m.client, "data": filepath.Join(w.Dir, m.id),
-		"bootstrap": boot, "links": links, "snapshot": map[string]any{"entries": 64}, "timing": slowTiming,
+	text, err := yaml.Marshal(map[string]any{"id": m.id, "raft": m.raft, "client": m.client, "data": filepath.Join(f.Dir, m.id),
+		"bootstrap": bootstrap, "links": links, "snapshot": map[string]any{"entries": 64}, "timing": slowTiming,
 		"rollout": map[string]any{"console": m.console, "peers": peers}})
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(w.Dir, m.id+".yaml")
+	path := filepath.Join(f.Dir, m.id+".yaml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
 	if m.Proc == nil {
-		m.Proc = &faultnet.Proc{Name: m.id, Bin: w.Bin, Args: []string{"replica", path}, Data: filepath.Join(w.Dir, m.id)}
+		m.Proc = &faultnet.Proc{Name: m.id, Bin: f.Bin, Args: []string{"replica", path}, Data: filepath.Join(f.Dir, m.id)}
 	}
 	return m.Proc.Start()
 }
 
 // machinesFor is the machines as the agents of a zone reach them.
-func (w *Fleet) machinesFor(zone string) (out []watcher.Machine) {
+func (f *Fleet) machinesFor(zone string) (out []watcher.Machine) {
 	for _, id := range machineNames {
-		out = append(out, watcher.Machine{ID: id, Client: w.agentLinks[zone][id].Addr(), Region: regionOf[id], Zone: machineZones[id]})
+		out = append(out, watcher.Machine{ID: id, Client: f.agentLinks[zone][id].Addr(), Region: regionOf[id], Zone: machineZones[id]})
 	}
 	return out
 }
 
 // startRealAgents starts the real agents with callers at work, and watches what they have in force.
-func (w *Fleet) startRealAgents(ctx, run context.Context) (err error) {
-	d := emulator.Campus()
-	dir := filepath.Join(w.Dir, "crew")
+func (f *Fleet) startRealAgents(ctx, run context.Context) (err error) {
+	deployment := emulator.Campus()
+	dir := filepath.Join(f.Dir, "crew")
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
-	w.cluster, err = cluster.Start(ctx, cluster.Config{Bin: w.Bin, Dir: dir, Deployment: d, Agents: w.Real, Servers: 3, Seed: w.Seed, Env: w.writeAgentFiles})
+	f.cluster, err = cluster.Start(ctx, cluster.Config{Bin: f.Bin, Dir: dir, Deployment: deployment, Agents: f.Real, Servers: 3, Seed: f.Seed, Env: f.writeAgentFiles})
 	if err != nil {
 		return err
 	}
-	w.callers = w.cluster.StartCallers(run, emulator.Load{Rates: emulator.UnevenRates(w.Real, 0.5*d.Total(3), w.Seed), Seed: w.Seed, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
-	for i := range w.Real {
-		w.work.Go(func() { w.pollAgent(run, i) })
+	f.callers = f.cluster.StartCallers(run, emulator.Load{Rates: emulator.UnevenRates(f.Real, 0.5*deployment.Total(3), f.Seed), Seed: f.Seed, ChoiceVariation: 0.3, ChoicePeriod: 5 * time.Second})
+	for i := range f.Real {
+		f.work.Go(func() { f.pollAgent(run, i) })
 	}
 	return nil
 }
 
 // writeAgentFiles writes a real agent's file of the rollout.
-func (w *Fleet) writeAgentFiles(c *cluster.Cluster, i int) ([]string, error) {
+func (f *Fleet) writeAgentFiles(c *cluster.Cluster, i int) ([]string, error) {
 	a := realAgent(i)
 	text, err := yaml.Marshal(map[string]any{"service": a.Service, "zone": a.Zone, "region": a.Region,
-		"data": filepath.Join(c.Dir, a.Name+".rollout"), "machines": w.machinesFor(a.Zone)})
+		"data": filepath.Join(c.Dir, a.Name+".rollout"), "machines": f.machinesFor(a.Zone)})
 	if err != nil {
 		return nil, err
 	}
 	path := filepath.Join(c.Dir, a.Name+"-rollout.yaml")
-	if err := os.WriteFile(path, text, 0o600); err != nil || w.SpreadPeriod == 0 {
+	if err := os.WriteFile(path, text, 0o600); err != nil || f.SpreadPeriod == 0 {
 		return []string{"WOODROUTER_ROLLOUT=" + path}, err
 	}
-	if text, err = yaml.Marshal(map[string]any{"mode": "control", "service": a.Service, "period": w.SpreadPeriod.String(), "machines": w.machinesFor(a.Zone)}); err != nil {
+	if text, err = yaml.Marshal(map[string]any{"mode": "control", "service": a.Service, "period": f.SpreadPeriod.String(), "machines": f.machinesFor(a.Zone)}); err != nil {
 		return nil, err
 	}
 	spread := filepath.Join(c.Dir, a.Name+"-spread.yaml")
@@ -300,94 +300,94 @@
 // region tells whose side a zone's agents or a machine are on.
 func inDifferentRegions(a, b string) bool { return regionOf[a] != regionOf[b] }
 
-func (w *Fleet) isCut(a, b string) bool {
-	return slices.ContainsFunc(w.cuts, func(cut func(a, b string) bool) bool { return cut(a, b) || cut(b, a) })
+func (f *Fleet) isCut(a, b string) bool {
+	return slices.ContainsFunc(f.cuts, func(cut func(a, b string) bool) bool { return cut(a, b) || cut(b, a) })
 }
 
 // Cut cuts the links between zones and machines that are picked, beside what is cut already.
-func (w *Fleet) Cut(pick func(a, b string) bool) {
-	w.mu.Lock()
-	w.cuts = append(w.cuts, pick)
-	w.mu.Unlock()
-	w.updateLinks()
+func (f *Fleet) Cut(pick func(a, b string) bool) {
+	f.mu.Lock()
+	f.cuts = append(f.cuts, pick)
+	f.mu.Unlock()
+	f.updateLinks()
 }
 
 // Heal makes all links whole.
-func (w *Fleet) Heal() {
-	w.mu.Lock()
-	w.cuts = nil
-	w.mu.Unlock()
-	w.updateLinks()
+func (f *Fleet) Heal() {
+	f.mu.Lock()
+	f.cuts = nil
+	f.mu.Unlock()
+	f.updateLinks()
 }
 
 // updateLinks has every link as the cuts say, and tells the history who is within reach now.
-func (w *Fleet) updateLinks() {
-	w.mu.Lock()
+func (f *Fleet) updateLinks() {
+	f.mu.Lock()
 	set := func(l *faultnet.Link, from, to string) {
-		drop := w.isCut(from, to)
+		drop := f.isCut(from, to)
 		mode, delay := faultnet.Pass, time.Duration(0)
 		if inDifferentRegions(from, to) {
-			delay = w.Delay
+			delay = f.Delay
 		}
 		if drop {
 			mode, delay = faultnet.Drop, 0
 		}
 		l.Set(mode, delay, 0)
-		if drop != w.dropped[l] { // what was made behind a cut leads nowhere for good
+		if drop != f.dropped[l] { // what was made behind a cut leads nowhere for good
 			l.Reset()
-			w.dropped[l] = drop
+			f.dropped[l] = drop
 		}
 	}
-	for _, mesh := range []map[string]map[string]*faultnet.Link{w.raftLinks, w.reportLinks, w.agentLinks} {
+	for _, mesh := range []map[string]map[string]*faultnet.Link{f.raftLinks, f.reportLinks, f.agentLinks} {
 		for from, tos := range mesh {
 			for to, l := range tos {
 				set(l, from, to)
 			}
 		}
 	}
-	w.mu.Unlock()
-	w.updateReachable()
+	f.mu.Unlock()
+	f.updateReachable()
 }
 
 // setLive notes that a machine runs, or does not.
-func (w *Fleet) setLive(id string, on bool) {
-	w.mu.Lock()
-	w.machines[id].live = on
-	w.mu.Unlock()
-	w.updateReachable()
+func (f *Fleet) setLive(id string, on bool) {
+	f.mu.Lock()
+	f.machines[id].live = on
+	f.mu.Unlock()
+	f.updateReachable()
 }
 
 // updateReachable tells the history which agents are within reach: those of a zone with a whole link to a
 // machine that runs and is with a majority of the voters.
-func (w *Fleet) updateReachable() {
-	if w.History == nil {
+func (f *Fleet) updateReachable() {
+	if f.History == nil {
 		return
 	}
-	w.mu.Lock()
-	with := w.withMajority()
-	zone := map[string]bool{}
+	f.mu.Lock()
+	machines := f.withMajority()
+	connected := map[string]bool{}
 	for _, z := range zones {
-		zone[z] = slices.ContainsFunc(with, func(id string) bool { return !w.isCut(z, id) })
+		connected[z] = slices.ContainsFunc(machines, func(id string) bool { return !f.isCut(z, id) })
 	}
-	w.mu.Unlock()
-	for _, a := range w.hollowAgents {
-		w.History.SetUnreachable(a.Name, !zone[a.Zone] || !a.running())
+	f.mu.Unlock()
+	for _, a := range f.hollowAgents {
+		f.History.SetUnreachable(a.Name, !connected[a.Zone] || !a.running())
 	}
-	for i := range w.Real {
+	for i := range f.Real {
 		a := realAgent(i)
-		w.History.SetUnreachable(a.Name, !zone[a.Zone] || w.cluster == nil || !w.cluster.Procs[i].Running())
+		f.History.SetUnreachable(a.Name, !connected[a.Zone] || f.cluster == nil || !f.cluster.Procs[i].Running())
 	}
 }
 
 // withMajority is the machines that run and reach, directly, a majority of voters that run and reach one another.
-func (w *Fleet) withMajority() (out []string) {
+func (f *Fleet) withMajority() (out []string) {
 	for _, id := range machineNames {
-		if !w.machines[id].live {
+		if !f.machines[id].live {
 			continue
 		}
 		n := 0
 		for _, v := range voters {
-			if w.machines[v].live && (v == id || !w.isCut(id, v)) {
+			if f.machines[v].live && (v == id || !f.isCut(id, v)) {
 				n++
 			}
 		}
@@ -402,9 +402,9 @@
 const machinePollInterval = 150 * time.Millisecond
 
 // pollMachine reads a machine's documents, again where something changed, until ctx ends.
-func (w *Fleet) pollMachine(ctx context.Context, id string) {
+func (f *Fleet) pollMachine(ctx context.Context, id string) {
 	for ctx.Err() == nil {
-		w.readDocuments(ctx, id)
+		f.readDocuments(ctx, id)
 		lab.Sleep(ctx, machinePollInterval)
 	}
 }
@@ -412,98 +412,98 @@
 // requestTimeout bounds one question to a machine: a stalled one says nothing.
 const requestTimeout = time.Second
 
-func (w *Fleet) readDocuments(ctx context.Context, id string) error {
+func (f *Fleet) readDocuments(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	v, err := w.client.Overview(ctx, id, "")
+	v, err := f.client.Overview(ctx, id, "")
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
+	f.mu.Lock()
 	if v.State == "Leader" {
-		w.leader = id
+		f.leader = id
 	}
-	w.mu.Unlock()
+	f.mu.Unlock()
 	for _, n := range v.Names {
 		name := n.Latest.Name.String()
 		at := fmt.Sprint(n.Latest.Revision, n.Latest.Stage)
-		w.mu.Lock()
-		fresh := w.historyReadAt[id+name] != at
+		f.mu.Lock()
+		fresh := f.historyReadAt[id+name] != at
 		if v.State == "Leader" {
-			w.latestRevisions[name] = n.Latest.Revision
+			f.latestRevisions[name] = n.Latest.Revision
 		}
-		w.mu.Unlock()
+		f.mu.Unlock()
 		if !fresh {
 			continue
 		}
-		one, err := w.client.Overview(ctx, id, name)
+		one, err := f.client.Overview(ctx, id, name)
 		if err != nil {
 			return err
 		}
 		for _, o := range one.Names {
 			if o.Latest.Name.String() == name {
-				w.History.RecordRevisions(id, o.History)
+				f.History.RecordRevisions(id, o.History)
 				at = fmt.Sprint(o.Latest.Revision, o.Latest.Stage)
 			}
 		}
-		w.mu.Lock()
-		w.historyReadAt[id+name] = at
-		w.mu.Unlock()
+		f.mu.Lock()
+		f.historyReadAt[id+name] = at
+		f.mu.Unlock()
 	}
 	return nil
 }
 
 // AwaitLeader waits until a machine that runs says that it leads, and names it.
-func (w *Fleet) AwaitLeader(ctx context.Context, but ...string) (string, error) {
+func (f *Fleet) AwaitLeader(ctx context.Context, except ...string) (string, error) {
 	for {
 		for _, id := range voters {
-			w.mu.Lock()
-			live := w.machines[id].live && !slices.Contains(but, id)
-			w.mu.Unlock()
+			f.mu.Lock()
+			live := f.machines[id].live && !slices.Contains(except, id)
+			f.mu.Unlock()
 			if !live {
 				continue
 			}
-			if s, err := w.overview(ctx, id); err == nil && s.State == "Leader" {
+			if s, err := f.overview(ctx, id); err == nil && s.State == "Leader" {
 				return id, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("no leader: %w: %s", ctx.Err(), w.describeMachines())
+			return "", fmt.Errorf("no leader: %w: %s", ctx.Err(), f.describeMachines())
 		case <-time.After(30 * time.Millisecond):
 		}
 	}
 }
 
-func (w *Fleet) overview(ctx context.Context, id string) (control.OverviewReply, error) {
+func (f *Fleet) overview(ctx context.Context, id string) (control.OverviewReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	return w.client.Overview(ctx, id, "")
+	return f.client.Overview(ctx, id, "")
 }
 
 // describeMachines is what each machine says of itself, for a step that did not end.
-func (w *Fleet) describeMachines() string {
+func (f *Fleet) describeMachines() string {
 	var out []string
 	for _, id := range machineNames {
-		s, err := w.overview(context.Background(), id)
-		out = append(out, fmt.Sprintf("%s runs %v: %s, leader %s, applied %d (%v)", id, w.machines[id].Running(), s.State, s.Leader, s.Applied, err))
+		s, err := f.overview(context.Background(), id)
+		out = append(out, fmt.Sprintf("%s runs %v: %s, leader %s, applied %d (%v)", id, f.machines[id].Running(), s.State, s.Leader, s.Applied, err))
 	}
 	return strings.Join(out, "; ")
 }
 
 // AwaitSettled waits until these documents, or all, stand everywhere and every agent within reach has
 // what stands.
-func (w *Fleet) AwaitSettled(ctx context.Context, names ...string) error {
+func (f *Fleet) AwaitSettled(ctx context.Context, names ...string) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	last := ""
 	for {
-		if last = w.firstUnsettled(ctx, names); last == "" {
+		if last = f.firstUnsettled(ctx, names); last == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not settled in %v: %s; %s", settleTimeout, last, w.describeMachines())
+			return fmt.Errorf("not settled in %v: %s; %s", settleTimeout, last, f.describeMachines())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -513,34 +513,34 @@
 const settleTimeout = 3 * PropagationLimit
 
 // firstUnsettled names what is not everywhere yet.
-func (w *Fleet) firstUnsettled(ctx context.Context, names []string) string {
-	leader, err := w.AwaitLeader(ctx)
+func (f *Fleet) firstUnsettled(ctx context.Context, names []string) string {
+	leader, err := f.AwaitLeader(ctx)
 	if err != nil {
 		return err.Error()
 	}
-	if err := w.readDocuments(ctx, leader); err != nil {
+	if err := f.readDocuments(ctx, leader); err != nil {
 		return err.Error()
 	}
 	if names == nil {
-		w.mu.Lock()
-		names = slices.Sorted(maps.Keys(w.latestRevisions))
-		w.mu.Unlock()
+		f.mu.Lock()
+		names = slices.Sorted(maps.Keys(f.latestRevisions))
+		f.mu.Unlock()
 	}
 	for _, name := range names {
-		r, ok := w.History.Latest(name)
+		r, ok := f.History.Latest(name)
 		if !ok {
 			return fmt.Sprintf("%s: %d by %s is %s", name, r.Revision, r.Author, r.Stage)
 		}
-		if lacking := w.agentsLacking(r); len(lacking) > 0 {
+		if lacking := f.agentsLacking(r); len(lacking) > 0 {
 			return fmt.Sprintf("%s: %d is not at %d agents: %v", name, r.Revision, len(lacking), lacking[:min(len(lacking), 5)])
 		}
 	}
 	return ""
 }
 
-func (w *Fleet) agentsLacking(r rollout.Revision) (out []string) {
-	for _, a := range w.History.agents {
-		if w.History.Reachable(a.Name) && !w.History.HasRevision(a.Name, r) {
+func (f *Fleet) agentsLacking(r rollout.Revision) (out []string) {
+	for _, a := range f.History.agents {
+		if f.History.Reachable(a.Name) && !f.History.HasRevision(a.Name, r) {
 			out = append(out, a.Name)
 		}
 	}
@@ -549,9 +549,9 @@
 }
 
 // Logs is every machine's log, for a failed run.
-func (w *Fleet) Logs() (out string) {
+func (f *Fleet) Logs() (out string) {
 	for _, id := range machineNames {
-		if m := w.machines[id]; m != nil && m.Proc != nil {
+		if m := f.machines[id]; m != nil && m.Proc != nil {
 			out += m.Log()
 		}
 	}
@@ -559,32 +559,32 @@
 }
 
 // Close ends everything.
-func (w *Fleet) Close() {
-	w.stop()
-	for _, a := range w.hollowAgents {
+func (f *Fleet) Close() {
+	f.stop()
+	for _, a := range f.hollowAgents {
 		a.cancel()
 	}
-	for _, a := range w.hollowAgents {
+	for _, a := range f.hollowAgents {
 		a.wait()
 	}
-	if w.callers != nil {
-		w.callers.Wait()
+	if f.callers != nil {
+		f.callers.Wait()
 	}
-	w.work.Wait()
-	if w.cluster != nil {
-		w.cluster.Close()
+	f.work.Wait()
+	if f.cluster != nil {
+		f.cluster.Close()
 	}
 	var down sync.WaitGroup
-	for _, m := range w.machines {
+	for _, m := range f.machines {
 		if m.Proc != nil {
 			down.Go(m.Kill)
 		}
 	}
 	down.Wait()
-	if w.client != nil {
-		w.client.Close()
+	if f.client != nil {
+		f.client.Close()
 	}
-	for _, mesh := range []faultnet.Mesh{w.raftLinks, w.reportLinks, w.agentLinks} {
+	for _, mesh := range []faultnet.Mesh{f.raftLinks, f.reportLinks, f.agentLinks} {
 		for _, tos := range mesh {
 			for _, l := range tos {
 				if l != nil {
--- a/internal/lab/scalelab/config.go
+++ b/internal/lab/scalelab/config.go
@@ -22,9 +22,9 @@
 const revisedKind = "routes"
 
 func newConfigClient(h *hollowAgent) (*configClient, error) {
-	d := h.helperConfig
-	c := watcher.Config{Service: h.Service, Zone: h.Zone, Region: h.Region, Data: filepath.Join(d.Dir, "held", h.Name),
-		Machines: d.Machines[h.Region], Source: &net.TCPAddr{IP: net.ParseIP(d.Hosts[h.index])}, Life: h.life().UnixMicro()}
+	config := h.helperConfig
+	c := watcher.Config{Service: h.Service, Zone: h.Zone, Region: h.Region, Data: filepath.Join(config.Dir, "held", h.Name),
+		Machines: config.Machines[h.Region], Source: &net.TCPAddr{IP: net.ParseIP(config.Hosts[h.index])}, Life: h.life().UnixMicro()}
 	w, err := watcher.Open(c, rollout.Agent{Name: h.Name, Service: h.Service, Zone: h.Zone, Region: h.Region}, configKinds, recordingLoader{h}, h.log)
 	if err != nil {
 		return nil, err
--- a/internal/lab/scalelab/control.go
+++ b/internal/lab/scalelab/control.go
@@ -61,7 +61,7 @@
 	direct := map[string]string{}
 	r.helperConfig.Machines = map[string][]watcher.Machine{}
 	farRaft, farClient := map[string]string{}, map[string]string{}
-	var boot []quorum.Peer
+	var bootstrap []quorum.Peer
 	for i, m := range machines {
 		var err error
 		if farRaft[m.ID], err = far(at(i, machineRaftPort)); err != nil {
@@ -72,7 +72,7 @@
 		}
 		direct[m.ID] = at(i, machineClientPort)
 		votes := m.ID != nonVoter
-		boot = append(boot, quorum.Peer{ID: m.ID, Raft: at(i, machineRaftPort), Voter: &votes})
+		bootstrap = append(bootstrap, quorum.Peer{ID: m.ID, Raft: at(i, machineRaftPort), Voter: &votes})
 		for _, region := range []string{"r1", "r2"} {
 			seen := m
 			if seen.Client = direct[m.ID]; region != m.Region {
@@ -83,7 +83,7 @@
 	}
 	for i, m := range machines {
 		f := control.Config{Rollout: control.RolloutConfig{Console: at(i, machineConsolePort), Peers: map[string]string{}}}
-		f.ID, f.Raft, f.Client, f.Data, f.Bootstrap, f.Links = m.ID, at(i, machineRaftPort), at(i, machineClientPort), filepath.Join(r.Dir, m.ID), boot, map[string]string{}
+		f.ID, f.Raft, f.Client, f.Data, f.Bootstrap, f.Links = m.ID, at(i, machineRaftPort), at(i, machineClientPort), filepath.Join(r.Dir, m.ID), bootstrap, map[string]string{}
 		f.Timing = quorum.TimingConfig{Heartbeat: "1s", Election: "1s", Commit: "20ms", Lease: "500ms"}
 		for j, o := range machines {
 			f.Rollout.Peers[o.ID] = direct[o.ID]
--- a/internal/lab/scalelab/helper.go
+++ b/internal/lab/scalelab/helper.go
@@ -68,8 +68,8 @@
 	pipe := &countingPipe{r: in, w: out}
 	lines := bufio.NewReader(pipe)
 	orders := json.NewDecoder(lines)
-	var d HelperConfig
-	if err := orders.Decode(&d); err != nil {
+	var config HelperConfig
+	if err := orders.Decode(&config); err != nil {
 		return fmt.Errorf("scale: the deal: %w", err)
 	}
 	sink := &gossipSink{}
@@ -78,7 +78,7 @@
 	if _, err := metrics.NewGlobal(c, sink); err != nil {
 		return err
 	}
-	w := &helper{config: &d, log: log, agents: map[int]*hollowAgent{}, sink: sink, pipe: pipe}
+	w := &helper{config: &config, log: log, agents: map[int]*hollowAgent{}, sink: sink, pipe: pipe}
 	defer w.stop()
 	answers := json.NewEncoder(pipe)
 	for {
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -171,21 +171,21 @@
 func (h *hollowAgent) start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	d := h.helperConfig
+	config := h.helperConfig
 	spreading, spreadAs := h.spreadConfigs()
-	if d.has(Discovery) || d.has(Spread) || d.has(Zones) {
+	if config.has(Discovery) || config.has(Spread) || config.has(Zones) {
 		if err := h.startCore(spreadAs); err != nil {
 			return err
 		}
 	}
-	if d.has(Discovery) {
+	if config.has(Discovery) {
 		f := &bulletin.Follower{Core: h, Log: h.log, PollWait: listPatience, Grace: listGrace, RetryDelay: listRetry,
-			Source: &net.TCPAddr{IP: net.ParseIP(d.Hosts[h.index])}}
-		f.SetAddress(d.List)
+			Source: &net.TCPAddr{IP: net.ParseIP(config.Hosts[h.index])}}
+		f.SetAddress(config.List)
 		h.work.Go(func() { f.Run(ctx) })
 	} else if h.core != nil {
 		var b bulletin.Batch
-		if err := json.Unmarshal(d.Known, &b); err != nil {
+		if err := json.Unmarshal(config.Known, &b); err != nil {
 			return err
 		}
 		if err := (&bulletin.Follower{Core: h, Log: h.log}).Apply(b); err != nil {
@@ -193,8 +193,8 @@
 		}
 	}
 	var err error
-	if d.has(Members) {
-		if h.list, err = members.Open(*d.membership(h.index, membersPort), members.Member{Name: h.Name, Zone: h.Zone, Region: h.Region}, h.log); err != nil {
+	if config.has(Members) {
+		if h.list, err = members.Open(*config.membership(h.index, membersPort), members.Member{Name: h.Name, Zone: h.Zone, Region: h.Region}, h.log); err != nil {
 			return err
 		}
 		h.work.Go(func() {
@@ -202,18 +202,18 @@
 			h.list.Shutdown()
 		})
 	}
-	if d.has(Spread) {
+	if config.has(Spread) {
 		if h.spread, err = spreader.Open(spreading, spreadAs, fedCore{h}, h.log); err != nil {
 			return err
 		}
 		h.work.Go(func() { h.spread.Run(ctx) })
 	}
-	if d.has(Zones) {
+	if config.has(Zones) {
 		if err := h.startZones(ctx); err != nil {
 			return err
 		}
 	}
-	if d.has(Config) {
+	if config.has(Config) {
 		if h.config, err = newConfigClient(h); err != nil {
 			return err
 		}
@@ -226,14 +226,14 @@
 // machines the senders of a service are as many as its agents; among agents this is left untold, as
 // in the runs before there were machines.
 func (h *hollowAgent) spreadConfigs() (spreader.Config, spread.Config) {
-	d := h.helperConfig
-	if !d.atMachines() {
-		file := spreader.Config{Mode: "common", Members: d.membership(h.index, spreadPort)}
+	config := h.helperConfig
+	if !config.atMachines() {
+		file := spreader.Config{Mode: "common", Members: config.membership(h.index, spreadPort)}
 		return file, file.SpreadConfig(h.Name, h.life())
 	}
-	file := spreader.Config{Mode: "control", Service: h.Service, Machines: d.Machines[h.Region], Source: &net.TCPAddr{IP: net.ParseIP(d.Hosts[h.index])}}
+	file := spreader.Config{Mode: "control", Service: h.Service, Machines: config.Machines[h.Region], Source: &net.TCPAddr{IP: net.ParseIP(config.Hosts[h.index])}}
 	as := file.SpreadConfig(h.Name, h.life())
-	group := peers(d.Places, h.Group)
+	group := peers(config.Places, h.Group)
 	as.Rank, as.Senders = max(slices.Index(group, h.index), 0), len(group)
 	return file, as
 }
@@ -325,25 +325,25 @@
 
 // startZones has the agent follow zones; a decider has its part in the control group too.
 func (h *hollowAgent) startZones(ctx context.Context) error {
-	d := h.helperConfig
-	control := peers(d.Places, h.Group)
+	config := h.helperConfig
+	control := peers(config.Places, h.Group)
 	control = control[:min(deciders, len(control))]
 	h.controlGroup = &controlGroup{}
 	calls := map[string]string{}
-	var boot []replica.Peer
+	var bootstrap []replica.Peer
 	for _, j := range control {
-		at := d.addr(j, clientPort)
-		if via := d.Via[at]; via != "" && d.Places[j].Region != h.Region {
+		at := config.addr(j, clientPort)
+		if via := config.Via[at]; via != "" && config.Places[j].Region != h.Region {
 			at = via
 		}
-		calls[d.Places[j].Name] = at
-		boot = append(boot, replica.Peer{ID: d.Places[j].Name, Raft: d.addr(j, raftPort)})
+		calls[config.Places[j].Name] = at
+		bootstrap = append(bootstrap, replica.Peer{ID: config.Places[j].Name, Raft: config.addr(j, raftPort)})
 	}
 	h.controlGroup.client = replica.NewClient(calls)
 	if slices.Contains(control, h.index) {
 		var err error
-		if h.node, err = replica.Open(replica.Config{ID: h.Name, Raft: d.addr(h.index, raftPort), Client: d.addr(h.index, clientPort),
-			Data: filepath.Join(d.Dir, h.Name), Bootstrap: boot, Timing: lab.SlowTiming}, h.log); err != nil {
+		if h.node, err = replica.Open(replica.Config{ID: h.Name, Raft: config.addr(h.index, raftPort), Client: config.addr(h.index, clientPort),
+			Data: filepath.Join(config.Dir, h.Name), Bootstrap: bootstrap, Timing: lab.SlowTiming}, h.log); err != nil {
 			return err
 		}
 		h.controlGroup.node = h.node
@@ -351,7 +351,7 @@
 			return err
 		}
 	}
-	c := placer.Config{Zone: h.Zone, Mode: "common", Members: d.membership(h.index, zonesPort)}
+	c := placer.Config{Zone: h.Zone, Mode: "common", Members: config.membership(h.index, zonesPort)}
 	for _, z := range zoneNames {
 		c.Topology.Zones = append(c.Topology.Zones, failover.Zone{Name: z, Region: regionOf(z)})
 	}
--- a/internal/lab/scalelab/plan.go
+++ b/internal/lab/scalelab/plan.go
@@ -157,8 +157,8 @@
 }
 
 // peers are the agents of a group, without the spare.
-func peers(places []Identity, group int) (out []int) {
-	for i, a := range places[:len(places)-1] {
+func peers(agents []Identity, group int) (out []int) {
+	for i, a := range agents[:len(agents)-1] {
 		if a.Group == group {
 			out = append(out, i)
 		}
@@ -187,13 +187,13 @@
 // their own, so that what they cost is known; so has one that is like all others. The rest are dealt
 // out in turn: the first of each group, its seeds and deciders, cost several times what others do,
 // and a process has one core.
-func (p Plan) processes(places []Identity) []process {
+func (p Plan) processes(agents []Identity) []process {
 	alone := map[int]string{}
-	first := peers(places, 0)
+	first := peers(agents, 0)
 	if p.has(Spread) && !p.atMachines() {
 		var names []string
 		for _, i := range first {
-			names = append(names, places[i].Name)
+			names = append(names, agents[i].Name)
 		}
 		to := spread.StewardAt(names, 0)
 		alone[first[slices.Index(names, to)]] = roleSteward
@@ -211,7 +211,7 @@
 	}
 	out := []process{{Role: roleEmpty}}
 	var many []int
-	for i := range places[:p.Agents] {
+	for i := range agents[:p.Agents] {
 		if alone[i] == "" {
 			many = append(many, i)
 			continue
--- a/internal/lab/scalelab/run.go
+++ b/internal/lab/scalelab/run.go
@@ -222,9 +222,9 @@
 	}
 	h := &helperProcess{process: p, cmd: cmd, in: in, out: json.NewDecoder(out)}
 	r.helpers = append(r.helpers, h)
-	d := r.helperConfig
-	d.Role, d.Mine = p.Role, p.Agents
-	return json.NewEncoder(in).Encode(d)
+	config := r.helperConfig
+	config.Role, config.Mine = p.Role, p.Agents
+	return json.NewEncoder(in).Encode(config)
 }
 
 // request gives an order to a process and takes its answer.
@@ -406,21 +406,21 @@
 
 // waitFor waits until all agents asked for have come to all that is wanted, or most has passed, and
 // words how long each took since began.
-func (r *Run) waitFor(ctx context.Context, waits []namedCondition, began time.Time, most time.Duration) (out []Convergence) {
-	o := Request{Do: "until", Most: most}
+func (r *Run) waitFor(ctx context.Context, waits []namedCondition, began time.Time, timeout time.Duration) (out []Convergence) {
+	o := Request{Do: "until", Most: timeout}
 	for _, w := range waits {
 		o.Until = append(o.Until, w.Condition)
 	}
 	answers, err := r.requestAll(ctx, o)
 	for n, w := range waits {
-		var came []Progress
+		var progress []Progress
 		for _, a := range answers {
 			if n < len(a.Until) {
-				came = append(came, a.Until[n])
+				progress = append(progress, a.Until[n])
 			}
 		}
-		k := r.convergence(w, came, began)
-		if k.MostS = most.Seconds(); err != nil {
+		k := r.convergence(w, progress, began)
+		if k.MostS = timeout.Seconds(); err != nil {
 			k.Err = err.Error()
 		}
 		r.logf("%s", k)
@@ -429,11 +429,11 @@
 	return out
 }
 
-func (r *Run) convergence(w namedCondition, came []Progress, began time.Time) Convergence {
+func (r *Run) convergence(w namedCondition, progress []Progress, began time.Time) Convergence {
 	k := Convergence{What: w.name}
 	var took []float64
 	var share float64
-	for _, c := range came {
+	for _, c := range progress {
 		for i, at := range c.Reached {
 			k.Of++
 			want := w.Want[r.identities[i].Group]
@@ -461,8 +461,8 @@
 const maxLacking = 8
 
 // waitOne waits for one thing.
-func (r *Run) waitOne(ctx context.Context, name, what string, want map[int]int64, began time.Time, most time.Duration) Convergence {
-	return r.waitFor(ctx, []namedCondition{{name, Condition{what, want}}}, began, most)[0]
+func (r *Run) waitOne(ctx context.Context, name, what string, want map[int]int64, began time.Time, timeout time.Duration) Convergence {
+	return r.waitFor(ctx, []namedCondition{{name, Condition{what, want}}}, began, timeout)[0]
 }
 
 // measureSpan takes the figures of a span in which nothing changes.
--- a/internal/lab/scalelab/scale_test.go
+++ b/internal/lab/scalelab/scale_test.go
@@ -223,9 +223,9 @@
 	for _, p := range []Plan{{Agents: 200, By: ByFleet}, {Agents: 200, By: ByService}, {Agents: 730, By: ByFleet}, {Agents: 730, By: ByService}} {
 		for _, skew := range []bool{false, true} {
 			p.Services, p.Parts, p.Skew, p.PerProcess = 27, []string{Spread, Zones}, skew, 50
-			places := p.identities()
+			identities := p.identities()
 			seen, roles := map[int]int{}, map[string]int{}
-			for _, x := range p.processes(places) {
+			for _, x := range p.processes(identities) {
 				roles[x.Role]++
 				for _, i := range x.Agents {
 					seen[i]++
@@ -238,8 +238,8 @@
 			require.Equal(t, 1, roles[roleEmpty])
 			require.Equal(t, 1, roles[roleOrdinary])
 			require.GreaterOrEqual(t, roles[roleDecider], 2) // the steward may be one of three
-			for _, i := range peers(places, 0)[:deciders] {
-				require.Equal(t, "r1", places[i].Region)
+			for _, i := range peers(identities, 0)[:deciders] {
+				require.Equal(t, "r1", identities[i].Region)
 			}
 		}
 	}
@@ -249,15 +249,15 @@
 // evenly, and so are all agents.
 func TestEvenProcesses(t *testing.T) {
 	p := Plan{Agents: 730, Services: 27, Parts: []string{Spread, Zones}, By: ByService, PerProcess: 50}
-	places := p.identities()
+	identities := p.identities()
 	leaned := map[int]bool{}
 	for g := range p.Services {
-		for _, i := range peers(places, g)[:deciders] {
+		for _, i := range peers(identities, g)[:deciders] {
 			leaned[i] = true
 		}
 	}
 	var agents, first []int
-	for _, x := range p.processes(places) {
+	for _, x := range p.processes(identities) {
 		if x.Role != "" {
 			continue
 		}
@@ -277,10 +277,10 @@
 // TestConditionsPolledTogether: what is waited for together is looked at together: what never comes holds up
 // the sight of nothing else, and who lacks it is named.
 func TestConditionsPolledTogether(t *testing.T) {
-	places := []Identity{{Name: "a0"}, {Name: "a1"}}
+	identities := []Identity{{Name: "a0"}, {Name: "a1"}}
 	w := &helper{agents: map[int]*hollowAgent{}}
-	for i := range places {
-		w.agents[i] = newHollowAgent(&HelperConfig{Places: places}, i, slog.New(slog.DiscardHandler))
+	for i := range identities {
+		w.agents[i] = newHollowAgent(&HelperConfig{Places: identities}, i, slog.New(slog.DiscardHandler))
 		w.agents[i].follows.Store(true)
 	}
 	w.agents[0].advance("revision", 7)
@@ -288,7 +288,7 @@
 	began := time.Now()
 	a := w.awaitConditions(Request{Until: []Condition{{"revision", map[int]int64{0: 7}}, {"follows", ones}}, Most: 10 * conditionPollInterval})
 	require.Len(t, a.Until, 2)
-	r := Run{identities: places}
+	r := Run{identities: identities}
 	k := r.convergence(namedCondition{"revision", Condition{"revision", map[int]int64{0: 7}}}, a.Until[:1], began)
 	require.Equal(t, 1, k.Reached)
 	require.Equal(t, []string{"a1: 0 of 7"}, k.Lack)
