--- a/internal/lab/rolloutlab/agents.go
+++ b/internal/lab/rolloutlab/agents.go
@@ -17,18 +17,18 @@
 	"woodrouter/rollout"
 )
 
-// kinds are those that hollow agents load.
+// kinds are the kinds of documents that hollow agents load.
 var kinds = []string{"routes", "spread", "failover"}
 
-// Marks in a text by which the laboratory has agents misbehave on purpose; a real agent's loader
-// reads them as a comment.
+// Marks in a document's text that make hollow agents misbehave on purpose. A real agent's loader reads them
+// as a comment.
 const (
-	markRefuseAll  = "lab-refused-by-all"  // no hollow agent takes it
-	markRefuseSome = "lab-refused-by-some" // one hollow agent in eight does not take it
-	markFailCalls  = "lab-spoils-calls"    // calls fail where it is in force
+	markRefuseAll  = "lab-refused-by-all"  // every hollow agent refuses the text
+	markRefuseSome = "lab-refused-by-some" // one hollow agent in eight refuses the text
+	markFailCalls  = "lab-spoils-calls"    // half of the calls fail where the text is in force
 )
 
-// hollowAgent is an agent without callers: a watcher and a loader that records.
+// hollowAgent is an agent without callers: a watcher with a loader that records what comes into force.
 type hollowAgent struct {
 	rollout.Agent
 	fleet *Fleet
@@ -38,15 +38,16 @@
 	watcher     *watcher.Watcher
 	stop        context.CancelFunc
 	done        chan struct{}
-	callsFail   bool    // a text that spoils calls is in force
-	callsEnded  float64 // of its calls, made up
+	callsFail   bool    // a text with markFailCalls is in force
+	callsEnded  float64 // simulated calls so far
 	callsFailed float64
 	countedAt   time.Time
 }
 
-// callRate is the calls a second that a hollow agent tells of.
+// callRate is the number of simulated calls per second that a hollow agent reports.
 const callRate = 100
 
+// start opens the agent's watcher, which loads what its disk holds, and runs it.
 func (a *hollowAgent) start() error {
 	a.mu.Lock()
 	a.callsEnded, a.callsFailed, a.callsFail, a.countedAt = 0, 0, false, time.Now()
@@ -62,7 +63,7 @@
 			a.fleet.History.RecordObservation(Observation{Agent: a.Name, Kind: kind, At: a.fleet.History.Now()})
 		}
 	}
-	a.fleet.recordAcknowledged(a.Name, w.Status()) // from its disk
+	a.fleet.recordAcknowledged(a.Name, w.Status()) // loaded from its disk
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	a.mu.Lock()
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// running tells whether it runs.
+// running tells whether the agent runs.
 func (a *hollowAgent) running() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.stop != nil
 }
 
-// cancel has it stop; wait waits until it has.
+// cancel begins the agent's stop; wait waits for its end.
 func (a *hollowAgent) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -92,6 +93,7 @@
 	}
 }
 
+// wait waits until the agent has stopped, and records what it acknowledged last.
 func (a *hollowAgent) wait() {
 	a.mu.Lock()
 	done := a.done
@@ -102,7 +104,7 @@
 	}
 }
 
-// saved tells whether all that it holds is on its disk.
+// saved tells whether everything that the agent holds is on its disk.
 func (a *hollowAgent) saved() bool {
 	a.mu.Lock()
 	w := a.watcher
@@ -110,7 +112,7 @@
 	return strings.Contains(w.Status(), "saved true")
 }
 
-// errMarkedRefusal is a refusal on purpose.
+// errMarkedRefusal is the error of a text that is marked to be refused.
 var errMarkedRefusal = errors.New("line 1: marked to be refused")
 
 // Check implements watcher.Loader.
@@ -122,7 +124,7 @@
 	return errMarkedRefusal
 }
 
-// refusesMarkSome tells whether the agent is one of those that refuse what some refuse.
+// refusesMarkSome tells whether the agent is one of the eighth that refuses texts with markRefuseSome.
 func (a *hollowAgent) refusesMarkSome() bool {
 	h := fnv.New32a()
 	h.Write([]byte(a.Name))
@@ -153,6 +155,8 @@
 	return uint64(a.callsEnded), uint64(a.callsFailed)
 }
 
+// countCalls adds the simulated calls since the last count. Half of them fail while a text with markFailCalls
+// is in force.
 func (a *hollowAgent) countCalls() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,7 +168,7 @@
 	}
 }
 
-// agentPollInterval is the pause between two looks at a real agent.
+// agentPollInterval is the pause between two polls of a real agent's console.
 const agentPollInterval = 100 * time.Millisecond
 
 var (
@@ -174,7 +178,7 @@
 	refusedLine  = regexp.MustCompile(`(?m)^refused (\S+) revision (\d+):`)
 )
 
-// pollAgent reads what a real agent says of itself until ctx ends.
+// pollAgent polls the ROLLOUT console command of a real agent until ctx ends, and records its answers.
 func (f *Fleet) pollAgent(ctx context.Context, i int) {
 	name := realAgent(i).Name
 	for ; ctx.Err() == nil; lab.Sleep(ctx, agentPollInterval) {
@@ -189,7 +193,7 @@
 	}
 }
 
-// recordAcknowledged takes from an agent's answer what it acknowledges: what it accepted and has saved.
+// recordAcknowledged records the revisions that an agent's answer acknowledges: those it accepted and saved.
 func (f *Fleet) recordAcknowledged(agent, answer string) {
 	if !strings.Contains(answer, "saved true") {
 		return
@@ -202,11 +206,11 @@
 }
 
 func parseNumber(s string) uint64 {
-	n, _ := strconv.ParseUint(s, 10, 64) // the expressions let only digits through
+	n, _ := strconv.ParseUint(s, 10, 64) // the regular expressions match only digits
 	return n
 }
 
-// parseObservations takes the sights from an agent's answer.
+// parseObservations reads the documents in force and the refused ones from an agent's console answer.
 func parseObservations(answer string) (out []Observation) {
 	for _, m := range refusedLine.FindAllStringSubmatch(answer, -1) {
 		kind, _, _ := strings.Cut(m[1], "@")
@@ -221,7 +225,8 @@
 	return out
 }
 
-// restartAgent ends a real agent with SIGKILL and starts it again; its callers know.
+// restartAgent ends a real agent with SIGKILL and starts it again. The callers don't expect answers
+// from it meanwhile.
 func (f *Fleet) restartAgent(ctx context.Context, i int) error {
 	f.callers.MarkFaulty(i, true)
 	f.cluster.Procs[i].Kill()
@@ -235,7 +240,7 @@
 	return err
 }
 
-// breakDisk makes a hollow agent's data directory unusable: a file stands where it was.
+// breakDisk makes a hollow agent's data directory unusable by putting a file in its place.
 func (a *hollowAgent) breakDisk() error {
 	if err := os.Rename(a.dir, a.dir+".away"); err != nil {
 		return err
@@ -243,7 +248,7 @@
 	return os.WriteFile(a.dir, nil, 0o600)
 }
 
-// restoreDisk puts the directory back.
+// restoreDisk puts the data directory back.
 func (a *hollowAgent) restoreDisk() error {
 	if err := os.Remove(a.dir); err != nil {
 		return err
--- a/internal/lab/rolloutlab/authors.go
+++ b/internal/lab/rolloutlab/authors.go
@@ -15,30 +15,33 @@
 	"woodrouter/rollout"
 )
 
-// routesForAll is the document that all agents have.
+// routesForAll names the document that all agents have.
 const routesForAll = "routes@all"
 
-// putTimeout bounds one put of an author.
+// putTimeout bounds one put by an author.
 const putTimeout = 8 * time.Second
 
-// routesText is a file of per-route limits that every agent's loader takes, and that no other put has.
+// routesText returns a file of per-route limits that every agent's loader accepts. The tag makes it differ
+// from the text of every other put.
 func routesText(tag string, attempts int, marks ...string) string {
 	return fmt.Sprintf("# %s %s\nversion: 1\ndefaults:\n  attempt_timeout: deadline\n  attempts: %d\n  retry_spacing: 300ms\n  deadline_share: 1\n",
 		tag, strings.Join(marks, " "), attempts)
 }
 
-// author changes documents under a name of its own.
+// author changes documents under its own name.
 type author struct {
 	name   string
 	fleet  *Fleet
 	client *control.Client
 }
 
+// newAuthor returns an author that reaches all machines.
 func (f *Fleet) newAuthor(name string) *author {
 	return &author{name: name, fleet: f, client: f.client}
 }
 
-// newAuthorVia has the author reach some machines only, as one on a side of a cut.
+// newAuthorVia returns an author that reaches only the given machines, as one on one side of a network cut
+// does.
 func (f *Fleet) newAuthorVia(name string, machines ...string) *author {
 	at := map[string]string{}
 	for _, id := range machines {
@@ -47,19 +50,19 @@
 	return &author{name: name, fleet: f, client: control.NewClient(at)}
 }
 
-// nextText is a text that nobody put yet.
+// nextText returns a text that no author has put yet.
 func (a *author) nextText(marks ...string) string {
 	n := a.fleet.textCount.Add(1)
 	return routesText(fmt.Sprintf("%s-%d", a.name, n), int(2+n%4), marks...)
 }
 
-// put tries once and enters what came of it.
+// put makes one attempt to change a document and records its outcome in the history.
 func (a *author) put(ctx context.Context, p Put) Put {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	name, err := rollout.ParseName(p.Name)
 	if err != nil {
-		panic(err) // the laboratory's own word
+		panic(err) // names come from the laboratory's own code
 	}
 	e := rollout.Entry{Op: rollout.OpPut, Name: name, Base: p.Base, Remove: p.Remove, Restore: p.Restore, Author: a.name}
 	if !p.Remove && p.Restore == 0 {
@@ -85,14 +88,15 @@
 	return p
 }
 
-// latestRevision is the document's latest revision, as the leader last said.
+// latestRevision returns the document's latest revision as the leader last reported it.
 func (f *Fleet) latestRevision(name string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latestRevisions[name]
 }
 
-// change puts until the change stands; what others changed meanwhile is written over.
+// change repeats a put, each time on the latest revision, until it is committed. p.Text holds the marks of
+// the text. Changes that others made meanwhile are overwritten.
 func (a *author) change(ctx context.Context, p Put) (Put, error) {
 	marks := p.Text
 	for {
@@ -108,17 +112,18 @@
 			return done, nil
 		}
 		if ctx.Err() != nil {
-			return done, fmt.Errorf("%s by %s does not stand: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.fleet.describeMachines())
+			return done, fmt.Errorf("%s by %s was not committed: %s: %w: %s", p.Name, a.name, done.Outcome, ctx.Err(), a.fleet.describeMachines())
 		}
 		lab.Sleep(ctx, 50*time.Millisecond)
 	}
 }
 
-// partialDocuments are documents for a part of the hollow agents, changed beside the faults.
+// partialDocuments apply to some of the hollow agents. They are changed in the background while a fault
+// lasts.
 var partialDocuments = []string{"spread@zone/z2", "spread@zone/z5", "failover@zone/z3", "failover@service/svc02"}
 
-// changeInBackground changes small documents until stop: now and then two authors at once on one base, now
-// and then on one that has passed.
+// changeInBackground changes partialDocuments until stop is closed. One change in four is made by two authors
+// at once on the same base, and one in five is on an outdated base.
 func (f *Fleet) changeInBackground(ctx context.Context, rng *rand.Rand, run int, stop <-chan struct{}) {
 	ann, bob := f.newAuthor(fmt.Sprintf("ann%d", run)), f.newAuthor(fmt.Sprintf("bob%d", run))
 	for {
--- a/internal/lab/rolloutlab/history.go
+++ b/internal/lab/rolloutlab/history.go
@@ -14,54 +14,55 @@
 	"woodrouter/rollout"
 )
 
-// PropagationLimit is the operators' rule: a change that stands is in force, or refused, at every agent
-// within reach this long after its author was told; at one out of reach this long after its return.
+// PropagationLimit is the operators' bound: a committed change is in force, or refused, at every reachable
+// agent this long after its author was answered, and at an unreachable one this long after it is reachable
+// again.
 const PropagationLimit = 9 * time.Second
 
-// Outcome is what an author was told of a put.
+// Outcome is the answer that an author received to a put.
 type Outcome string
 
-// The outcomes. Of an unknown one the put may stand or not.
+// The outcomes. A put with an unknown outcome may be committed or not.
 const (
 	Committed Outcome = "stood"
 	Conflict  Outcome = "conflict"
 	Refused   Outcome = "refused"
-	NoQuorum  Outcome = "not taken" // no quorum
+	NoQuorum  Outcome = "not taken"
 	Unknown   Outcome = "unknown"
 )
 
-// Put is one try of an author to change a document. Times are since the history's start.
+// Put is one attempt by an author to change a document. Times are since the history's start.
 type Put struct {
 	Name                 string
 	Base                 uint64
 	Author               string
-	Text                 string // of no other put, but for one that restores a former text
+	Text                 string // unlike the text of any other put, except one that restores it
 	Remove               bool
-	Restore              uint64 // the former revision whose text it takes again
+	Restore              uint64 // the former revision whose text is restored; 0: none
 	CalledAt, AnsweredAt time.Duration
 	Outcome              Outcome
-	Revision             uint64 // of one that stood
+	Revision             uint64 // of a committed put
 }
 
-// Observation is what an agent has at a moment.
+// Observation is a document that an agent has in force, or has refused, at a moment.
 type Observation struct {
 	Agent    string
 	Kind     string
-	Name     string // the document in force, or refused; "": the agent's own file
+	Name     string // the document in force or refused; "": the agent's own file is in force
 	Revision uint64
-	Sum      uint64 // xxhash64 of its text; 0: not seen
+	Sum      uint64 // xxhash64 of the document's text; 0: the text was not seen
 	Refused  bool
 	At       time.Duration
 }
 
-// absence is a time in which an agent was out of reach, by the laboratory's own doing.
+// absence is a period in which the laboratory made an agent unreachable.
 type absence struct{ from, to time.Duration }
 
-// forever is the end of an absence that lasts.
+// forever is the end of an absence that has not ended.
 const forever = time.Duration(1<<63 - 1)
 
-// History is what happened in a run: the puts with what their authors were told, the log's
-// revisions as the control machines have them, and what every agent had when.
+// History records a run: the puts with the answers to their authors, the log's revisions as the control
+// machines have them, and what every agent had in force at which time.
 type History struct {
 	mu                  sync.Mutex
 	startedAt           time.Time
@@ -70,22 +71,23 @@
 	puts                []Put
 	log                 map[uint64]rollout.Revision
 	halted              map[uint64]bool
-	contents            map[uint64]content           // what each number was seen to stand for
+	contents            map[uint64]content           // by revision number, as first seen
 	observations        map[string][]Observation     // by agent, in order
 	absences            map[string][]absence         // by agent, in order
-	violations          []string                     // found as it came in
-	highestInForce      map[string]map[string]uint64 // agent, document: the highest in force so far
-	highestAcknowledged map[string]map[string]uint64 // agent, document: the highest acknowledged so far
-	documents           map[string]rollout.Name      // documents of which a put stood, or may have
+	violations          []string                     // found while recording
+	highestInForce      map[string]map[string]uint64 // by agent and document: highest revision so far
+	highestAcknowledged map[string]map[string]uint64 // by agent and document: highest revision so far
+	documents           map[string]rollout.Name      // documents with a put that is or may be committed
 }
 
+// content is what a revision number stands for: a text of a document, or its removal.
 type content struct {
 	name    string
 	sum     uint64
 	removed bool
 }
 
-// NewHistory begins a history of these agents.
+// NewHistory starts a history of the given agents.
 func NewHistory(agents []rollout.Agent) *History {
 	h := &History{startedAt: time.Now(), agents: map[string]rollout.Agent{}, log: map[uint64]rollout.Revision{}, halted: map[uint64]bool{},
 		contents: map[uint64]content{}, observations: map[string][]Observation{}, absences: map[string][]absence{}, highestInForce: map[string]map[string]uint64{},
@@ -97,10 +99,10 @@
 	return h
 }
 
-// Now is the history's clock.
+// Now returns the time since the history's start.
 func (h *History) Now() time.Duration { return time.Since(h.startedAt) }
 
-// RecordPut enters a put whose author was told.
+// RecordPut records a put and the answer to its author.
 func (h *History) RecordPut(p Put) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// RecordRevisions enters revisions as a control machine has them.
+// RecordRevisions records revisions as a control machine has them.
 func (h *History) RecordRevisions(machine string, revs []rollout.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,20 +125,22 @@
 			h.halted[r.Revision] = true
 		}
 		if was, ok := h.log[r.Revision]; ok && (was.Base != r.Base || was.Author != r.Author) {
-			h.addViolation("revision %d: base %d by %s, and at %s base %d by %s", r.Revision, was.Base, was.Author, machine, r.Base, r.Author)
+			h.addViolation("revision %d: base %d by %s, but at %s base %d by %s", r.Revision, was.Base, was.Author, machine, r.Base, r.Author)
 		}
-		if was, ok := h.log[r.Revision]; !ok || stageOrder(r.Stage) >= stageOrder(was.Stage) { // a machine may lag
+		// A machine that lags behind may report an earlier stage.
+		if was, ok := h.log[r.Revision]; !ok || stageOrder(r.Stage) >= stageOrder(was.Stage) {
 			h.log[r.Revision] = r
 		}
 	}
 }
 
-// stageOrder is how far a stage is on a revision's way.
+// stageOrder returns a stage's position in the order in which a revision passes the stages.
 func stageOrder(s rollout.Stage) int {
 	return slices.Index([]rollout.Stage{rollout.StageWaiting, rollout.StageFirst, rollout.StageEverywhere, rollout.StageSuperseded, rollout.StageHalted}, s)
 }
 
-// RecordObservation enters what an agent has from now on.
+// RecordObservation records what an agent has from now on. A repetition of the agent's last observation is
+// dropped.
 func (h *History) RecordObservation(s Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,13 +162,14 @@
 	h.observations[s.Agent] = append(h.observations[s.Agent], s)
 }
 
-// RecordAcknowledged enters what an agent tells as accepted and kept: of a document never less than before.
+// RecordAcknowledged records the revisions that an agent reports as accepted and saved. An agent must not
+// acknowledge a lower revision of a document than before.
 func (h *History) RecordAcknowledged(agent string, seen map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, had := range h.highestAcknowledged[agent] {
 		if seen[name] < had {
-			h.addViolation("%s acknowledges %s %d, and had acknowledged %d", agent, name, seen[name], had)
+			h.addViolation("%s acknowledges %s %d, after it acknowledged %d", agent, name, seen[name], had)
 		}
 	}
 	for name, n := range seen {
@@ -172,7 +177,7 @@
 	}
 }
 
-// SetUnreachable tells that an agent is out of reach from now on, or within reach again.
+// SetUnreachable records that an agent is unreachable from now on (on is true) or reachable again.
 func (h *History) SetUnreachable(agent string, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -186,7 +191,7 @@
 	}
 }
 
-// Reachable tells whether an agent is within reach.
+// Reachable tells whether an agent is reachable.
 func (h *History) Reachable(agent string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -194,13 +199,14 @@
 	return len(all) == 0 || all[len(all)-1].to != forever
 }
 
-// End stops the history's clock: what was due later is not asked.
+// End ends the history. Changes that would be due later are not checked.
 func (h *History) End() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.endedAt = time.Since(h.startedAt)
 }
 
+// textSum returns the sum of a text; 0 for a removal.
 func textSum(s string, removed bool) uint64 {
 	if removed {
 		return 0
@@ -208,22 +214,23 @@
 	return xxhash.Sum64String(s)
 }
 
+// addViolation records a violation found while recording. The caller holds h.mu.
 func (h *History) addViolation(format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// recordContent notes what a number stands for: by whomever it is told, it is one text.
+// recordContent records what a revision number stands for. It must be the same according to every source.
 func (h *History) recordContent(revision uint64, t content, by string) {
 	was, ok := h.contents[revision]
 	if ok && was != t {
-		h.addViolation("revision %d is %s with sum %x, and by %s %s with sum %x", revision, was.name, was.sum, by, t.name, t.sum)
+		h.addViolation("revision %d is %s with sum %x, but according to %s it is %s with sum %x", revision, was.name, was.sum, by, t.name, t.sum)
 	}
 	if !ok {
 		h.contents[revision] = t
 	}
 }
 
-// Violations is all rules that the run broke.
+// Violations returns a description of each violation in the run.
 func (h *History) Violations() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -237,7 +244,7 @@
 	return out
 }
 
-// revisionsOf are the log's revisions of a document by number.
+// revisionsOf returns the log's revisions of a document in the order of their numbers.
 func (h *History) revisionsOf(name string) (out []rollout.Revision) {
 	for _, n := range slices.Sorted(maps.Keys(h.log)) {
 		if h.log[n].Name.String() == name {
@@ -247,8 +254,8 @@
 	return out
 }
 
-// checkCompareAndSet: of two puts with one base at most one stands, and between a revision and the one
-// it was written against there is no other.
+// checkCompareAndSet checks that of two puts with one base at most one is committed, and that no revision
+// lies between a revision and its base.
 func (h *History) checkCompareAndSet() (out []string) {
 	type base struct {
 		name string
@@ -261,24 +268,25 @@
 		}
 		k := base{p.Name, p.Base}
 		if o, ok := stood[k]; ok && o.Revision != p.Revision {
-			out = append(out, fmt.Sprintf("%s: two puts on base %d stand: %d by %s, %d by %s", p.Name, p.Base, o.Revision, o.Author, p.Revision, p.Author))
+			out = append(out, fmt.Sprintf("%s: two puts on base %d were committed: %d by %s, %d by %s", p.Name, p.Base, o.Revision, o.Author, p.Revision, p.Author))
 		}
 		stood[k] = p
 		for _, r := range h.revisionsOf(p.Name) {
-			// A halt restores the former text beside one that waits, which stays what authors see.
+			// After a halt the former text is restored under a new number while a waiting revision remains
+			// the latest one for authors.
 			beside := r.Author == rollout.AuthorRollout && r.Base < p.Base
 			if r.Revision > p.Base && r.Revision < p.Revision && !beside {
-				out = append(out, fmt.Sprintf("%s: %d by %s on base %d stands, though %d came between", p.Name, p.Revision, p.Author, p.Base, r.Revision))
+				out = append(out, fmt.Sprintf("%s: %d by %s on base %d was committed, though %d came between", p.Name, p.Revision, p.Author, p.Base, r.Revision))
 			}
 		}
 	}
 	return out
 }
 
-// checkLog: a put that was told to stand is in the log with its text and author, one that was told
-// not to stand is not, and no revision comes from nobody.
+// checkLog checks that a put answered as committed is in the log with its text and author, that one answered
+// as not committed is not in the log, and that every revision comes from a put.
 func (h *History) checkLog() (out []string) {
-	by := map[uint64][]rollout.Revision{} // sum of the text
+	by := map[uint64][]rollout.Revision{} // by the sum of the text
 	for _, r := range h.log {
 		if !r.Removed && r.Restores == 0 {
 			by[textSum(string(r.Text), false)] = append(by[textSum(string(r.Text), false)], r)
@@ -291,11 +299,11 @@
 		r, ok := h.log[p.Revision]
 		switch {
 		case p.Outcome == Committed && !ok:
-			out = append(out, fmt.Sprintf("%s: %d by %s was told to stand, and is in no machine's log", p.Name, p.Revision, p.Author))
+			out = append(out, fmt.Sprintf("%s: %d by %s was answered as committed, but is in no machine's log", p.Name, p.Revision, p.Author))
 		case p.Outcome == Committed && (r.Name.String() != p.Name || r.Author != p.Author || textSum(string(r.Text), r.Removed) != s || r.Base != p.Base):
-			out = append(out, fmt.Sprintf("%s: %d by %s on base %d is another in the log: %s by %s on base %d", p.Name, p.Revision, p.Author, p.Base, r.Name, r.Author, r.Base))
+			out = append(out, fmt.Sprintf("%s: %d by %s on base %d differs in the log: %s by %s on base %d", p.Name, p.Revision, p.Author, p.Base, r.Name, r.Author, r.Base))
 		case p.Outcome != Committed && p.Outcome != Unknown && !p.Remove && p.Restore == 0 && len(by[s]) > 0:
-			out = append(out, fmt.Sprintf("%s: by %s on base %d was told %s, and stands as %d", p.Name, p.Author, p.Base, p.Outcome, by[s][0].Revision))
+			out = append(out, fmt.Sprintf("%s: put by %s on base %d was answered %s, but is committed as %d", p.Name, p.Author, p.Base, p.Outcome, by[s][0].Revision))
 		}
 	}
 	for s, all := range by {
@@ -303,13 +311,13 @@
 			out = append(out, fmt.Sprintf("%s: nobody wrote %d (author %q)", all[0].Name, all[0].Revision, all[0].Author))
 		}
 		if len(all) > 1 {
-			out = append(out, fmt.Sprintf("%s: one put stands twice, as %d and %d", all[0].Name, all[0].Revision, all[1].Revision))
+			out = append(out, fmt.Sprintf("%s: one put was committed twice, as %d and %d", all[0].Name, all[0].Revision, all[1].Revision))
 		}
 	}
 	return out
 }
 
-// checkFallbacks: an agent goes from a document to a wider one, or to its own file, only where the
+// checkFallbacks checks that an agent goes from a document to a wider one, or to its own file, only where the
 // document was removed.
 func (h *History) checkFallbacks() (out []string) {
 	removed := map[string]uint64{} // the highest removal of each document
@@ -340,8 +348,8 @@
 	return out
 }
 
-// checkOrder: of two puts of a document that stand the one called after the other was told has the
-// higher number, and a conflict has somebody else's change to show for it.
+// checkOrder checks that of two committed puts of a document the one called after the other was answered has
+// the higher number, and that there is a change by another put for every conflict.
 func (h *History) checkOrder() (out []string) {
 	for i, p := range h.puts {
 		for _, o := range h.puts[:i] {
@@ -350,18 +358,18 @@
 				a, b = b, a
 			}
 			if a.Name == b.Name && a.Outcome == Committed && b.Outcome == Committed && a.AnsweredAt < b.CalledAt && a.Revision >= b.Revision {
-				out = append(out, fmt.Sprintf("%s: %d was told before %d was called", a.Name, a.Revision, b.Revision))
+				out = append(out, fmt.Sprintf("%s: %d was answered before %d was called", a.Name, a.Revision, b.Revision))
 			}
 		}
 		if p.Outcome == Conflict && !h.mayHaveConflicted(p) {
-			out = append(out, fmt.Sprintf("%s: by %s on base %d was told of a conflict with nobody", p.Name, p.Author, p.Base))
+			out = append(out, fmt.Sprintf("%s: put by %s on base %d was answered with a conflict, but no other put changed the document", p.Name, p.Author, p.Base))
 		}
 	}
 	return out
 }
 
-// mayHaveConflicted tells whether a document's latest revision may have been another than a put's base
-// while the put was under way.
+// mayHaveConflicted tells whether a document's latest revision may have differed from a put's base while the
+// put was in flight.
 func (h *History) mayHaveConflicted(p Put) bool {
 	called := map[uint64]time.Duration{}
 	for _, o := range h.puts {
@@ -376,13 +384,13 @@
 			return true
 		}
 	}
-	return !known // a base that never was
+	return !known // the base is no revision of the document
 }
 
-// requiredChanges are the changes that the agents must have: the puts that stand, under the number that
-// they began with, and the texts that a halt restored.
+// requiredChanges returns the changes that the agents must have: the committed puts that were not halted,
+// under the number with which they started, and the texts restored after a halt.
 func (h *History) requiredChanges() (out []Put) {
-	again := map[uint64]uint64{} // began under another number
+	again := map[uint64]uint64{} // revisions that started under a new number, by their old one
 	for _, r := range h.log {
 		was, ok := h.log[r.Restores]
 		if ok && r.Author != rollout.AuthorRollout && r.Base == was.Base {
@@ -404,7 +412,7 @@
 	return out
 }
 
-// checkPropagation: what stands is at every agent within reach in time.
+// checkPropagation checks that every required change reaches every reachable agent in time.
 func (h *History) checkPropagation() (out []string) {
 	for _, p := range h.requiredChanges() {
 		for _, name := range slices.Sorted(maps.Keys(h.agents)) {
@@ -417,7 +425,7 @@
 				if ok {
 					how = "after " + (at - p.AnsweredAt).Round(time.Millisecond).String()
 				}
-				out = append(out, fmt.Sprintf("%s: %d (told at %v) was due at %s by %v and came %s; away %v", p.Name, p.Revision,
+				out = append(out, fmt.Sprintf("%s: %d (answered at %v) was due at %s by %v and came %s; unreachable %v", p.Name, p.Revision,
 					p.AnsweredAt.Round(time.Millisecond), name, due.Round(time.Millisecond), how, h.absences[name]))
 			}
 		}
@@ -425,7 +433,8 @@
 	return out
 }
 
-// dueAt is when an agent must have a put that stands; false: never, or not to be seen there.
+// dueAt returns the time by which an agent must have a committed put. It returns false if the agent need not
+// have it: outside the document's scope, under a narrower document, or unreachable to the end.
 func (h *History) dueAt(a rollout.Agent, p Put) (time.Duration, bool) {
 	n, err := rollout.ParseName(p.Name)
 	if err != nil || !n.Scope.Contains(a) || h.shadowed(a, n, p.AnsweredAt) {
@@ -444,7 +453,7 @@
 	return due, true
 }
 
-// shadowed tells whether a narrower document of the kind may have held at an agent since.
+// shadowed tells whether a narrower document of the kind may have been in force at an agent since a time.
 func (h *History) shadowed(a rollout.Agent, n rollout.Name, since time.Duration) bool {
 	for name, o := range h.documents {
 		if o.Kind == n.Kind && narrower(o, n) && o.Scope.Contains(a) && !h.removedBefore(name, a, since) {
@@ -454,12 +463,12 @@
 	return false
 }
 
+// narrower tells whether a has a narrower scope than b.
 func narrower(a, b rollout.Name) bool {
 	return slices.Index(rollout.Levels, a.Scope.Level) > slices.Index(rollout.Levels, b.Scope.Level)
 }
 
-// removedBefore tells whether a document's last revision is a removal that an agent had done with by
-// then.
+// removedBefore tells whether a document's last revision is a removal that an agent had carried out by then.
 func (h *History) removedBefore(name string, a rollout.Agent, by time.Duration) bool {
 	var last Put
 	for _, p := range h.puts {
@@ -471,11 +480,12 @@
 	return last.Remove && ok && at <= by
 }
 
-// firstHad is when an agent first had a put, or a later change of its document: in force, or (with
-// refusals) refused. A removal is done where another document is in force instead.
+// firstHad returns when an agent first had a put, or a later change of its document, in force or (with
+// refusals) refused. A removal is carried out once another document, or the agent's own file, is in force
+// instead.
 func (h *History) firstHad(a rollout.Agent, p Put, refusals bool) (time.Duration, bool) {
 	kind, _, _ := strings.Cut(p.Name, "@")
-	held := false // the document was in force at the agent last
+	held := false // the document is in force at the agent by the last observation
 	for _, s := range h.observations[a.Name] {
 		if s.Kind != kind && s.Name != p.Name {
 			continue
@@ -497,7 +507,7 @@
 	return p.AnsweredAt, p.Remove && !held
 }
 
-// isTextSince tells whether a text is that of a put's revision or of a later one.
+// isTextSince tells whether a sum is that of the text of a put's revision or of a later one.
 func (h *History) isTextSince(p Put, sum uint64) bool {
 	for n, t := range h.contents {
 		if t.name == p.Name && t.sum == sum && n >= p.Revision {
@@ -507,7 +517,7 @@
 	return false
 }
 
-// Propagation is how long one change took: from the put's answer to each agent within reach.
+// Propagation is how long one change took from the put's answer until each reachable agent had it.
 type Propagation struct {
 	Put
 	Delays     []time.Duration // sorted
@@ -515,7 +525,7 @@
 	NotInForce int // refused there, or superseded before
 }
 
-// Propagations are the changes that went everywhere, with what each took.
+// Propagations returns the authors' changes that were not halted, with the time that each took.
 func (h *History) Propagations() (out []Propagation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -543,7 +553,7 @@
 	return out
 }
 
-// OutcomeCounts are the puts by outcome.
+// OutcomeCounts returns the number of puts by outcome.
 func (h *History) OutcomeCounts() map[Outcome]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -554,8 +564,8 @@
 	return out
 }
 
-// Latest is a document's newest revision that is for all agents of its scope; ok is false while
-// one is on its way or nothing is known.
+// Latest returns a document's latest revision, and whether that is at the stage everywhere. It returns false
+// also if no revision is known.
 func (h *History) Latest(name string) (rollout.Revision, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -567,7 +577,8 @@
 	return last, last.Stage == rollout.StageEverywhere
 }
 
-// HasRevision tells whether an agent has a standing revision, in force or refused.
+// HasRevision tells whether an agent has a revision, or a later one of the document, in force or refused. It
+// is true also for agents that need not have it.
 func (h *History) HasRevision(agent string, r rollout.Revision) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -580,7 +591,7 @@
 	return ok
 }
 
-// HasBegun tells whether a revision has come to its first stage.
+// HasBegun tells whether a revision has reached its first stage.
 func (h *History) HasBegun(revision uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -588,7 +599,7 @@
 	return ok && r.Stage != rollout.StageWaiting
 }
 
-// WasHalted tells whether a revision was given up.
+// WasHalted tells whether a revision's rollout was halted.
 func (h *History) WasHalted(revision uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/rolloutlab/history_test.go
+++ b/internal/lab/rolloutlab/history_test.go
@@ -10,7 +10,8 @@
 	"woodrouter/rollout"
 )
 
-// TestHistoryViolations: a history as it should be breaks nothing, and each fault put into it is found.
+// TestHistoryViolations checks that a correct history has no violations, and that each fault put into it is
+// found. It guards against a checker that overlooks a fault of the rollout.
 func TestHistoryViolations(t *testing.T) {
 	const doc, sec = "routes@all", time.Second
 	name, err := rollout.ParseName(doc)
@@ -46,29 +47,29 @@
 		"two texts under one number at agents":   {func(h *History) { h.RecordObservation(has("a", 8, "other", 13*sec)) }, "revision 8 is routes@all"},
 		"two texts under one number at machines": {func(h *History) { h.RecordRevisions("c2", []rollout.Revision{rev(5, 0, "ann", "uno")}) }, "revision 5 is routes@all"},
 		"a number of two authors":                {func(h *History) { h.RecordRevisions("c2", []rollout.Revision{rev(5, 0, "eve", "one")}) }, "at c2 base 0 by eve"},
-		"two stand on one base":                  {func(h *History) { h.RecordPut(put(5, 9, "bob", "four", 10*sec, Committed)) }, "two puts on base 5 stand"},
+		"two committed on one base":              {func(h *History) { h.RecordPut(put(5, 9, "bob", "four", 10*sec, Committed)) }, "two puts on base 5 were committed"},
 		"one came between": {func(h *History) {
 			h.RecordRevisions("c1", []rollout.Revision{rev(7, 5, "bob", "four")})
 		}, "though 7 came between"},
-		"a promise forgotten": {func(h *History) { h.RecordPut(put(8, 11, "bob", "four", 20*sec, Committed)) }, "is in no machine's log"},
-		"a promise changed": {func(h *History) {
+		"a committed put lost": {func(h *History) { h.RecordPut(put(8, 11, "bob", "four", 20*sec, Committed)) }, "is in no machine's log"},
+		"a committed put changed": {func(h *History) {
 			h.RecordPut(put(8, 11, "bob", "four", 20*sec, Committed))
 			h.RecordRevisions("c1", []rollout.Revision{rev(11, 8, "eve", "four")})
-		}, "is another in the log"},
-		"told of a conflict, and stands": {func(h *History) {
+		}, "differs in the log"},
+		"answered with a conflict, but committed": {func(h *History) {
 			h.RecordRevisions("c1", []rollout.Revision{rev(9, 8, "bob", "three")})
-		}, "was told conflict, and stands as 9"},
-		"written by nobody": {func(h *History) { h.RecordRevisions("c1", []rollout.Revision{rev(9, 8, "bob", "five")}) }, "nobody wrote 9"},
-		"one put twice": {func(h *History) {
+		}, "was answered conflict, but is committed as 9"},
+		"a revision without a put": {func(h *History) { h.RecordRevisions("c1", []rollout.Revision{rev(9, 8, "bob", "five")}) }, "nobody wrote 9"},
+		"one put committed twice": {func(h *History) {
 			h.RecordRevisions("c1", []rollout.Revision{rev(9, 8, "ann", "two")})
-		}, "one put stands twice"},
-		"numbers against time": {func(h *History) { h.RecordPut(put(1, 3, "bob", "four", 20*sec, Committed)) }, "5 was told before 3 was called"},
-		"a conflict with nobody": {func(h *History) {
+		}, "one put was committed twice"},
+		"numbers against the order of time": {func(h *History) { h.RecordPut(put(1, 3, "bob", "four", 20*sec, Committed)) }, "5 was answered before 3 was called"},
+		"a conflict without another put": {func(h *History) {
 			h.RecordPut(put(8, 0, "bob", "six", 20*sec, Conflict))
-		}, "a conflict with nobody"},
-		"an agent is left out": {func(h *History) { h.observations["b"] = h.observations["b"][:1] }, "8 (told at 11s) was due at b by 20s and came never"},
+		}, "was answered with a conflict, but no other put changed the document"},
+		"an agent is left out": {func(h *History) { h.observations["b"] = h.observations["b"][:1] }, "8 (answered at 11s) was due at b by 20s and came never"},
 		"an agent is late":     {func(h *History) { h.observations["b"][1].At = 21 * sec }, "came after 10s"},
-		"late after it was reached": {func(h *History) {
+		"late after it was reachable again": {func(h *History) {
 			h.observations["b"][1].At = 45 * sec
 			h.absences["b"] = []absence{{9 * sec, 30 * sec}}
 		}, "due at b by 39s"},
@@ -82,14 +83,14 @@
 			h.RecordRevisions("c1", []rollout.Revision{bad, back})
 			h.RecordObservation(has("a", 12, "two", 23*sec))
 			h.RecordObservation(has("b", 12, "two", 33*sec))
-		}, "12 (told at 22s) was due at b by 31s and came after 11s"},
-		"an agent drops a document": {func(h *History) { h.RecordObservation(Observation{Agent: "a", Kind: "routes", At: 13 * sec}) }, "a has its own file 0 in force at 13s, after routes@all 8"},
-		"a removal not kept":        {withRemoval(50 * sec), "due at a by 40s and came after"},
-		"an agent forgets what it acknowledged": {func(h *History) {
+		}, "12 (answered at 22s) was due at b by 31s and came after 11s"},
+		"an agent drops a document":  {func(h *History) { h.RecordObservation(Observation{Agent: "a", Kind: "routes", At: 13 * sec}) }, "a has its own file 0 in force at 13s, after routes@all 8"},
+		"a removal carried out late": {withRemoval(50 * sec), "due at a by 40s and came after"},
+		"an agent acknowledges less than before": {func(h *History) {
 			h.RecordAcknowledged("a", map[string]uint64{doc: 8})
 			h.RecordAcknowledged("a", map[string]uint64{doc: 5})
-		}, "a acknowledges routes@all 5, and had acknowledged 8"},
-		"an agent goes back, in one": {func(h *History) { h.RecordObservation(has("b", 6, "zero", 13*sec)) }, "b has routes@all 6"},
+		}, "a acknowledges routes@all 5, after it acknowledged 8"},
+		"an agent goes back to a revision it never had": {func(h *History) { h.RecordObservation(has("b", 6, "zero", 13*sec)) }, "b has routes@all 6"},
 	}
 	for what, c := range cases {
 		h := good()
@@ -97,19 +98,19 @@
 		require.Contains(t, strings.Join(h.Violations(), "\n"), c.want, what)
 	}
 	fine := map[string]func(*History){
-		"out of reach all the time": func(h *History) { h.observations["b"] = nil; h.absences["b"] = []absence{{0, forever}} },
-		"reached later": func(h *History) {
+		"unreachable all the time": func(h *History) { h.observations["b"] = nil; h.absences["b"] = []absence{{0, forever}} },
+		"reachable later": func(h *History) {
 			h.observations["b"][1].At = 38 * sec
 			h.absences["b"] = []absence{{9 * sec, 30 * sec}}
 		},
 		"refused": func(h *History) {
 			h.observations["b"][1] = Observation{Agent: "b", Kind: "routes", Sum: textSum("two", false), Refused: true, At: 12 * sec}
 		},
-		"not told, and stands": func(h *History) {
+		"outcome unknown, committed": func(h *History) {
 			h.RecordPut(put(8, 0, "bob", "seven", 20*sec, Unknown))
 			h.RecordRevisions("c1", []rollout.Revision{rev(9, 8, "bob", "seven")})
 		},
-		"not told, and does not": func(h *History) { h.RecordPut(put(8, 0, "bob", "seven", 20*sec, Unknown)) },
+		"outcome unknown, not committed": func(h *History) { h.RecordPut(put(8, 0, "bob", "seven", 20*sec, Unknown)) },
 		"halted, and restored": func(h *History) {
 			h.RecordPut(put(8, 11, "bob", "bad", 20*sec, Committed))
 			bad, back := rev(11, 8, "bob", "bad"), rev(12, 11, rollout.AuthorRollout, "two")
@@ -140,7 +141,7 @@
 	}
 }
 
-// withRemoval takes the document away; the agents are back at their own file then.
+// withRemoval removes the document; the agents have their own file in force from at on.
 func withRemoval(at time.Duration) func(*History) {
 	return func(h *History) {
 		name := rollout.Name{Kind: "routes", Scope: rollout.Scope{Level: rollout.LevelAll}}
--- a/internal/lab/rolloutlab/lab_test.go
+++ b/internal/lab/rolloutlab/lab_test.go
@@ -17,9 +17,10 @@
 
 func TestMain(m *testing.M) { os.Exit(lab.BuildAndRun(m, &bin)) }
 
-// TestSchedule plays the hard cases once each, those of the machines and those of the agents and
-// documents in a world of their own: four control machines, two agents with callers and twenty
-// without. The operators' long run is `woodlab rollout schedules`.
+// TestSchedule injects each fault once, those of the machines in one fleet and those of the agents and
+// documents in another. Each fleet has four control machines, two agents with callers and twenty without. It
+// guards against changes that are lost, late or rolled back wrongly under faults. The operators' long run is
+// `woodlab rollout schedules`.
 func TestSchedule(t *testing.T) {
 	runs := map[string][]string{
 		"machines": {"leader stalled in a commit", "machine killed", "machine back with an old disk", "watched machine cut off", "regions cut"},
@@ -29,7 +30,7 @@
 	var both sync.WaitGroup
 	for name, only := range runs {
 		dir := t.TempDir()
-		both.Go(func() { // both at once also where there is one processor: they wait most of the time
+		both.Go(func() { // at the same time even on one processor, since both wait most of the time
 			r, err := Schedule{Seed: 3, Hollow: 20, Real: 2, Only: only, Delay: 30 * time.Millisecond, RegionCut: 2 * time.Second}.Run(context.Background(), bin, dir)
 			assert.NoError(t, errors.Join(r.Err(), err), name)
 			for i, f := range r.Faults {
--- a/internal/lab/rolloutlab/measure.go
+++ b/internal/lab/rolloutlab/measure.go
@@ -10,20 +10,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Measurement is how long changes take to all agents of a fleet.
+// Measurement measures how long changes take to reach all agents of a fleet.
 type Measurement struct {
 	Bin, Dir  string
 	Hollow    int
 	Real      int
-	Changes   int // in calm, one after another
-	Faults    int // further changes, under faults drawn from the seed
+	Changes   int // changes without faults, one after another
+	Faults    int // least number of further changes, made while faults drawn from the seed are injected
 	Seed      uint64
 	Delay     time.Duration
 	RegionCut time.Duration
 }
 
-// Run measures and writes what it finds to out. An error is a broken check, or a run that did
-// not end.
+// Run measures and writes the results to out. An error means that a check found a violation or that the run
+// did not complete.
 func (m Measurement) Run(ctx context.Context, out io.Writer) error {
 	rng := rand.New(rand.NewPCG(m.Seed, 2))
 	f, err := Start(ctx, Config{Bin: m.Bin, Dir: m.Dir, Hollow: m.Hollow, Real: m.Real, Seed: m.Seed, Delay: m.Delay})
@@ -45,6 +45,7 @@
 	return err
 }
 
+// measure makes the changes without faults and then injects the faults.
 func (s *scenario) measure(ctx context.Context, m Measurement) error {
 	if err := s.changeForAll(ctx); err != nil {
 		return err
@@ -60,7 +61,8 @@
 			return err
 		}
 	}
-	for i := 0; m.Faults > 0 && (i < len(faults) || s.History.OutcomeCounts()[Committed] < 1+m.Changes+m.Faults); i++ { // each fault once at least
+	// Each fault is injected at least once.
+	for i := 0; m.Faults > 0 && (i < len(faults) || s.History.OutcomeCounts()[Committed] < 1+m.Changes+m.Faults); i++ {
 		f := faults[i%len(faults)]
 		if i >= len(faults) {
 			f = faults[s.rng.IntN(len(faults))]
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// Print writes what a run showed.
+// Print writes the report as text and a table.
 func (r Report) Print(out io.Writer, faulty bool) {
 	fmt.Fprintf(out, "%d hollow and %d real agents, %v between regions, seed %d; puts: %v\n", r.Hollow, r.Real, r.Delay, r.Seed, r.Puts)
 	if len(r.Faults) > 0 {
@@ -113,11 +115,12 @@
 	fmt.Fprintf(out, "checks broken: %d; rules on the wire: %v\n", len(r.Violations), r.RuleErr)
 }
 
-// newHistogram holds microseconds up to five minutes with three digits.
+// newHistogram returns a histogram of microseconds up to five minutes with three significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, (5 * time.Minute).Microseconds(), 3)
 }
 
-func recordDelay(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) } // beyond five minutes: the run ended
+// recordDelay adds a delay. The histogram refuses only delays over five minutes, by which time a run has ended.
+func recordDelay(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) }
 
 func formatMillis(us int64) string { return fmt.Sprintf("%.1f ms", float64(us)/1000) }
--- a/internal/lab/rolloutlab/schedule.go
+++ b/internal/lab/rolloutlab/schedule.go
@@ -16,34 +16,34 @@
 	"woodrouter/internal/lab/emulator"
 )
 
-// Schedule is a run of faults against the distribution of configuration. Equal schedules draw
-// equal faults, machines, agents and changes.
+// Schedule is a run of faults against the distribution of configuration. Equal schedules draw equal faults,
+// machines, agents and changes.
 type Schedule struct {
 	Seed      uint64
 	Hollow    int
 	Real      int
-	Steps     int           // faults, lab.Drawn from the seed
-	Delay     time.Duration // between regions, each way; 0: drawn from 30 to 150 ms
+	Steps     int           // number of faults that lab.DrawFaults draws from the seed
+	Delay     time.Duration // latency between regions, each way; 0: drawn from 30 to 150 ms
 	RegionCut time.Duration // how long a cut between the regions lasts
-	Only      []string      // faults by name, in this order, instead of drawn ones
+	Only      []string      // names of faults, injected in this order instead of drawn ones
 }
 
-// Report is what a schedule showed.
+// Report is the result of a schedule.
 type Report struct {
 	Schedule
 	Faults         []string
-	FaultStarts    []time.Duration // each fault, by the history's clock,
-	FaultDurations []time.Duration // and how long until all stood again
+	FaultStarts    []time.Duration // start of each fault, by the history's clock
+	FaultDurations []time.Duration // time from each fault's start until all documents were settled
 	Puts           map[Outcome]int
 	Propagations   []Propagation
 	Returns        []ZoneReturn
 	Calls          emulator.Outcome
 	Violations     []string
-	RuleErr        error // that the real agents broke, on the wire
+	RuleErr        error // rules of the protocol that the real agents broke on the wire
 	Elapsed        time.Duration
 }
 
-// ZoneReturn is what it cost the machines that a zone's agents came back at once.
+// ZoneReturn is the load on each machine when all agents of a zone come back at once.
 type ZoneReturn struct {
 	Agents  int
 	Elapsed time.Duration
@@ -51,14 +51,14 @@
 	Bytes   map[string]int64
 }
 
-// Err names what the run broke; nil for none.
+// Err returns the violations of the run; nil if there are none.
 func (r Report) Err() error {
 	all := []error{r.RuleErr}
 	if len(r.Violations) > 0 {
 		all = append(all, fmt.Errorf("%d checks broken: %s", len(r.Violations), strings.Join(r.Violations[:min(len(r.Violations), 8)], "\n  ")))
 	}
 	if !slices.ContainsFunc(r.Propagations, func(s Propagation) bool { return len(s.Delays) > 0 }) {
-		all = append(all, errors.New("no change was followed at any agent within reach: nothing was checked"))
+		all = append(all, errors.New("no change was observed at any reachable agent: nothing was checked"))
 	}
 	if r.Calls.Lost > 0 {
 		all = append(all, fmt.Errorf("%d calls of the real agents lost", r.Calls.Lost))
@@ -66,10 +66,10 @@
 	return errors.Join(all...)
 }
 
-// slowChange is a change that took longer than this, though within the rule.
+// slowChange is the propagation time above which a change is listed as slow, though it is within the limit.
 const slowChange = 4 * time.Second
 
-// SlowChanges words the changes that took long, with the fault that was played when each was told.
+// SlowChanges describes the slow changes, each with the fault during which its author was answered.
 func (r Report) SlowChanges() (out []string) {
 	for _, s := range r.Propagations {
 		if n := len(s.Delays); n > 0 && s.Delays[n-1] > slowChange {
@@ -86,7 +86,7 @@
 	return out
 }
 
-// scenario is what a fault may touch.
+// scenario is a running schedule: the fleet, the authors and the report that a fault works on.
 type scenario struct {
 	*Fleet
 	Schedule
@@ -95,6 +95,7 @@
 	report   *Report
 }
 
+// fault is a named fault with the function that injects it.
 type fault struct {
 	name   string
 	inject func(*scenario, context.Context) error
@@ -116,7 +117,7 @@
 	{"narrow document comes and goes", (*scenario).changeNarrowDocument},
 }
 
-// FaultNames are the faults that a schedule may play.
+// FaultNames returns the names of the faults that a schedule may inject.
 func FaultNames() (out []string) {
 	for _, f := range faults {
 		out = append(out, f.name)
@@ -124,8 +125,9 @@
 	return out
 }
 
-// Run starts a world under dir and plays the schedule; after each fault every agent must have
-// what stands. An error is one of the run itself, with the machines' logs.
+// Run starts a fleet under dir and injects the schedule's faults. After each fault every agent must have all
+// committed changes. An error is one of the run itself or comes with violations in the report; it includes
+// the machines' logs.
 func (s Schedule) Run(ctx context.Context, bin, dir string) (r Report, err error) {
 	began := time.Now()
 	rng := rand.New(rand.NewPCG(s.Seed, 2))
@@ -145,12 +147,12 @@
 	run.finish()
 	r.Elapsed = time.Since(began)
 	if r.Err() != nil {
-		return r, fmt.Errorf("members' logs:\n%s", f.Logs())
+		return r, fmt.Errorf("machines' logs:\n%s", f.Logs())
 	}
 	return r, nil
 }
 
-// chooseFaults is the faults to play.
+// chooseFaults returns the faults to inject, in order.
 func (s Schedule) chooseFaults() (out []fault, err error) {
 	for _, name := range s.Only {
 		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
@@ -167,6 +169,7 @@
 	return out, nil
 }
 
+// injectAll puts a first document for all agents and then injects the faults one after another.
 func (s *scenario) injectAll(ctx context.Context) error {
 	order, err := s.chooseFaults()
 	if err != nil {
@@ -186,7 +189,8 @@
 	return nil
 }
 
-// injectAndSettle plays one fault with authors at work beside it, heals all, and waits until all stands.
+// injectAndSettle injects one fault while authors make changes in the background, heals all links, and waits
+// until all documents are settled.
 func (s *scenario) injectAndSettle(ctx context.Context, i int, f fault) error {
 	began, at, stop, done := time.Now(), s.History.Now(), make(chan struct{}), make(chan struct{})
 	rng := rand.New(rand.NewPCG(s.Schedule.Seed, uint64(1000+i)))
@@ -206,7 +210,7 @@
 	return err
 }
 
-// finish closes the history and checks it.
+// finish ends the history, checks it and fills in the report.
 func (s *scenario) finish() {
 	s.History.End()
 	s.report.Puts, s.report.Propagations, s.report.Violations = s.History.OutcomeCounts(), s.History.Propagations(), s.History.Violations()
@@ -217,14 +221,14 @@
 	}
 }
 
-// changeForAll is a change for all agents that must come to stand.
+// changeForAll changes the document of all agents and waits until the change is committed.
 func (s *scenario) changeForAll(ctx context.Context) error {
 	_, err := s.ann.change(ctx, Put{Name: routesForAll})
 	return err
 }
 
-// stallLeader stops the leader (SIGSTOP) with a put under way, has the others elect and take
-// changes, and lets it go on: it thinks that it leads.
+// stallLeader suspends the leader (SIGSTOP) while a put is in flight, lets the others elect a leader and
+// commit changes, and resumes it while it still takes itself for the leader.
 func (s *scenario) stallLeader(ctx context.Context) error {
 	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
@@ -249,19 +253,20 @@
 	return s.changeForAll(ctx)
 }
 
-// kill ends a machine; start starts it again.
+// kill ends a machine with SIGKILL.
 func (s *scenario) kill(id string) {
 	s.setLive(id, false)
 	s.machines[id].Kill()
 }
 
+// startMachine starts a killed machine again.
 func (s *scenario) startMachine(id string) error {
 	err := s.machines[id].Proc.Start()
 	s.setLive(id, err == nil)
 	return err
 }
 
-// killMachine kills a machine, the leader as often as any, and starts it again.
+// killMachine kills a machine, in at least half of the cases the leader, and starts it again.
 func (s *scenario) killMachine(ctx context.Context) error {
 	id := machineNames[s.rng.IntN(len(machineNames))]
 	if leader, err := s.AwaitLeader(ctx); err == nil && s.rng.IntN(2) == 0 {
@@ -274,8 +279,9 @@
 	return s.startMachine(id)
 }
 
-// restoreOldDisk brings a machine back with a copy of its disk from before some changes. The others hold
-// all that was committed then, so nothing may be lost; its agents know more than it does.
+// restoreOldDisk starts a machine again with a copy of its disk from before some changes. The other machines
+// hold all that was committed since, so nothing may be lost. The machine's agents have newer revisions than
+// it.
 func (s *scenario) restoreOldDisk(ctx context.Context) error {
 	id := machineNames[s.rng.IntN(len(machineNames))]
 	s.kill(id)
@@ -301,7 +307,7 @@
 		return err
 	}
 	s.kill(id)
-	if err := s.awaitApplied(ctx); err != nil { // what came since is at the others too
+	if err := s.awaitApplied(ctx); err != nil { // the other machines hold the changes made since the copy
 		return err
 	}
 	if err := os.RemoveAll(data); err != nil {
@@ -316,7 +322,7 @@
 	return s.changeForAll(ctx)
 }
 
-// awaitApplied waits until all voters that run have applied what the leader has.
+// awaitApplied waits until all voters that run have applied all that the leader had applied at the call.
 func (s *scenario) awaitApplied(ctx context.Context) error {
 	leader, err := s.AwaitLeader(ctx)
 	if err != nil {
@@ -332,7 +338,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s did not come level with %s: %w: %s", id, leader, ctx.Err(), s.describeMachines())
+				return fmt.Errorf("%s did not apply all that %s has: %w: %s", id, leader, ctx.Err(), s.describeMachines())
 			}
 			lab.Sleep(ctx, 20*time.Millisecond)
 		}
@@ -340,7 +346,8 @@
 	return nil
 }
 
-// restartTenth kills a tenth of the agents, real ones among them, with a change under way.
+// restartTenth restarts a tenth of the hollow agents and a tenth of the real ones during the rollout of a
+// change.
 func (s *scenario) restartTenth(ctx context.Context) error {
 	if err := s.changeForAll(ctx); err != nil {
 		return err
@@ -359,7 +366,7 @@
 	return s.startAgents(picked)
 }
 
-// stopAgents has agents stop, up has them start at once.
+// stopAgents stops agents and waits until they have stopped.
 func (f *Fleet) stopAgents(all []*hollowAgent) {
 	for _, a := range all {
 		a.cancel()
@@ -370,14 +377,15 @@
 	}
 }
 
+// startAgents starts agents, all at once.
 func (f *Fleet) startAgents(all []*hollowAgent) error {
 	err := forEach(all, func(a *hollowAgent) error { return a.start() })
 	f.updateReachable()
 	return err
 }
 
-// isolateMachine cuts a machine off from the others, but not from its agents: it lags, and they must
-// hear of a change all the same.
+// isolateMachine cuts a machine off from the other machines, but not from its agents. It lags behind, and its
+// agents must receive a change all the same.
 func (s *scenario) isolateMachine(ctx context.Context) error {
 	id := machineNames[s.rng.IntN(len(machineNames))]
 	s.Cut(func(a, b string) bool { return a == id && s.machines[b] != nil })
@@ -387,14 +395,16 @@
 	if err := s.changeForAll(ctx); err != nil {
 		return err
 	}
-	return s.AwaitSettled(ctx, routesForAll) // while it is cut off
+	return s.AwaitSettled(ctx, routesForAll) // while the machine is cut off
 }
 
-// maxReturnBytes bounds what an agent that comes back may have sent and fetched until it has a change:
-// the texts are below a kilobyte together, so most of it is the wire's own types and its reports.
+// maxReturnBytes bounds the bytes that an agent that comes back sends and receives until it has a change. The
+// documents' texts are below a kilobyte together; most of the traffic is the protocol's type descriptions and
+// the agent's reports.
 const maxReturnBytes = 64 << 10
 
-// restartZone has all of a zone's hollow agents go, changes what they had, and has them back at once.
+// restartZone stops all hollow agents of a zone, changes a document they have, and starts them all at once.
+// It checks that their connections and bytes are bounded and spread over the machines.
 func (s *scenario) restartZone(ctx context.Context) error {
 	zone := zones[s.rng.IntN(len(zones))]
 	var picked []*hollowAgent
@@ -430,7 +440,7 @@
 		return fmt.Errorf("%d agents of %s made %d connections: %v", len(picked), zone, conns, r.Conns)
 	}
 	if bytes > int64(len(picked))*maxReturnBytes {
-		return fmt.Errorf("%d agents of %s moved %d bytes: %v", len(picked), zone, bytes, r.Bytes)
+		return fmt.Errorf("%d agents of %s sent and received %d bytes: %v", len(picked), zone, bytes, r.Bytes)
 	}
 	if len(picked) >= 40 && most > conns*3/4 {
 		return fmt.Errorf("of %d connections %d went to one machine: %v", conns, most, r.Conns)
@@ -438,8 +448,8 @@
 	return nil
 }
 
-// cutRegions cuts the regions apart for an hour, as it were: the side with a majority takes
-// changes and its agents have them, the other takes none, and its agents serve on.
+// cutRegions cuts the regions apart for RegionCut. The side with a majority of the voters commits changes,
+// and its agents receive them. The other side commits none, and its agents go on serving.
 func (s *scenario) cutRegions(ctx context.Context) error {
 	s.Cut(inDifferentRegions)
 	if _, err := s.AwaitLeader(ctx, "c3"); err != nil {
@@ -452,9 +462,9 @@
 		return err
 	}
 	if p := east.put(ctx, Put{Name: routesForAll, Base: s.latestRevision(routesForAll), Text: east.nextText()}); p.Outcome == Committed {
-		return fmt.Errorf("a put stands on the side of the minority: %+v", p)
+		return fmt.Errorf("a put was committed on the side of the minority: %+v", p)
 	}
-	if err := s.AwaitSettled(ctx, routesForAll); err != nil { // those within reach
+	if err := s.AwaitSettled(ctx, routesForAll); err != nil { // at the reachable agents
 		return err
 	}
 	lab.Sleep(ctx, s.RegionCut)
@@ -462,7 +472,8 @@
 	return err
 }
 
-// changeInBurst is ten changes within a second on one document by two authors who look at what is latest.
+// changeInBurst has two authors make ten changes of one document within a second. Each put is on the latest
+// revision that its author read just before.
 func (s *scenario) changeInBurst(ctx context.Context) error {
 	var both sync.WaitGroup
 	for _, a := range []*author{s.ann, s.bob} {
@@ -481,15 +492,16 @@
 	return nil
 }
 
-// refusedBySome is a document that one hollow agent in eight does not take. Where one of them is
-// in the first stage it is halted, otherwise they stay with the former text.
+// refusedBySome puts a document that one hollow agent in eight refuses. If one of them is in the first stage,
+// the rollout is halted; otherwise these agents keep the former text.
 func (s *scenario) refusedBySome(ctx context.Context) error {
 	_, err := s.ann.change(ctx, Put{Name: routesForAll, Text: markRefuseSome})
 	return errors.Join(err, s.AwaitSettled(ctx, routesForAll), s.changeForAll(ctx))
 }
 
-// failFirstStage is a text that no hollow agent takes, or that makes calls fail, with the next change
-// waiting behind it: the former text comes back, and the next goes its own way.
+// failFirstStage puts a text that all hollow agents refuse, or that makes calls fail, and then a further
+// change, which waits for it. The first must be halted and the former text restored, and the further change
+// is then rolled out.
 func (s *scenario) failFirstStage(ctx context.Context) error {
 	mark := markRefuseAll
 	if s.rng.IntN(2) == 0 {
@@ -499,9 +511,10 @@
 	if err != nil {
 		return err
 	}
-	for !s.History.HasBegun(bad.Revision) { // what still waits would be superseded by the next, and never fail
+	// A revision that still waits would be superseded by the next one and never fail.
+	for !s.History.HasBegun(bad.Revision) {
 		if ctx.Err() != nil {
-			return fmt.Errorf("%d does not begin: %w: %s", bad.Revision, ctx.Err(), s.describeMachines())
+			return fmt.Errorf("%d did not reach its first stage: %w: %s", bad.Revision, ctx.Err(), s.describeMachines())
 		}
 		if leader, err := s.AwaitLeader(ctx); err == nil {
 			s.readDocuments(ctx, leader)
@@ -517,8 +530,8 @@
 	return nil
 }
 
-// breakDisks has agents whose disks take nothing: a change is in force there all the same, and is
-// on their disks once they take it again.
+// breakDisks makes the disks of some agents unusable. A change must come into force there all the same, and
+// must be saved once the disks are usable again.
 func (s *scenario) breakDisks(ctx context.Context) error {
 	var picked []*hollowAgent
 	for _, i := range s.rng.Perm(len(s.hollowAgents))[:max(len(s.hollowAgents)/20, 1)] {
@@ -536,7 +549,7 @@
 	for _, a := range picked {
 		for err == nil && !a.saved() {
 			if lab.Sleep(ctx, 50*time.Millisecond); ctx.Err() != nil {
-				err = fmt.Errorf("%s has not saved since its disk is back: %s", a.Name, a.watcher.Status())
+				err = fmt.Errorf("%s has not saved since its disk was restored: %s", a.Name, a.watcher.Status())
 			}
 		}
 	}
@@ -544,34 +557,35 @@
 		return err
 	}
 	s.stopAgents(picked)
-	return s.startAgents(picked) // from their disks
+	return s.startAgents(picked) // they load what was saved
 }
 
-// sendJunk sends what nobody would send to a machine's ports.
+// sendJunk sends random bytes to a machine's ports. The machine must keep running.
 func (s *scenario) sendJunk(ctx context.Context) error {
 	m := s.machines[machineNames[s.rng.IntN(len(machineNames))]]
 	for _, addr := range []string{m.raft, m.client, m.console} {
 		for range 40 {
 			conn, err := net.DialTimeout("tcp", addr, time.Second)
 			if err != nil {
-				return fmt.Errorf("%s takes no connections: %w", m.id, err)
+				return fmt.Errorf("%s accepts no connections: %w", m.id, err)
 			}
 			junk := make([]byte, 1+s.rng.IntN(2000))
 			for i := range junk {
 				junk[i] = byte(s.rng.Uint32())
 			}
-			conn.Write(junk) // it may be ended before all is out
+			conn.Write(junk) // the machine may close the connection before all is written
 			conn.Close()
 		}
 	}
 	if !m.Running() {
-		return fmt.Errorf("%s ended by junk", m.id)
+		return fmt.Errorf("%s ended after random bytes on its ports", m.id)
 	}
 	return s.changeForAll(ctx)
 }
 
-// changeNarrowDocument puts a document for one zone over that for all, changes both, and removes it: the zone
-// goes back to the latest for all. A former text comes again, too.
+// changeNarrowDocument puts a document for one zone, which overrides the one for all agents, changes both,
+// restores a former text, and removes the zone's document. The zone must then have the latest document for
+// all.
 func (s *scenario) changeNarrowDocument(ctx context.Context) error {
 	const name = "routes@zone/z2"
 	first, err := s.ann.change(ctx, Put{Name: name})
--- a/internal/lab/rolloutlab/spread_test.go
+++ b/internal/lab/rolloutlab/spread_test.go
@@ -19,7 +19,8 @@
 	maxViewAge  = time.Second
 )
 
-// spreadStatus is whom an agent tells of its load, how old its view is, and whether it follows one.
+// spreadStatus returns the steward to which an agent reports its load, the age of the agent's view, and
+// whether the agent follows the view.
 func (f *Fleet) spreadStatus(i int) (steward string, old time.Duration, follows bool) {
 	answer := f.cluster.ConsoleCommand(i, "SPREAD")
 	m := stewardLine.FindStringSubmatch(answer)
@@ -33,8 +34,8 @@
 	return m[1], old, strings.HasPrefix(answer, "in common true, by control machines")
 }
 
-// awaitSpread waits until every agent has a fresh view of a machine that is not one of those lost and,
-// if so asked, follows it, and names the machine of the first agent.
+// awaitSpread waits until every agent has a fresh view from a machine that is not lost and, with follow,
+// follows it. It returns the first agent's machine.
 func (f *Fleet) awaitSpread(ctx context.Context, t *testing.T, what string, follow bool, lost ...string) (steward string) {
 	began := time.Now()
 	for {
@@ -59,9 +60,10 @@
 	}
 }
 
-// TestSpread: agents spread their load by way of the control machines while the steward's machine
-// is killed, its successor stopped, and the next one cut off; each time the next machine takes
-// over, and with all back all follow. No call is lost and no rule is broken.
+// TestSpread checks that agents spread their load through the control machines while the steward's machine is
+// killed, its successor suspended and the next one cut off. Each time another machine must take over, and
+// when all are back every agent must follow a view. No call is lost and no protocol rule is broken. It guards
+// against a steward that is not replaced after its machine fails.
 func TestSpread(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
--- a/internal/lab/rolloutlab/world.go
+++ b/internal/lab/rolloutlab/world.go
@@ -1,8 +1,8 @@
-// Package rolloutlab is the laboratory of the distribution of configuration: control machines and
-// call agents as processes of the program, hundreds of further agents that are nothing but a
-// watcher with a recording loader, a fault proxy on every link between them, authors who change
-// documents, and a checker of what every author was told and every agent had in force. Tests and
-// cmd/woodlab use it. Loopback only.
+// Package rolloutlab is the laboratory for the distribution of configuration. It runs control machines and
+// call agents as processes of the program, hundreds of hollow agents (a watcher with a recording loader), a
+// fault proxy on every link between them, and authors who change documents. A checker compares what every
+// author was answered with what every agent had in force. Tests and cmd/woodlab use it. It uses loopback
+// addresses only.
 package rolloutlab
 
 import (
@@ -29,18 +29,18 @@
 	"woodrouter/rollout"
 )
 
-// Config is what a world is started with.
+// Config is the configuration of a fleet.
 type Config struct {
 	Bin, Dir     string
-	Hollow       int // agents that are a watcher and a recording loader
-	Real         int // agents that are processes with callers
+	Hollow       int // number of agents that are a watcher with a recording loader
+	Real         int // number of agents that are processes with callers
 	Seed         uint64
-	Delay        time.Duration // between the regions, each way
-	SpreadPeriod time.Duration // period by which the real agents spread their load by way of the machines; 0: they don't
+	Delay        time.Duration // latency between the regions, each way
+	SpreadPeriod time.Duration // period of the real agents' spreading through the machines; 0: none
 }
 
-// The fleet's shape: five zones in two regions, 27 services; three control machines that vote and
-// one that does not.
+// The fleet has five zones in two regions, 27 services, three control machines that vote and one that does
+// not.
 var (
 	zones    = []string{"z1", "z2", "z3", "z4", "z5"}
 	regionOf = map[string]string{"z1": "west", "z2": "west", "z3": "west", "z4": "east", "z5": "east",
@@ -52,17 +52,18 @@
 
 const services = 27
 
-// Real agents are in two zones, one in each region: documents of the others are for hollow agents.
+// realZones are the zones of the real agents, one in each region. Documents for other zones reach hollow
+// agents only.
 var realZones = []string{"z1", "z4"}
 
-// Fleet is machines and agents, and the links between them.
+// Fleet is a set of control machines and agents with the links between them.
 type Fleet struct {
 	Config
 	History *History
 
 	machines     map[string]*machine
-	raftLinks    faultnet.Mesh                        // between machines: the log
-	reportLinks  faultnet.Mesh                        // between machines: reports
+	raftLinks    faultnet.Mesh                        // between machines, for the Raft log
+	reportLinks  faultnet.Mesh                        // between machines, for agents' reports
 	agentLinks   map[string]map[string]*faultnet.Link // from a zone's agents to a machine
 	hollowAgents []*hollowAgent
 	cluster      *cluster.Cluster
@@ -70,21 +71,21 @@
 	client       *control.Client
 	stop         context.CancelFunc
 	work         sync.WaitGroup
-	textCount    atomic.Int64 // written so far, by all authors
+	textCount    atomic.Int64 // texts written so far by all authors
 
 	mu              sync.Mutex
 	cuts            []func(a, b string) bool
 	dropped         map[*faultnet.Link]bool
-	leader          string            // as the machines said last
-	latestRevisions map[string]uint64 // latest revision of each document, as the leader said last
-	historyReadAt   map[string]string // machine and document -> what its history was read at
+	leader          string            // as the machines last reported
+	latestRevisions map[string]uint64 // latest revision of each document, as the leader last reported
+	historyReadAt   map[string]string // machine and document -> revision and stage when its history was read
 }
 
-// machine is a control machine.
+// machine is a control machine with the addresses it listens on.
 type machine struct {
 	*faultnet.Proc
 	id, raft, client, console string
-	live                      bool // it runs and is not stalled
+	live                      bool // the process runs and is not suspended
 }
 
 // Start starts the machines, waits until they have a leader, and starts the agents.
@@ -112,14 +113,16 @@
 	return f, nil
 }
 
+// realAgent returns the identity of real agent i.
 func realAgent(i int) rollout.Agent {
 	z := realZones[i%len(realZones)]
 	return rollout.Agent{Name: fmt.Sprintf("a%d", i), Service: "lessons", Zone: z, Region: regionOf[z]}
 }
 
-// startTimeout bounds the start of a world on a busy machine.
+// startTimeout bounds the start of a fleet on a busy machine.
 const startTimeout = 90 * time.Second
 
+// start starts machines and agents within ctx; what goes on in the background ends with run.
 func (f *Fleet) start(ctx, run context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -149,7 +152,7 @@
 	return err
 }
 
-// forEach does something for all, some at once.
+// forEach calls do for all elements, 16 at a time, and returns one of the errors.
 func forEach[T any](all []T, do func(T) error) error {
 	next, errs := make(chan T), make(chan error, len(all))
 	var work sync.WaitGroup
@@ -174,6 +177,8 @@
 	return nil
 }
 
+// startMachines reserves the machines' ports, starts the proxies between them and the agents' zones, and launches
+// the machines.
 func (f *Fleet) startMachines() error {
 	host, err := faultnet.NewHost()
 	if err != nil {
@@ -208,7 +213,7 @@
 			}
 		}
 	}
-	release() // the machines take their ports from here
+	release() // the machines bind the ports from here on
 	if err != nil {
 		return err
 	}
@@ -221,10 +226,11 @@
 	return nil
 }
 
-// slowTiming are timers with which a busy machine's pauses don't cost the group its leader, as lab.Calm.
+// slowTiming are the timers of lab.SlowTiming, with which pauses of a busy computer don't cost the group its
+// leader.
 var slowTiming = map[string]string{"heartbeat": lab.SlowTiming.Heartbeat, "election": lab.SlowTiming.Election, "lease": lab.SlowTiming.Lease}
 
-// launch writes a machine's file and starts it.
+// launch writes a machine's configuration file and starts it.
 func (f *Fleet) launch(m *machine) error {
 	links, peers := map[string]string{}, map[string]string{}
 	var bootstrap []map[string]any
@@ -252,7 +258,7 @@
 	return m.Proc.Start()
 }
 
-// machinesFor is the machines as the agents of a zone reach them.
+// machinesFor returns the machines with the addresses at which the agents of a zone reach them.
 func (f *Fleet) machinesFor(zone string) (out []watcher.Machine) {
 	for _, id := range machineNames {
 		out = append(out, watcher.Machine{ID: id, Client: f.agentLinks[zone][id].Addr(), Region: regionOf[id], Zone: machineZones[id]})
@@ -260,7 +266,7 @@
 	return out
 }
 
-// startRealAgents starts the real agents with callers at work, and watches what they have in force.
+// startRealAgents starts the real agents with their callers, and polls what they have in force.
 func (f *Fleet) startRealAgents(ctx, run context.Context) (err error) {
 	deployment := emulator.Campus()
 	dir := filepath.Join(f.Dir, "crew")
@@ -278,7 +284,8 @@
 	return nil
 }
 
-// writeAgentFiles writes a real agent's file of the rollout.
+// writeAgentFiles writes a real agent's rollout file and, with a SpreadPeriod, its spread file, and returns
+// the environment variables that name them.
 func (f *Fleet) writeAgentFiles(c *cluster.Cluster, i int) ([]string, error) {
 	a := realAgent(i)
 	text, err := yaml.Marshal(map[string]any{"service": a.Service, "zone": a.Zone, "region": a.Region,
@@ -297,14 +304,15 @@
 	return []string{"WOODROUTER_ROLLOUT=" + path, "WOODROUTER_SPREAD=" + spread}, os.WriteFile(spread, text, 0o600)
 }
 
-// region tells whose side a zone's agents or a machine are on.
+// inDifferentRegions tells whether two zones or machines are in different regions.
 func inDifferentRegions(a, b string) bool { return regionOf[a] != regionOf[b] }
 
+// isCut tells whether the link between a and b is cut. The caller holds f.mu.
 func (f *Fleet) isCut(a, b string) bool {
 	return slices.ContainsFunc(f.cuts, func(cut func(a, b string) bool) bool { return cut(a, b) || cut(b, a) })
 }
 
-// Cut cuts the links between zones and machines that are picked, beside what is cut already.
+// Cut cuts the links between zones and machines for which pick is true, in addition to earlier cuts.
 func (f *Fleet) Cut(pick func(a, b string) bool) {
 	f.mu.Lock()
 	f.cuts = append(f.cuts, pick)
@@ -312,7 +320,7 @@
 	f.updateLinks()
 }
 
-// Heal makes all links whole.
+// Heal ends all cuts.
 func (f *Fleet) Heal() {
 	f.mu.Lock()
 	f.cuts = nil
@@ -320,7 +328,7 @@
 	f.updateLinks()
 }
 
-// updateLinks has every link as the cuts say, and tells the history who is within reach now.
+// updateLinks sets every link according to the cuts, and records which agents are reachable now.
 func (f *Fleet) updateLinks() {
 	f.mu.Lock()
 	set := func(l *faultnet.Link, from, to string) {
@@ -333,7 +341,7 @@
 			mode, delay = faultnet.Drop, 0
 		}
 		l.Set(mode, delay, 0)
-		if drop != f.dropped[l] { // what was made behind a cut leads nowhere for good
+		if drop != f.dropped[l] { // connections from before the change would stay dead for good
 			l.Reset()
 			f.dropped[l] = drop
 		}
@@ -349,7 +357,7 @@
 	f.updateReachable()
 }
 
-// setLive notes that a machine runs, or does not.
+// setLive records whether a machine runs.
 func (f *Fleet) setLive(id string, on bool) {
 	f.mu.Lock()
 	f.machines[id].live = on
@@ -357,8 +365,8 @@
 	f.updateReachable()
 }
 
-// updateReachable tells the history which agents are within reach: those of a zone with a whole link to a
-// machine that runs and is with a majority of the voters.
+// updateReachable records which agents are reachable: those that run, in a zone with an uncut link to a
+// machine that runs and is connected to a majority of the voters.
 func (f *Fleet) updateReachable() {
 	if f.History == nil {
 		return
@@ -379,7 +387,7 @@
 	}
 }
 
-// withMajority is the machines that run and reach, directly, a majority of voters that run and reach one another.
+// withMajority returns the machines that run and have a direct link to a majority of the voters that run.
 func (f *Fleet) withMajority() (out []string) {
 	for _, id := range machineNames {
 		if !f.machines[id].live {
@@ -398,10 +406,10 @@
 	return out
 }
 
-// machinePollInterval is the pause between two looks at a machine.
+// machinePollInterval is the pause between two polls of a machine.
 const machinePollInterval = 150 * time.Millisecond
 
-// pollMachine reads a machine's documents, again where something changed, until ctx ends.
+// pollMachine polls a machine's documents until ctx ends.
 func (f *Fleet) pollMachine(ctx context.Context, id string) {
 	for ctx.Err() == nil {
 		f.readDocuments(ctx, id)
@@ -409,9 +417,11 @@
 	}
 }
 
-// requestTimeout bounds one question to a machine: a stalled one says nothing.
+// requestTimeout bounds one request to a machine, since a suspended one does not answer.
 const requestTimeout = time.Second
 
+// readDocuments reads the overview of a machine, and the history of each document that has changed there
+// since the last read.
 func (f *Fleet) readDocuments(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -453,7 +463,8 @@
 	return nil
 }
 
-// AwaitLeader waits until a machine that runs says that it leads, and names it.
+// AwaitLeader waits until a voter that runs, and is not excepted, reports that it leads, and returns its
+// name.
 func (f *Fleet) AwaitLeader(ctx context.Context, except ...string) (string, error) {
 	for {
 		for _, id := range voters {
@@ -475,13 +486,14 @@
 	}
 }
 
+// overview returns a machine's own overview, with requestTimeout.
 func (f *Fleet) overview(ctx context.Context, id string) (control.OverviewReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return f.client.Overview(ctx, id, "")
 }
 
-// describeMachines is what each machine says of itself, for a step that did not end.
+// describeMachines returns each machine's own status, for the error of a step that did not end.
 func (f *Fleet) describeMachines() string {
 	var out []string
 	for _, id := range machineNames {
@@ -491,8 +503,8 @@
 	return strings.Join(out, "; ")
 }
 
-// AwaitSettled waits until these documents, or all, stand everywhere and every agent within reach has
-// what stands.
+// AwaitSettled waits until the latest revisions of these documents (none given: of all) are at the stage
+// everywhere, and every reachable agent has them.
 func (f *Fleet) AwaitSettled(ctx context.Context, names ...string) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -509,10 +521,10 @@
 	}
 }
 
-// settleTimeout bounds what a settling is waited for; whether it came in time the history tells.
+// settleTimeout bounds AwaitSettled. Whether a change came in time is checked by the history.
 const settleTimeout = 3 * PropagationLimit
 
-// firstUnsettled names what is not everywhere yet.
+// firstUnsettled describes the first document that is not settled; "" if all are.
 func (f *Fleet) firstUnsettled(ctx context.Context, names []string) string {
 	leader, err := f.AwaitLeader(ctx)
 	if err != nil {
@@ -532,12 +544,13 @@
 			return fmt.Sprintf("%s: %d by %s is %s", name, r.Revision, r.Author, r.Stage)
 		}
 		if lacking := f.agentsLacking(r); len(lacking) > 0 {
-			return fmt.Sprintf("%s: %d is not at %d agents: %v", name, r.Revision, len(lacking), lacking[:min(len(lacking), 5)])
+			return fmt.Sprintf("%s: %d has not reached %d agents: %v", name, r.Revision, len(lacking), lacking[:min(len(lacking), 5)])
 		}
 	}
 	return ""
 }
 
+// agentsLacking returns the names of the reachable agents that must have a revision and don't have it.
 func (f *Fleet) agentsLacking(r rollout.Revision) (out []string) {
 	for _, a := range f.History.agents {
 		if f.History.Reachable(a.Name) && !f.History.HasRevision(a.Name, r) {
@@ -548,7 +561,7 @@
 	return out
 }
 
-// Logs is every machine's log, for a failed run.
+// Logs returns the logs of all machines, for a failed run.
 func (f *Fleet) Logs() (out string) {
 	for _, id := range machineNames {
 		if m := f.machines[id]; m != nil && m.Proc != nil {
@@ -558,7 +571,7 @@
 	return out
 }
 
-// Close ends everything.
+// Close stops all agents and machines and closes all links.
 func (f *Fleet) Close() {
 	f.stop()
 	for _, a := range f.hollowAgents {
--- a/internal/lab/scalelab/config_test.go
+++ b/internal/lab/scalelab/config_test.go
@@ -20,21 +20,22 @@
 	"woodrouter/rollout"
 )
 
-// manualMachine is a stand-in for a control machine, whose watches end when the test says so.
+// manualMachine stands in for a control machine. Its watches end only when the test says so.
 type manualMachine struct {
 	mu       sync.Mutex
 	version  uint64
 	doc      *rollout.Document
-	expired  chan struct{} // closed where all patience ends
-	changed  chan struct{} // and where there is news
+	expired  chan struct{} // closed and replaced when all open watches expire
+	changed  chan struct{} // closed and replaced when there is a new revision
 	asked    map[string]int
 	answered map[string]int
 	open     map[string]int
-	maxOpen  int // watches of one agent at once
+	maxOpen  int // most watches of one agent at the same time
 	last     map[string]rollout.WatchArgs
 }
 
-// Watch answers an agent's first at once, as a machine does one that has nothing.
+// Watch implements the RPC. It answers an agent's first watch at once, as a machine does for an agent without
+// documents.
 func (b *manualMachine) Watch(args rollout.WatchArgs, r *rollout.WatchReply) error {
 	name := args.Report.Agent.Name
 	b.mu.Lock()
@@ -62,14 +63,16 @@
 	return nil
 }
 
+// endWatches closes and replaces one of the machine's channels. The caller holds b.mu.
 func (b *manualMachine) endWatches(what *chan struct{}) {
 	close(*what)
 	*what = make(chan struct{})
 }
 
-// TestConfigMessages: of 8 agents each has one watch in flight at a control machine; nothing is
-// sent while nothing changes and no patience ends; each change and each end of patience is one
-// answer and one new watch, which acknowledges it; a watch and an answer stay within their bytes.
+// TestConfigMessages checks that each of 8 agents has one watch in flight at a control machine, that nothing
+// is sent while nothing changes and no watch expires, and that each change and each expiry is one answer and
+// one new watch, which acknowledges the change. It guards against watchers that poll more often or send more
+// bytes than the capacity figures allow.
 func TestConfigMessages(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const agents = 8
@@ -129,7 +132,7 @@
 		}
 		return sent, received
 	}
-	const watchMost, idleMost, body = 512, 256, 4096 // bytes; a body beside an idle answer
+	const watchMost, idleMost, body = 512, 256, 4096 // bytes; an answer with a change has a body in addition
 	sent, received := settled(2, 0)
 	asked, revision := 2, uint64(0)
 	name, err := rollout.ParseName(revisedKind + "@all")
@@ -159,7 +162,8 @@
 	require.Equal(t, 1, b.maxOpen)
 }
 
-// TestRunConfig: a small run with real control machines ends with everybody at the same revision.
+// TestRunConfig checks that a small run with real control machines ends with all agents at the same revision,
+// and with figures for the part and the machines.
 func TestRunConfig(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	self, err := os.Executable()
@@ -167,7 +171,7 @@
 	bin, err := faultnet.Build(t.TempDir())
 	require.NoError(t, err)
 	p := Plan{Agents: 8, Services: 2, Parts: []string{Config}, By: ByFleet, Servers: 10, PerProcess: 4, Delay: [2]time.Duration{time.Millisecond, 2 * time.Millisecond},
-		Span: 3 * time.Second, Warm: time.Second, Seed: 1} // a watch lasts 2.2 s at most
+		Span: 3 * time.Second, Warm: time.Second, Seed: 1} // longer than a watch, which lasts at most 2.2 s
 	r := Run{Plan: p, Self: self, Bin: bin, Dir: t.TempDir(), Log: testLog{t}}
 	s, err := r.Execute(t.Context())
 	require.NoError(t, err)
--- a/internal/lab/scalelab/control.go
+++ b/internal/lab/scalelab/control.go
@@ -20,11 +20,11 @@
 	"woodrouter/rollout"
 )
 
-// The control machines, placed as deploy/control.yaml has it.
+// machines are the control machines, in the regions and zones of deploy/control.yaml.
 var machines = []watcher.Machine{{ID: "c1", Region: "r1", Zone: "z1"}, {ID: "c2", Region: "r1", Zone: "z2"},
 	{ID: "c3", Region: "r2", Zone: "z4"}, {ID: "c4", Region: "r2", Zone: "z5"}}
 
-const nonVoter = "c4" // has the log, and no vote
+const nonVoter = "c4" // the machine that holds the log but has no vote
 
 // The ports on each machine's own address.
 const (
@@ -33,19 +33,19 @@
 	machineConsolePort = 7602
 )
 
-// controlCluster are the machines that keep the configuration, each its own process of the program.
+// controlCluster is the control machines that store the configuration, each a process of the program.
 type controlCluster struct {
 	procs        map[string]*faultnet.Proc
 	client       *control.Client
-	lastRevision uint64 // the latest revision of the document that is waited for
+	lastRevision uint64 // the latest revision of the document of revisedKind
 }
 
-// startControlCluster starts them, with a proxy on every way between the regions, and tells in the deal
-// where agents of each region reach them.
+// startControlCluster starts the control machines, with a proxy on every connection between the regions, and
+// sets in the helpers' configuration the addresses at which agents of each region reach them.
 func startControlCluster(r *Run, delay func() time.Duration) (*controlCluster, error) {
 	c := &controlCluster{procs: map[string]*faultnet.Proc{}}
 	at := func(i, port int) string { return net.JoinHostPort(r.octet.Host(3+i), strconv.Itoa(port)) }
-	// far is an address as it is reached from the other region.
+	// far returns the address at which the other region reaches addr.
 	far := func(addr string) (string, error) {
 		if r.Delay[1] == 0 {
 			return addr, nil
@@ -118,22 +118,23 @@
 	}
 }
 
-// documentText is a document of a size.
+// documentText returns a document of the given size in bytes.
 func documentText(size int, mark string) []byte {
 	line := []byte("# " + mark + ": a line of a file of routes, as long as they are there\n")
 	return bytes.Repeat(line, size/len(line)+1)[:size]
 }
 
-// documents are what the fleet has: of all, of a region, of a service.
+// documents are the documents of the fleet: for all agents, for a region and for a service, with their sizes
+// in bytes.
 var documents = []struct {
 	name string
 	size int
 }{{revisedKind + "@all", 4096}, {"spread@all", 400}, {"failover@region/r2", 1500}, {"spread@service/s1", 400}}
 
-// putTimeout bounds a change's way into the log.
+// putTimeout bounds the time until a change is committed to the log.
 const putTimeout = 20 * time.Second
 
-// put puts a document, at once or, while there is no leader yet, as soon as there is one.
+// put puts a document. A first revision (base 0) is retried until there is a leader.
 func (c *controlCluster) put(ctx context.Context, name string, base uint64, body []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
@@ -150,7 +151,7 @@
 	}
 }
 
-// putFirst puts the first documents and waits until all agents have them.
+// putFirst puts the first revision of all documents and waits until all agents have that of revisedKind.
 func (c *controlCluster) putFirst(ctx context.Context, r *Run, s *Result) error {
 	began := time.Now()
 	for _, d := range documents {
@@ -166,6 +167,7 @@
 	return nil
 }
 
+// wantRevision returns the revision as the wanted value of every group.
 func (r *Run) wantRevision(n uint64) map[int]int64 {
 	out := map[int]int64{}
 	for g := range r.groupSizes() {
@@ -179,7 +181,7 @@
 	before, began := c.usage(), time.Now()
 	n, err := c.put(ctx, revisedKind+"@all", c.lastRevision, documentText(4096, "changed"))
 	if err != nil {
-		return fmt.Errorf("a change: %w\n%s", err, c.logs())
+		return fmt.Errorf("put of a change: %w\n%s", err, c.logs())
 	}
 	c.lastRevision = n
 	s.Notes = append(s.Notes, fmt.Sprintf("the change was committed after %.2f s", time.Since(began).Seconds()))
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// awaitSettled waits until no stage is open any more: a change behind it would wait for it.
+// awaitSettled waits until the rollout of the last change has ended. A further change would wait for it.
 func (c *controlCluster) awaitSettled(ctx context.Context, r *Run) error {
 	end := time.Now().Add(eventTimeout / 2)
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -215,6 +217,7 @@
 	return fmt.Errorf("a stage was still open after %v", eventTimeout/2)
 }
 
+// logs returns the logs of all machines.
 func (c *controlCluster) logs() (out string) {
 	for _, p := range c.procs {
 		out += p.Log()
@@ -222,7 +225,7 @@
 	return out
 }
 
-// usage is what each machine's process has taken so far.
+// usage returns the resources that each machine's process has used so far.
 func (c *controlCluster) usage() map[string]processUsage {
 	out := map[string]processUsage{}
 	for name, p := range c.procs {
--- a/internal/lab/scalelab/helper.go
+++ b/internal/lab/scalelab/helper.go
@@ -17,60 +17,61 @@
 	"github.com/hashicorp/go-metrics"
 )
 
-// Request is what the measurement asks of a helper process, one JSON line each, in turn.
+// Request is a request to a helper process, sent as one line of JSON. Each is answered before the next.
 type Request struct {
 	Do    string        // start, look, until, announce
-	Agent int           // start: this one alone; -1: all but the spare
-	Until []Condition   // until: looked at together, so that none is seen late for another's sake
-	Most  time.Duration // until: the bound
+	Agent int           // start: the only agent to start, or -1: all but the spare. announce: the agent
+	Until []Condition   // until: conditions, polled together so that none delays another's observation
+	Most  time.Duration // until: the timeout
 	Value int64         // announce: the epoch
 }
 
-// Condition is something that a process's agents are to come to.
+// Condition is a value that the agents of a process must reach.
 type Condition struct {
-	What string        // members, spread, zones, follows, or a mark's name
-	Want map[int]int64 // by group; groups not named are not waited for
+	What string        // members, spread, zones, follows, announced, epoch, decided, or a milestone's name
+	Want map[int]int64 // wanted value by group; groups without one are not waited for
 }
 
-// Response answers an order.
+// Response is the response to a request.
 type Response struct {
 	Error string     `json:",omitempty"`
 	Look  *Usage     `json:",omitempty"`
-	Until []Progress `json:",omitempty"` // until: of each, in the order asked
+	Until []Progress `json:",omitempty"` // until: the progress on each condition, in the request's order
 }
 
-// Progress is what a process's agents came to.
+// Progress is how far the agents of a process are with a condition.
 type Progress struct {
-	Reached map[int]int64 // by agent, Unix µs; 0: not within the bound
-	Saw     map[int]int64 // the latest figure
+	Reached map[int]int64 // by agent, in Unix µs; 0: not reached before the timeout
+	Saw     map[int]int64 // by agent: the latest value
 }
 
-// Usage is what a helper process counts, all of it since its start.
+// Usage is the resources that a helper process has used since its start.
 type Usage struct {
 	CPUUs               int64 // user and system time (getrusage)
-	RSS, Peak           int64 // bytes (/proc/self/status)
-	FileIn, FileOut     int64 // bytes of read and write calls, those of orders and answers taken off: streams, and files of deciders
-	GossipIn, GossipOut int64 // bytes of datagrams of all memberships (memberlist's own counters)
-	Streams             int64 // bytes that memberships sent by stream, part of FileOut
+	RSS, Peak           int64 // resident memory now and at its peak, in bytes (/proc/self/status)
+	FileIn, FileOut     int64 // bytes of read and write calls (streams, deciders' files) less requests and responses
+	GossipIn, GossipOut int64 // bytes in datagrams of all memberships (memberlist's own counters)
+	Streams             int64 // bytes that memberships sent in streams; included in FileOut
 	Agents              map[int]AgentCounts
 }
 
-// AgentCounts are an agent's.
+// AgentCounts are the counters of one agent since its start.
 type AgentCounts struct {
-	Datagrams, Bytes map[string]int64 // of its memberships, sent, by part
-	In, Out          map[string]int64 // bytes by part where the code counts both ways
-	Views            int64            // of the steward, heard
-	Alive            int64            // thought alive by the first membership
+	Datagrams, Bytes map[string]int64 // datagrams that its memberships sent, and their bytes, by part
+	In, Out          map[string]int64 // bytes received and sent, by part, where the code counts both
+	Views            int64            // views received from the steward
+	Alive            int64            // members that the agent's first membership takes for alive
 }
 
-// RunHelper is the main of a helper process: it plays its hollow agents until its input ends.
+// RunHelper is the main function of a helper process. It reads a HelperConfig and then requests from in, and
+// runs its hollow agents until in ends.
 func RunHelper(in io.Reader, out io.Writer, log *slog.Logger) error {
 	pipe := &countingPipe{r: in, w: out}
 	lines := bufio.NewReader(pipe)
 	orders := json.NewDecoder(lines)
 	var config HelperConfig
 	if err := orders.Decode(&config); err != nil {
-		return fmt.Errorf("scale: the deal: %w", err)
+		return fmt.Errorf("scale: helper configuration: %w", err)
 	}
 	sink := &gossipSink{}
 	c := metrics.DefaultConfig("")
@@ -95,6 +96,7 @@
 	}
 }
 
+// helper is the state of a helper process.
 type helper struct {
 	config *HelperConfig
 	log    *slog.Logger
@@ -103,6 +105,7 @@
 	pipe   *countingPipe
 }
 
+// stop stops all agents.
 func (w *helper) stop() {
 	var all sync.WaitGroup
 	for _, h := range w.agents {
@@ -111,6 +114,7 @@
 	all.Wait()
 }
 
+// handle carries out one request.
 func (w *helper) handle(o Request) Response {
 	switch o.Do {
 	case "start":
@@ -128,6 +132,7 @@
 	return Response{Error: "no such order: " + o.Do}
 }
 
+// startAgents starts agent one, or with -1 all of the process but the spare, at the plan's pace.
 func (w *helper) startAgents(one int) Response {
 	for _, i := range w.config.Mine {
 		if one >= 0 && i != one || one < 0 && i == w.config.Agents {
@@ -143,9 +148,11 @@
 	return Response{}
 }
 
-// conditionPollInterval lies between two looks at what is no mark: asking a membership costs it.
+// conditionPollInterval is the pause between two polls of the conditions. Polling a membership costs CPU
+// time.
 const conditionPollInterval = 25 * time.Millisecond
 
+// awaitConditions polls the conditions until all agents have reached them or the timeout has passed.
 func (w *helper) awaitConditions(o Request) Response {
 	a := Response{Until: make([]Progress, len(o.Until))}
 	left := make([]int, len(o.Until))
@@ -156,7 +163,7 @@
 	for turn := 0; ; turn++ {
 		last, sum := time.Now().After(end), 0
 		for k, u := range o.Until {
-			// Zones are a list of all with their metadata each time: not at every turn.
+			// Polling zones lists all members with their metadata, so it is done at every eighth turn only.
 			if turn == 0 || left[k] > 0 && (u.What != Zones || turn%8 == 0 || last) {
 				left[k] = w.updateProgress(u, a.Until[k])
 			}
@@ -169,7 +176,7 @@
 	}
 }
 
-// updateProgress looks at the agents that have not come to something yet, and tells how many have not still.
+// updateProgress polls the agents that have not reached a condition yet, and returns how many still have not.
 func (w *helper) updateProgress(u Condition, c Progress) (left int) {
 	for i, h := range w.agents {
 		want, asked := u.Want[h.Group]
@@ -178,7 +185,7 @@
 		}
 		n, at := h.figure(u.What)
 		c.Saw[i], c.Reached[i] = n, 0
-		// Those alive are as many, neither more nor fewer; what rises may have risen further.
+		// Counts of members must match exactly; other values only rise and may be beyond the wanted one.
 		if n == want || n > want && u.What != Members && u.What != Zones && u.What != Spread {
 			c.Reached[i] = at.UnixMicro()
 			continue
@@ -188,7 +195,7 @@
 	return left
 }
 
-// figure is what an agent has come to, and since when as far as that is known.
+// figure returns an agent's value for a condition, and since when it has it as far as that is known.
 func (h *hollowAgent) figure(what string) (int64, time.Time) {
 	switch what {
 	case Members:
@@ -217,6 +224,7 @@
 	return m.value, m.at
 }
 
+// usage returns what the process and its agents have used so far.
 func (w *helper) usage() *Usage {
 	l := &Usage{Agents: map[int]AgentCounts{}}
 	for i, h := range w.agents {
@@ -234,6 +242,7 @@
 	return l
 }
 
+// counts returns the counters of the agent's parts.
 func (h *hollowAgent) counts() AgentCounts {
 	c := AgentCounts{Datagrams: map[string]int64{}, Bytes: map[string]int64{}, In: map[string]int64{}, Out: map[string]int64{}, Views: h.views.Load()}
 	if h.list != nil {
@@ -253,7 +262,7 @@
 	return c
 }
 
-// procFields reads "name: number" lines of a file of /proc.
+// procFields reads the lines "name: number" of a file in /proc.
 func procFields(path string) map[string]int64 {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -271,7 +280,7 @@
 	return out
 }
 
-// countingPipe counts what orders and answers take of the process's reads and writes.
+// countingPipe counts the bytes of requests and responses, which are not part of the agents' traffic.
 type countingPipe struct {
 	r       io.Reader
 	w       io.Writer
@@ -290,13 +299,13 @@
 	return n, err
 }
 
-// gossipSink keeps the counters that memberlist has of its bytes.
+// gossipSink sums up memberlist's counters of bytes.
 type gossipSink struct {
 	metrics.BlackholeSink
 	in, out, streams atomic.Int64
 }
 
-// IncrCounterWithLabels takes one.
+// IncrCounterWithLabels adds val to the sum for the counter key.
 func (s *gossipSink) IncrCounterWithLabels(key []string, val float32, _ []metrics.Label) {
 	if len(key) != 3 || key[0] != "memberlist" {
 		return
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -36,25 +36,26 @@
 	clientPort
 )
 
-// HelperConfig is what a helper process is told at its start.
+// HelperConfig is the configuration of a helper process, the first line that it reads.
 type HelperConfig struct {
 	Plan
 	Places []Identity
-	Hosts  []string          // of the agents
-	Role   string            // of this process
-	Mine   []int             // its agents
-	List   string            // address of the list of setup servers
-	Known  json.RawMessage   // what is told of them where nobody watches the list
-	Via    map[string]string // an address -> the proxy that leads there from the other region
+	Hosts  []string          // addresses of the agents
+	Role   string            // role of this process
+	Mine   []int             // agents of this process
+	List   string            // address of the server of the list of setup servers
+	Known  json.RawMessage   // the list of setup servers, for agents that don't watch it
+	Via    map[string]string // address -> proxy by which the other region reaches it
 	Dir    string
-	// Machines keep the configuration, as agents of a region reach them.
+	// Machines are the control machines as the agents of each region reach them.
 	Machines map[string][]watcher.Machine
 }
 
+// addr returns the address of agent i with one of its ports.
 func (d *HelperConfig) addr(i, port int) string { return fmt.Sprintf("%s:%d", d.Hosts[i], port) }
 
-// membership is an agent's file of membership on a port. The seeds are the group's first two
-// agents and its first of the other region: one of each region is the least.
+// membership returns the configuration of an agent's membership on a port. The seeds are the group's first
+// two agents and its first one in the other region, since at least one seed in each region is needed.
 func (d *HelperConfig) membership(i, port int) *members.Config {
 	c := &members.Config{Bind: d.addr(i, port), Far: d.Delay[1] > 0, Links: d.links(i)}
 	group := peers(d.Places, d.Places[i].Group)
@@ -70,7 +71,7 @@
 	return c
 }
 
-// links are the proxies to the other region. One map serves all agents of a region in a process.
+// links returns the proxies to the other region. All agents of a region in a process share one map.
 func (d *HelperConfig) links(i int) map[string]string {
 	if len(d.Via) == 0 {
 		return nil
@@ -99,19 +100,20 @@
 	return m
 }
 
+// linksCache holds the maps of links by region, for one HelperConfig.
 var linksCache struct {
 	sync.Mutex
 	deal *HelperConfig
 	of   map[string]map[string]string
 }
 
-// milestone is the latest of something that only rises, and when it came.
+// milestone is the latest of a series of rising values, and when it was reached.
 type milestone struct {
 	value int64
 	at    time.Time
 }
 
-// hollowAgent is one agent without callers.
+// hollowAgent is an agent without callers, with the parts of control that the plan names.
 type hollowAgent struct {
 	Identity
 	index        int
@@ -130,18 +132,19 @@
 
 	mu         sync.Mutex
 	milestones map[string]milestone
-	senders    atomic.Int64 // that the steward's latest view counts
+	senders    atomic.Int64 // number of senders in the steward's latest view
 	views      atomic.Int64
 	follows    atomic.Bool
-	feedTurns  int // of the calls made up
+	feedTurns  int // calls of feedCall so far
 	openServer string
 }
 
+// newHollowAgent returns agent i, not started.
 func newHollowAgent(d *HelperConfig, i int, log *slog.Logger) *hollowAgent {
 	return &hollowAgent{Identity: d.Places[i], index: i, helperConfig: d, log: log, milestones: map[string]milestone{}}
 }
 
-// advance counts something that came.
+// advance records that a milestone has reached n; 0 stands for one more than before.
 func (h *hollowAgent) advance(what string, n int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -154,20 +157,21 @@
 	}
 }
 
+// reached returns the latest value of a milestone.
 func (h *hollowAgent) reached(what string) milestone {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.milestones[what]
 }
 
-// The daemon's watch of the list (internal/daemon).
+// The daemon's times for the watch of the list (internal/daemon).
 const (
 	listPatience = time.Second
 	listGrace    = 750 * time.Millisecond
 	listRetry    = 100 * time.Millisecond
 )
 
-// start starts the parts of the plan. What was started before an error is ended by stop.
+// start starts the agent's parts. After an error, stop stops those that were started.
 func (h *hollowAgent) start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
@@ -222,9 +226,9 @@
 	return nil
 }
 
-// spreadConfigs is the agent's file on spreading load, and what its module is told of it. By control
-// machines the senders of a service are as many as its agents; among agents this is left untold, as
-// in the runs before there were machines.
+// spreadConfigs returns the configuration of the agent's spreader and of its spread module. With stewards on
+// the control machines, the module gets the number of agents of the service as that of the senders. With
+// stewards at agents it gets none, so that figures stay comparable with earlier runs.
 func (h *hollowAgent) spreadConfigs() (spreader.Config, spread.Config) {
 	config := h.helperConfig
 	if !config.atMachines() {
@@ -238,7 +242,7 @@
 	return file, as
 }
 
-// stop ends the agent well; a death is its process's SIGKILL.
+// stop stops the agent in an orderly way. To simulate a crash, its process is ended with SIGKILL instead.
 func (h *hollowAgent) stop() {
 	h.cancel()
 	h.work.Wait()
@@ -250,12 +254,12 @@
 	}
 }
 
-// processStart tells this process's life from others.
+// processStart distinguishes the agents of this process from earlier ones of the same names.
 var processStart = time.Now()
 
 func (h *hollowAgent) life() time.Time { return processStart }
 
-// startCore starts the agent's own core and module, with setup servers of which nothing is heard.
+// startCore starts the agent's core and module. The setup servers are known but send no reports.
 func (h *hollowAgent) startCore(spreading spread.Config) error {
 	info, err := settings.Parse([]byte(lab.AgentSettings))
 	if err != nil {
@@ -276,7 +280,7 @@
 	return nil
 }
 
-// noBackend is a backend: no set-up is ever handed to it.
+// noBackend is a backend that does nothing, since there are no calls.
 type noBackend struct{}
 
 func (noBackend) Servers([]agent.Server, bool)              {}
@@ -285,13 +289,13 @@
 func (noBackend) ReleaseUnknown(string)                     {}
 func (noBackend) Probe(string)                              {}
 
-// Servers notes an event of the list and hands it to the core.
+// Servers counts an event of the list and passes it to the core.
 func (h *hollowAgent) Servers(list []agent.Server, whole bool) {
 	h.advance("event", 0)
 	h.core.Servers(list, whole)
 }
 
-// fedCore is the core as spreading load sees it, fed with a call made up for every other summary.
+// fedCore is the core for the spreader, with a simulated call for every second summary.
 type fedCore struct{ *hollowAgent }
 
 func (s fedCore) WithSpread(do func(now policy.Time, st *spread.State)) {
@@ -308,7 +312,7 @@
 	s.core.ApplyView(v)
 }
 
-// feedCall has the module think that it sent a call to one of the servers, in turn, which answered.
+// feedCall records a simulated call at every second turn: sent to the servers in rotation, and answered.
 func (h *hollowAgent) feedCall(now policy.Time, st *spread.State) {
 	h.feedTurns++
 	if h.feedTurns%2 == 0 {
@@ -323,7 +327,7 @@
 	st.RecordSent(now, h.openServer, false)
 }
 
-// startZones has the agent follow zones; a decider has its part in the control group too.
+// startZones starts the agent's placer and, for a decider, its member of the control group.
 func (h *hollowAgent) startZones(ctx context.Context) error {
 	config := h.helperConfig
 	control := peers(config.Places, h.Group)
@@ -363,10 +367,10 @@
 	return nil
 }
 
-// controlGroup is the control group as an agent reaches it (internal/daemon has the same over its keeper).
+// controlGroup is an agent's access to the control group, as internal/daemon implements it.
 type controlGroup struct {
 	client   *replica.Client
-	node     *replica.Node // nil: this agent is not of it
+	node     *replica.Node // nil: this agent is not a member
 	listener net.Listener
 }
 
--- a/internal/lab/scalelab/list.go
+++ b/internal/lab/scalelab/list.go
@@ -12,12 +12,12 @@
 	"woodrouter/internal/faultnet"
 )
 
-// ServerList is a stand-in for the bulletin: it tells agents of setup servers by long poll, counts what
-// each agent's connections carry, and may stand some milliseconds away. It is the platform's, so
-// what it costs is nobody's here.
+// ServerList stands in for the bulletin. It sends agents the list of setup servers by long poll, counts the
+// bytes of each agent's connections, and may have some milliseconds of latency. The bulletin belongs to the
+// platform, so its own cost is not measured.
 type ServerList struct {
 	Addr string
-	// ManualExpiry has no patience end by the clock: Expire ends it.
+	// ManualExpiry lets watches expire by ExpireWatches only, not by the clock.
 	ManualExpiry bool
 
 	srv  *http.Server
@@ -25,20 +25,20 @@
 
 	mu      sync.Mutex
 	items   []any
-	changed chan struct{} // closed at each change
-	expired chan struct{} // closed where all patience ends
+	changed chan struct{} // closed and replaced at each change
+	expired chan struct{} // closed and replaced when all open watches expire
 	watches map[string]*WatchStats
 }
 
-// WatchStats is what one agent's watch came to, by its source address.
+// WatchStats counts the watches of one agent, which is identified by its source address.
 type WatchStats struct {
 	Asked, Answered    int
-	InFlight, MostOpen int   // watches open now, and at most at once
-	In, Out            int64 // bytes the list got and sent, heads and all, without TCP's and IP's own
+	InFlight, MostOpen int   // watches open now, and the most open at the same time
+	In, Out            int64 // bytes that the list received and sent, without TCP and IP headers
 }
 
-// NewServerList listens on a host. gate tells the delay between an agent and the list, by its host; nil:
-// there is none.
+// NewServerList listens on a host. gate returns the link between the list and an agent's host, which may
+// delay; nil: there is none.
 func NewServerList(host string, gate func(host string) *faultnet.WrappedLink) (*ServerList, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -53,13 +53,13 @@
 	return l, nil
 }
 
-// Close ends all watches.
+// Close closes the server and ends all watches.
 func (l *ServerList) Close() {
 	l.srv.Close()
 	<-l.done
 }
 
-// AddEvent adds an event: the whole list, or what has changed in it.
+// AddEvent adds an event with the whole list or with the changed setup servers only.
 func (l *ServerList) AddEvent(whole bool, endpoints []map[string]any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 	l.changed = make(chan struct{})
 }
 
-// ExpireWatches ends the patience of all open watches.
+// ExpireWatches lets all open watches expire.
 func (l *ServerList) ExpireWatches() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +77,7 @@
 	l.expired = make(chan struct{})
 }
 
-// Watches are a copy of the tally.
+// Watches returns a copy of the counters by host.
 func (l *ServerList) Watches() map[string]WatchStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,6 +88,7 @@
 	return out
 }
 
+// watchOf returns the counters of a host. The caller holds l.mu.
 func (l *ServerList) watchOf(host string) *WatchStats {
 	w := l.watches[host]
 	if w == nil {
@@ -97,6 +98,7 @@
 	return w
 }
 
+// updateWatch calls what with the counters of the host of addr, with l.mu held.
 func (l *ServerList) updateWatch(addr string, what func(w *WatchStats)) {
 	host, _, _ := net.SplitHostPort(addr)
 	l.mu.Lock()
@@ -110,7 +112,8 @@
 	patience, _ := strconv.Atoi(r.URL.Query().Get("patience"))
 	var news, expired <-chan struct{}
 	var n int
-	l.updateWatch(r.RemoteAddr, func(w *WatchStats) { // at one moment: who sees it in flight may end it
+	// All under one lock: whoever sees the watch in flight may end it.
+	l.updateWatch(r.RemoteAddr, func(w *WatchStats) {
 		w.Asked++
 		w.InFlight++
 		w.MostOpen = max(w.MostOpen, w.InFlight)
@@ -136,14 +139,15 @@
 	items := l.items[min(after, len(l.items)):]
 	n = len(l.items)
 	l.mu.Unlock()
-	l.updateWatch(r.RemoteAddr, func(w *WatchStats) { // before the answer leaves: the next watch may come at once
+	// Counted before the answer is sent, since the next watch may come at once.
+	l.updateWatch(r.RemoteAddr, func(w *WatchStats) {
 		w.InFlight--
 		w.Answered++
 	})
 	json.NewEncoder(out).Encode(map[string]any{"no": n, "items": append([]any{}, items...)})
 }
 
-// countingListener counts what its connections carry, and leads them through their gates.
+// countingListener counts the bytes of its connections and passes them through the links of their hosts.
 type countingListener struct {
 	net.Listener
 	list      *ServerList
@@ -165,6 +169,7 @@
 	return &countingConn{conn, from, c.list}, nil
 }
 
+// countingConn counts the bytes of a connection from one agent.
 type countingConn struct {
 	net.Conn
 	from string
@@ -182,7 +187,7 @@
 	return c.Conn.Write(b)
 }
 
-// endpoints are setup servers in the zones in turn. addr gives an address by zone.
+// endpoints returns n setup servers, placed in the zones in rotation. addr returns an address for a zone.
 func endpoints(n int, addr func(zone string) string) (out []map[string]any) {
 	for i := range n {
 		out = append(out, endpoint(i, addr))
@@ -190,6 +195,7 @@
 	return out
 }
 
+// endpoint returns setup server i, in the form of the list.
 func endpoint(i int, addr func(zone string) string) map[string]any {
 	zone := zoneNames[i%len(zoneNames)]
 	return map[string]any{"name": fmt.Sprintf("server-%02d", i), "address": addr(zone), "zone": zone, "type": "std", "group": 0,
--- a/internal/lab/scalelab/plan.go
+++ b/internal/lab/scalelab/plan.go
@@ -1,7 +1,7 @@
-// Package scalelab measures what control costs a fleet at size (docs/CAPACITY.md): hollow agents,
-// the real client code of each part of control without callers, many to a process, against the
-// real control processes. What is counted where stands beside each figure (sample.go). It runs
-// behind `woodlab scale` and in tests; the daemon does not use it. Loopback only.
+// Package scalelab measures what control costs a large fleet (docs/CAPACITY.md). It runs hollow agents, which
+// are the real client code of each part of control without callers, many to a process, against the real
+// control processes. Legend says how each figure is measured. The package is used by `woodlab scale` and in
+// tests, not by the daemon, and uses loopback addresses only.
 package scalelab
 
 import (
@@ -15,56 +15,56 @@
 
 // The parts of control.
 const (
-	Discovery = "discovery" // the watch of the list of setup servers (internal/servers/bulletin)
-	Members   = "members"   // a bare membership (internal/fleet/members)
-	Spread    = "spread"    // load spread in common, on a membership of its own (internal/fleet/spreader)
-	Zones     = "zones"     // zone failover, on a membership of its own (internal/fleet/placer)
-	Config    = "config"    // the rollout of configuration (internal/fleet/watcher)
+	Discovery = "discovery" // watch of the list of setup servers (internal/servers/bulletin)
+	Members   = "members"   // membership alone (internal/fleet/members)
+	Spread    = "spread"    // common spreading of load, with its own membership (internal/fleet/spreader)
+	Zones     = "zones"     // zone failover, with its own membership (internal/fleet/placer)
+	Config    = "config"    // rollout of configuration (internal/fleet/watcher)
 )
 
-// Parts are all of them. Spread and zones each have their own membership, as in the daemon: beside
-// them a bare one is no part of an agent, and measured alone only.
+// Parts are all parts of control. Spread and zones each have their own membership, as in the daemon. The
+// daemon has no further membership, so Members is measured only on its own.
 var Parts = []string{Discovery, Members, Spread, Zones, Config}
 
-// The agents among which membership, spread and zones talk.
+// The groups of agents that share memberships, spread and zones.
 const (
-	ByFleet   = "fleet"   // all of them
-	ByService = "service" // those of one service
+	ByFleet   = "fleet"   // all agents
+	ByService = "service" // the agents of one service
 )
 
-// Where the stewards of spread are.
+// The places of the stewards of spread.
 const (
-	AtAgents   = "agents"   // one of the senders, by gossip (mode common of the spreader's file)
-	AtMachines = "machines" // on the control machines, by service (mode control)
+	AtAgents   = "agents"   // one of the senders, by gossip (mode common in the spreader's file)
+	AtMachines = "machines" // the control machines, by service (mode control)
 )
 
-// Bounds of a run on this machine.
+// Bounds of a run on one computer.
 const (
 	MaxProcesses = 300
-	MaxMemory    = 11 << 30 // bytes, of all processes of a run
+	MaxMemory    = 11 << 30 // bytes, for all processes of a run
 )
 
-// Plan is one run: what agents there are, and what of control they do.
+// Plan describes one run: the agents, and the parts of control that they run.
 type Plan struct {
 	Agents, Services int
 	Parts            []string
 	By               string
 	Skew             bool             // one service has a third of all agents
-	Stewards         string           // where the stewards of spread are
-	Delay            [2]time.Duration // least and most delay between regions, each way; zero: none
-	Servers          int              // setup servers that are listed
+	Stewards         string           // AtAgents or AtMachines; empty: AtAgents
+	Delay            [2]time.Duration // least and greatest latency between regions, each way; zero: none
+	Servers          int              // number of setup servers in the list
 	PerProcess       int
 	Span, Warm       time.Duration
-	Pace             time.Duration // between the starts of two agents of a helper process: a fleet starts by and by
-	JoinMost         time.Duration // bounds the wait until all know all
-	DeathMost        time.Duration // bounds the wait until all know of a death; 0: none is waited for
+	Pace             time.Duration // between two agents' starts in a process; a fleet starts gradually
+	JoinMost         time.Duration // bounds the wait until all agents know each other
+	DeathMost        time.Duration // bounds the wait until all agents know of a crashed agent; 0: no wait
 	Seed             uint64
 }
 
-// ErrPlan is a plan that can't be played, or not on this machine.
+// ErrPlan is the error of a plan that is invalid or exceeds the bounds.
 var ErrPlan = errors.New("scale: plan")
 
-// Check refuses what can't be played.
+// Check returns an ErrPlan if the plan is invalid or exceeds the bounds.
 func (p Plan) Check() error {
 	for _, part := range p.Parts {
 		if !slices.Contains(Parts, part) {
@@ -75,9 +75,9 @@
 	case len(p.Parts) == 0:
 		return fmt.Errorf("%w: no part", ErrPlan)
 	case p.Agents < 4 || p.Agents > 5000:
-		return fmt.Errorf("%w: %d agents; 4 to 5000", ErrPlan, p.Agents)
+		return fmt.Errorf("%w: %d agents; must be 4 to 5000", ErrPlan, p.Agents)
 	case p.Services < 1 || p.Services*3 > p.Agents && p.By == ByService:
-		return fmt.Errorf("%w: %d services of %d agents; three agents each are the least by service", ErrPlan, p.Services, p.Agents)
+		return fmt.Errorf("%w: %d services of %d agents; by service each needs at least three agents", ErrPlan, p.Services, p.Agents)
 	case p.By != ByFleet && p.By != ByService:
 		return fmt.Errorf("%w: by %q is neither %s nor %s", ErrPlan, p.By, ByFleet, ByService)
 	case p.Stewards != AtAgents && p.Stewards != AtMachines && p.Stewards != "":
@@ -96,34 +96,37 @@
 	return nil
 }
 
-// What an agent and an empty process may take, for the refusal of plans that don't fit: twice the
-// most that was seen of an agent (spread and zones at 400 of one membership). A run ends where its
-// processes pass MostMemory all the same.
+// Upper estimates of memory in bytes, with which Check refuses plans that don't fit. That of an agent is
+// twice what one takes with spread and zones in a membership of 400. A run that exceeds MaxMemory
+// nevertheless is ended.
 const (
 	maxAgentMemory   = 10 << 20
 	maxProcessMemory = 40 << 20
 )
 
-// controlMachineCount are what keeps the configuration.
+// controlMachineCount is the number of control machines.
 const controlMachineCount = 4
 
+// has tells whether the plan has a part.
 func (p Plan) has(part string) bool { return slices.Contains(p.Parts, part) }
 
 // atMachines tells whether the stewards of spread are on the control machines.
 func (p Plan) atMachines() bool { return p.Stewards == AtMachines }
 
-// gossips tells whether agents talk among themselves, or of themselves to those of their service.
+// gossips tells whether agents exchange messages with other agents, or report to the steward of their
+// service.
 func (p Plan) gossips() bool { return p.has(Members) || p.has(Spread) || p.has(Zones) }
 
-// Identity is who a hollow agent is.
+// Identity is the name, place and group of a hollow agent.
 type Identity struct {
 	Name, Service, Zone, Region string
-	Group                       int // whom it talks with
+	Group                       int // the agents that share memberships, spread and zones with it
 }
 
-// zones of two regions.
+// zoneNames are the zones of the two regions.
 var zoneNames = []string{"z1", "z2", "z3", "z4", "z5"}
 
+// regionOf returns the region of a zone: r1 for z1 to z3, r2 for z4 and z5.
 func regionOf(zone string) string {
 	if zone < "z4" {
 		return "r1"
@@ -131,8 +134,8 @@
 	return "r2"
 }
 
-// identities are the agents and, last, a spare that joins later. The agents of a service lie in the
-// zones in turn.
+// identities returns the agents and, last, a spare that joins later. The agents of a service are placed in
+// the zones in rotation.
 func (p Plan) identities() (out []Identity) {
 	of := map[int]int{}
 	for i := range p.Agents + 1 {
@@ -156,7 +159,7 @@
 	return out
 }
 
-// peers are the agents of a group, without the spare.
+// peers returns the agents of a group, without the spare.
 func peers(agents []Identity, group int) (out []int) {
 	for i, a := range agents[:len(agents)-1] {
 		if a.Group == group {
@@ -166,27 +169,27 @@
 	return out
 }
 
-// deciders is how many agents of a group may decide where calls go: its control group.
+// deciders is the number of agents in a group's control group, which decides where calls go.
 const deciders = 3
 
-// Roles of the agents that are measured in a process of their own.
+// Roles of helper processes that are measured alone.
 const (
-	roleSteward  = "steward"  // told by all of its group (spread)
-	roleDecider  = "decider"  // of its group's control group (zones)
-	roleOrdinary = "ordinary" // none of these, for what sharing a process saves
-	roleEmpty    = "empty"    // a process without agents
+	roleSteward  = "steward"  // agent to which its whole group reports (spread)
+	roleDecider  = "decider"  // agent in its group's control group (zones)
+	roleOrdinary = "ordinary" // agent without a role, to show what sharing a process saves
+	roleEmpty    = "empty"    // process without agents
 )
 
-// process is one helper process and the agents in it.
+// process is the assignment of agents to a helper process.
 type process struct {
-	Role   string // "": many agents
+	Role   string // "": shared by many agents
 	Agents []int
 }
 
-// processes shares the agents out. Those of the first group on whom others lean have one of
-// their own, so that what they cost is known; so has one that is like all others. The rest are dealt
-// out in turn: the first of each group, its seeds and deciders, cost several times what others do,
-// and a process has one core.
+// processes assigns the agents to helper processes. The steward and the deciders of the first group have
+// their own processes, so that their cost can be measured; so has one ordinary agent. The others are assigned
+// in rotation, because the first agents of each group, its seeds and deciders, cost several times as much as
+// others and a process has only one core.
 func (p Plan) processes(agents []Identity) []process {
 	alone := map[int]string{}
 	first := peers(agents, 0)
@@ -224,6 +227,7 @@
 		at.Agents = append(at.Agents, a)
 	}
 	out = append(out, shared...)
-	out[len(out)-1].Agents = append(slices.Clone(out[len(out)-1].Agents), p.Agents) // the spare waits there
+	// The last process has the spare, which is started later.
+	out[len(out)-1].Agents = append(slices.Clone(out[len(out)-1].Agents), p.Agents)
 	return out
 }
--- a/internal/lab/scalelab/report.go
+++ b/internal/lab/scalelab/report.go
@@ -14,9 +14,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Distribution is a figure over agents or processes.
+// Distribution summarizes a figure over agents or processes.
 type Distribution struct{ Mean, P50, P99, Max float64 }
 
+// distribution returns the distribution of the values in x, which it sorts.
 func distribution(x []float64) (d Distribution) {
 	if len(x) == 0 {
 		return d
@@ -25,13 +26,13 @@
 	return Distribution{stat.Mean(x, nil), stat.Quantile(0.5, stat.Empirical, x, nil), stat.Quantile(0.99, stat.Empirical, x, nil), x[len(x)-1]}
 }
 
-// Convergence is how long it took until all agents knew of something.
+// Convergence is how long it took until all agents knew of an event.
 type Convergence struct {
 	What    string
-	Of      int // agents that were to know
-	Reached int // that did within MostS
+	Of      int // agents that should know
+	Reached int // agents that knew within MostS
 	Share   float64
-	Lack    []string `json:",omitempty"` // some of the others, with what they came to
+	Lack    []string `json:",omitempty"` // some of the other agents, with the values they reached
 	Seconds Distribution
 	MostS   float64
 	Err     string `json:",omitempty"`
@@ -48,42 +49,43 @@
 	return text
 }
 
-// Cost is what an agent, or a process alone, takes.
+// Cost is the resources that an agent, or a process measured alone, uses.
 type Cost struct {
 	Role      string  // of the process; "": the agents that share processes
-	Sent      float64 // bytes a second, of all that its process sends
-	Received  float64
+	Sent      float64 // bytes per second that the process sends in all
+	Received  float64 // bytes per second that the process receives in all
 	Core      float64 // share of a core
 	Memory    float64 // bytes
-	Datagrams float64 // sent a second
+	Datagrams float64 // datagrams sent per second
 }
 
-// Result is what one plan's run showed.
+// Result is the result of a plan's run.
 type Result struct {
 	Plan
 	Began     time.Time
 	Processes int
 	Started   float64 // seconds until all agents were started
-	SpanS     float64
-	// Agents are those that share processes: by process, divided by its agents, the empty process
-	// taken off; Sent and Received are all bytes in datagrams and streams without the headers of
-	// UDP, TCP and IP.
+	SpanS     float64 // length of the measured span in seconds
+	// Figures of an agent among those that share processes: the figure of each process, less that of the
+	// empty process, divided by the number of its agents. Sent and Received are all bytes per second in
+	// datagrams and streams, without the headers of UDP, TCP and IP.
 	Sent, Received, Core, Memory Distribution
-	// Parts are figures by agent where the code counts: discovery at the list (both ways), members,
-	// spread and zones their datagrams sent, config both ways.
+	// Figures by part and agent, where the code counts them: for discovery the bytes in both directions,
+	// counted at the list; for members, spread and zones the datagrams sent; for config the bytes in both
+	// directions.
 	PartSent, PartReceived, PartDatagrams map[string]Distribution
-	Alone                                 []Cost // the processes of one agent, by role
-	Empty                                 Cost   // the process without agents
+	Alone                                 []Cost // processes of one agent, with their roles
+	Empty                                 Cost   // process without agents
 	Machines                              []Cost
-	Watches                               float64 // of the list, asked an agent a second
-	Views                                 float64 // heard an agent a second
+	Watches                               float64 // watches of the list per agent and second
+	Views                                 float64 // views of the steward received per agent and second
 	Alive                                 Distribution
 	Knew                                  []Convergence
 	Notes                                 []string
 	Err                                   string `json:",omitempty"`
 }
 
-// recordSpan takes the figures between two looks.
+// recordSpan fills in the figures of a span from the counters at its start and end.
 func (s *Result) recordSpan(r *Run, before, after map[*helperProcess]Response, listBefore, listAfter map[string]WatchStats) {
 	type rates struct{ sent, received, core, memory float64 }
 	of := func(h *helperProcess) (x rates) {
@@ -144,7 +146,7 @@
 			s.Alone = append(s.Alone, Cost{h.Role, x.sent, x.received, x.core, x.memory, datagrams})
 			continue
 		}
-		for range n { // each agent counts once in the mean
+		for range n { // so that the mean is over agents
 			sent, received = append(sent, x.sent/float64(n)), append(received, x.received/float64(n))
 			core, memory = append(core, x.core/float64(n)), append(memory, x.memory/float64(n))
 		}
@@ -161,17 +163,17 @@
 	s.PartSent, s.PartReceived, s.PartDatagrams = to("sent"), to("received"), to("datagrams")
 }
 
-// processUsage is what a control machine's process has taken so far.
+// processUsage is the resources that a process has used so far.
 type processUsage struct {
 	CPU     time.Duration
 	Memory  int64
-	In, Out int64 // bytes of its read and write calls: streams, and its files where the log grows
+	In, Out int64 // bytes of read and write calls, for streams and files (the log among them)
 }
 
-// ticks are of 10 ms in /proc/PID/stat, on Linux for its programs.
+// clockTick is the unit of times in /proc on Linux (USER_HZ).
 const clockTick = 10 * time.Millisecond
 
-// readProcessUsage reads /proc of a process of this run.
+// readProcessUsage reads the usage of a process from /proc.
 func readProcessUsage(pid int) (m processUsage) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	if stat, err := os.ReadFile(dir + "stat"); err == nil {
@@ -187,23 +189,25 @@
 	return m
 }
 
+// since returns the cost of a process in the span, in seconds, since was.
 func (m processUsage) since(was processUsage, span float64, name string) Cost {
 	return Cost{Role: name, Sent: float64(m.Out-was.Out) / span, Received: float64(m.In-was.In) / span,
 		Core: (m.CPU - was.CPU).Seconds() / span, Memory: float64(m.Memory)}
 }
 
-// cpuUse is what the machine's cores and the measurement's own process have worked so far.
+// cpuUse is the CPU time that all cores of the computer and the measurement's own process have used so far.
 type cpuUse struct {
 	at       time.Time
 	all, own time.Duration
 }
 
+// readCPUUse reads the CPU time used until now from /proc.
 func readCPUUse() cpuUse {
 	b := cpuUse{at: time.Now(), own: readProcessUsage(os.Getpid()).CPU}
 	stat, _ := os.ReadFile("/proc/stat")
 	first, _, _ := strings.Cut(string(stat), "\n")
 	for i, f := range strings.Fields(first) {
-		if i > 0 && i < 8 && i != 4 && i != 5 { // all but idle and waiting for a disk
+		if i > 0 && i < 8 && i != 4 && i != 5 { // all columns but idle and iowait
 			n, _ := strconv.ParseInt(f, 10, 64)
 			b.all += time.Duration(n) * clockTick
 		}
@@ -211,7 +215,8 @@
 	return b
 }
 
-// describeSince words what was worked since then: where nearly all cores are, times are the machine's.
+// describeSince describes the CPU use since b. If nearly all cores are in use, the times measured depend on
+// the computer.
 func (b cpuUse) describeSince() string {
 	now := readCPUUse()
 	took := now.at.Sub(b.at).Seconds()
@@ -219,14 +224,14 @@
 		took, (now.all-b.all).Seconds()/took, runtime.NumCPU(), (now.own-b.own).Seconds()/took)
 }
 
-// The budgets of control for an agent.
+// The budgets of control for an agent: share of a core, bytes of memory, bytes per second both ways.
 const (
 	BudgetCore   = 0.01
 	BudgetMemory = 64 << 20
 	BudgetBytes  = 20_000
 )
 
-// Legend says what the figures are of.
+// Legend explains the figures.
 const Legend = `# Three figures are mean / p99 / largest. Bytes are those in datagrams and streams, without the headers of UDP, TCP and IP.
 # "An agent among many": of each helper process all that it sent and received (memberlist's counters of datagrams, the
 # process's read and write calls for streams), its time by getrusage and its RSS at the span's end, the empty process's
@@ -235,7 +240,7 @@
 # "Alone": a process of one agent, or a control machine's (/proc: files where its log grows are in its bytes).
 # An agent with zones and no callers looks at two setup servers of its zone a second; that is in its figures.`
 
-// Print words a size.
+// Print writes the result as text.
 func (s Result) Print(out io.Writer) {
 	skew := ""
 	if s.Skew {
@@ -282,17 +287,17 @@
 	}
 }
 
-// formatDistribution is mean / p99 / max.
+// formatDistribution returns "mean / p99 / max", each multiplied by by.
 func formatDistribution(d Distribution, by float64) string {
 	return fmt.Sprintf("%.4g / %.4g / %.4g", by*d.Mean, by*d.P99, by*d.Max)
 }
 
-// Fit is a line through a figure over the sizes.
+// Fit is a line fitted to a figure over the numbers of agents.
 type Fit struct {
 	What             string
 	Sizes, Values    []float64
 	Base, Slope      float64 // value = Base + Slope * agents
-	R2, Residual     float64 // the largest deviation of a measured value from the line
+	R2, Residual     float64 // Residual: the largest deviation of a measured value from the line
 	Target, AtTarget float64
 	Measured         bool // the target is one of the sizes, and AtTarget was measured
 	Budget           float64
@@ -329,7 +334,7 @@
 	return text
 }
 
-// Fits fits the figures of an agent, of those alone and of the control machines over the sizes.
+// Fits fits a line to each figure of an agent, of the processes measured alone and of the control machines.
 func Fits(sizes []Result, target int) (out []Fit) {
 	values := map[string]map[float64]float64{}
 	budgets := map[string]float64{}
@@ -349,7 +354,7 @@
 		put("an agent sends and receives, B/s", BudgetBytes, s.Agents, s.Sent.Mean+s.Received.Mean)
 		put("an agent's share of a core", BudgetCore, s.Agents, s.Core.Mean)
 		put("an agent's memory, bytes", BudgetMemory, s.Agents, s.Memory.Mean)
-		for _, c := range s.Alone { // of several in a role the dearest
+		for _, c := range s.Alone { // of several processes with a role, the most expensive counts
 			put("alone, "+c.Role+": B/s both ways", BudgetBytes, s.Agents, c.Sent+c.Received)
 			put("alone, "+c.Role+": share of a core", BudgetCore, s.Agents, c.Core)
 			put("alone, "+c.Role+": memory, bytes", BudgetMemory, s.Agents, c.Memory)
--- a/internal/lab/scalelab/run.go
+++ b/internal/lab/scalelab/run.go
@@ -21,18 +21,18 @@
 	"woodrouter/isup"
 )
 
-// Run plays a plan. Self is the program that is started as helper processes (`woodlab scale
-// hollow`), Bin the program under test, whose processes keep the configuration.
+// Run executes a plan. Self is the program that is started as helper processes (`woodlab scale hollow`); Bin
+// is the program under test, which is started as control machines.
 type Run struct {
 	Plan
 	Self, Bin, Dir string
-	Log            io.Writer // what goes on; nil: nowhere
+	Log            io.Writer // progress messages; nil: none
 
 	identities   []Identity
 	octet        *faultnet.Octet
 	serverList   *ServerList
 	listed       []map[string]any
-	servers      map[string][]net.Listener // stand-ins for setup servers by zone
+	servers      map[string][]net.Listener // stand-ins for setup servers, by zone
 	links        []*faultnet.Link
 	helperConfig HelperConfig
 	helpers      []*helperProcess
@@ -41,20 +41,20 @@
 	cpuAtStart   cpuUse // at the first agent's start
 }
 
-// helperProcess is a helper process.
+// helperProcess is a helper process with its pipes.
 type helperProcess struct {
 	process
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *json.Decoder
-	mu  sync.Mutex // of one order
+	mu  sync.Mutex // held from a request to its response
 }
 
-// eventTimeout bounds the wait until all know of something.
+// eventTimeout bounds the wait until all agents know of an event.
 const eventTimeout = 60 * time.Second
 
-// Execute plays the plan and measures it. An error that comes with figures is a bounded end: they
-// are what was seen until then.
+// Execute executes the plan and measures it. An error that comes with figures means that a bound ended the
+// run; the figures are those measured until then.
 func (r *Run) Execute(ctx context.Context) (Result, error) {
 	s := Result{Plan: r.Plan, Began: time.Now()}
 	if err := r.Check(); err != nil {
@@ -74,13 +74,14 @@
 	return s, err
 }
 
+// logf writes a progress message with the time of day.
 func (r *Run) logf(format string, args ...any) {
 	if r.Log != nil {
 		fmt.Fprintf(r.Log, time.Now().Format("15:04:05 ")+format+"\n", args...)
 	}
 }
 
-// setUp starts everything but the agents.
+// setUp starts everything except the agents.
 func (r *Run) setUp(ctx context.Context) (err error) {
 	r.identities, r.dead = r.Plan.identities(), map[int]bool{}
 	if r.octet, err = faultnet.ReserveOctet(); err != nil {
@@ -93,7 +94,7 @@
 	for i, a := range r.identities {
 		host := r.octet.Host(i + 10)
 		r.helperConfig.Hosts = append(r.helperConfig.Hosts, host)
-		if r.Delay[1] > 0 && a.Region != regionOf(zoneNames[0]) { // the list and the control machines stand in the first region
+		if r.Delay[1] > 0 && a.Region != regionOf(zoneNames[0]) { // the list is in the first region
 			gates[host] = faultnet.NewWrappedLink()
 			gates[host].Delay(delay())
 		}
@@ -128,7 +129,8 @@
 	return nil
 }
 
-// startServers listens for the looks of the agents' zones: a setup server speaks first.
+// startServers starts stand-ins for setup servers, which agents with the part zones probe. On a connection
+// the setup server sends the first message.
 func (r *Run) startServers() error {
 	r.servers = map[string][]net.Listener{}
 	hello, err := isup.Message{Type: isup.GroupState}.WithText(isup.Report, "x0:900;x1:1000").Append(nil)
@@ -161,7 +163,7 @@
 	return failed
 }
 
-// startLinks puts a proxy before each address that agents of the other region call.
+// startLinks starts a proxy for each address that agents of the other region connect to.
 func (r *Run) startLinks(delay func() time.Duration) error {
 	far := func(to string, link func(string, uint64) (*faultnet.Link, error)) error {
 		l, err := link(to, r.Seed)
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// groupSizes are how many agents talk together, by group.
+// groupSizes returns the number of agents in each group.
 func (r *Run) groupSizes() map[int]int64 {
 	out := map[int]int64{}
 	for _, a := range r.identities[:r.Agents] {
@@ -205,6 +207,7 @@
 	return out
 }
 
+// startHelper starts a helper process and sends it its configuration.
 func (r *Run) startHelper(p process) error {
 	cmd := exec.Command(r.Self, "--bin", r.Self, "scale", "hollow")
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
@@ -227,7 +230,7 @@
 	return json.NewEncoder(in).Encode(config)
 }
 
-// request gives an order to a process and takes its answer.
+// request sends a request to the process and returns its response.
 func (h *helperProcess) request(o Request) (a Response, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -235,7 +238,7 @@
 		return a, err
 	}
 	if err := h.out.Decode(&a); err != nil {
-		return a, fmt.Errorf("a helper process has ended: %w", err)
+		return a, fmt.Errorf("helper process ended: %w", err)
 	}
 	if a.Error != "" {
 		return a, errors.New(a.Error)
@@ -243,7 +246,7 @@
 	return a, nil
 }
 
-// requestAll gives an order to all processes that run.
+// requestAll sends a request to all processes that run, at the same time, and returns their responses.
 func (r *Run) requestAll(ctx context.Context, o Request) (map[*helperProcess]Response, error) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -272,7 +275,7 @@
 	}
 }
 
-// watchMemory ends a run whose processes take more than it may.
+// watchMemory ends a run whose processes together use more memory than MaxMemory.
 func (r *Run) watchMemory(ctx context.Context, cancel context.CancelCauseFunc, procs []*helperProcess) {
 	for {
 		select {
@@ -285,12 +288,13 @@
 			sum += procFields(fmt.Sprintf("/proc/%d/status", h.cmd.Process.Pid))["VmRSS"] << 10
 		}
 		if sum > MaxMemory {
-			cancel(fmt.Errorf("the processes took %d MB, more than the %d a run may", sum>>20, MaxMemory>>20))
+			cancel(fmt.Errorf("the processes used %d MB of memory, more than the %d MB allowed for a run", sum>>20, MaxMemory>>20))
 			return
 		}
 	}
 }
 
+// close ends all processes, links and listeners of the run.
 func (r *Run) close() {
 	for _, h := range r.helpers {
 		if h.in != nil {
@@ -300,7 +304,7 @@
 	var all sync.WaitGroup
 	for _, h := range r.helpers {
 		all.Go(func() {
-			late := time.AfterFunc(10*time.Second, func() { h.cmd.Process.Kill() }) // by its own id
+			late := time.AfterFunc(10*time.Second, func() { h.cmd.Process.Kill() }) // this process only
 			h.cmd.Wait()
 			late.Stop()
 		})
@@ -325,14 +329,14 @@
 	}
 }
 
-// measure starts the agents, waits until they know one another, and takes all figures.
+// measure starts the agents, waits until they know each other, and takes all figures.
 func (r *Run) measure(ctx context.Context, s *Result) error {
 	s.Processes = len(r.helpers)
 	groups := r.groupSizes()
 	r.logf("%d agents in %d processes, parts %s, by %s", r.Agents, len(r.helpers), strings.Join(r.Parts, "+"), r.By)
 	began := time.Now()
 	r.cpuAtStart = readCPUUse()
-	// Those alone first: seeds and deciders are among them.
+	// Processes of one agent start first: seeds and deciders are among them.
 	slices.SortStableFunc(r.helpers, func(a, b *helperProcess) int { return cmp.Compare(b.Role, a.Role) })
 	for _, h := range r.helpers {
 		if h.Role != "" && h.Role != roleEmpty {
@@ -390,6 +394,7 @@
 	return r.measureEvents(ctx, s, groups)
 }
 
+// wantOne returns 1 as the wanted value of every group.
 func wantOne(groups map[int]int64) map[int]int64 {
 	out := map[int]int64{}
 	for g := range groups {
@@ -398,14 +403,14 @@
 	return out
 }
 
-// namedCondition is what the agents are waited for, and its name in the figures.
+// namedCondition is a condition with its name in the figures.
 type namedCondition struct {
 	name string
 	Condition
 }
 
-// waitFor waits until all agents asked for have come to all that is wanted, or most has passed, and
-// words how long each took since began.
+// waitFor waits until all agents have reached all conditions, or most has passed. It returns for each
+// condition how long the agents took since began.
 func (r *Run) waitFor(ctx context.Context, waits []namedCondition, began time.Time, timeout time.Duration) (out []Convergence) {
 	o := Request{Do: "until", Most: timeout}
 	for _, w := range waits {
@@ -429,6 +434,7 @@
 	return out
 }
 
+// convergence sums up the progress of all processes on a condition.
 func (r *Run) convergence(w namedCondition, progress []Progress, began time.Time) Convergence {
 	k := Convergence{What: w.name}
 	var took []float64
@@ -457,15 +463,15 @@
 	return k
 }
 
-// maxLacking bounds the agents that are named.
+// maxLacking bounds the number of agents that are named as lacking a condition.
 const maxLacking = 8
 
-// waitOne waits for one thing.
+// waitOne waits for one condition, as waitFor does.
 func (r *Run) waitOne(ctx context.Context, name, what string, want map[int]int64, began time.Time, timeout time.Duration) Convergence {
 	return r.waitFor(ctx, []namedCondition{{name, Condition{what, want}}}, began, timeout)[0]
 }
 
-// measureSpan takes the figures of a span in which nothing changes.
+// measureSpan takes the figures of a span without events.
 func (r *Run) measureSpan(ctx context.Context, s *Result) error {
 	before, watches, machines, err := r.usage(ctx)
 	if err != nil {
@@ -491,6 +497,7 @@
 	return nil
 }
 
+// usage returns the counters of all helper processes, of the list and of the control machines.
 func (r *Run) usage(ctx context.Context) (map[*helperProcess]Response, map[string]WatchStats, map[string]processUsage, error) {
 	looks, err := r.requestAll(ctx, Request{Do: "look"})
 	machines := map[string]processUsage{}
@@ -500,7 +507,7 @@
 	return looks, r.serverList.Watches(), machines, err
 }
 
-// measureEvents has things happen, and waits until all know of each.
+// measureEvents causes one event after another, and waits until all agents know of each.
 func (r *Run) measureEvents(ctx context.Context, s *Result, groups map[int]int64) error {
 	add := func(k Convergence) { s.Knew = append(s.Knew, k) }
 	if r.has(Discovery) {
@@ -534,7 +541,7 @@
 			}
 		}
 		s.Knew = append(s.Knew, r.waitFor(ctx, join, began, eventTimeout)...)
-		if ctx.Err() != nil { // orders are under way still
+		if ctx.Err() != nil { // requests are still in flight
 			return context.Cause(ctx)
 		}
 		i := r.helpers[r.ordinaryProcess()].Agents[0]
@@ -542,7 +549,8 @@
 		r.killHelper(r.ordinaryProcess())
 		g = r.identities[i].Group
 		groups[g]--
-		// Zones have a membership as members do, and looking at it costs more there.
+		// Zones are left out: their membership detects a death as that of members does, and polling it costs
+		// more.
 		for _, part := range []string{Spread, Members} {
 			if r.has(part) && r.DeathMost > 0 {
 				death = append(death, namedCondition{"a death (" + part + ")", Condition{part, map[int]int64{g: groups[g]}}})
@@ -556,8 +564,7 @@
 	return nil
 }
 
-// loseZone has the setup servers of a zone die, and waits until all agents have the epoch that
-// moves its calls.
+// loseZone stops the setup servers of a zone, and waits until all agents have the epoch that moves its calls.
 func (r *Run) loseZone(ctx context.Context, s *Result, groups map[int]int64) error {
 	now := func(what string) ([]Progress, error) {
 		answers, err := r.requestAll(ctx, Request{Do: "until", Until: []Condition{{what, wantOne(groups)}}})
@@ -605,6 +612,7 @@
 	return nil
 }
 
+// wantTwo returns 2 as the wanted value of every group.
 func wantTwo(groups map[int]int64) map[int]int64 {
 	out := map[int]int64{}
 	for g := range groups {
@@ -613,18 +621,20 @@
 	return out
 }
 
-// drainingServer is a setup server that drains, of a zone whose others suffice.
+// drainingServer returns the last setup server as draining. The other servers of its zone suffice for its
+// calls.
 func (r *Run) drainingServer() map[string]any {
 	e := maps.Clone(r.listed[len(r.listed)-1])
 	e["status"] = "draining"
 	return e
 }
 
-// processOf is the process that an agent is in, ordinary the one that holds an ordinary agent alone.
+// processOf returns the index of the process that runs an agent.
 func (r *Run) processOf(agent int) int {
 	return slices.IndexFunc(r.helpers, func(h *helperProcess) bool { return slices.Contains(h.Agents, agent) })
 }
 
+// ordinaryProcess returns the index of the process that runs an ordinary agent alone.
 func (r *Run) ordinaryProcess() int {
 	return slices.IndexFunc(r.helpers, func(h *helperProcess) bool { return h.Role == roleOrdinary })
 }
--- a/internal/lab/scalelab/scale_test.go
+++ b/internal/lab/scalelab/scale_test.go
@@ -22,7 +22,7 @@
 	"woodrouter/internal/standin"
 )
 
-// TestMain is the helper process too: a run starts this binary as it would start woodlab.
+// TestMain also serves as the helper process: a run starts this test binary in place of woodlab.
 func TestMain(m *testing.M) {
 	if slices.Contains(os.Args, "hollow") {
 		if err := RunHelper(os.Stdin, os.Stdout, slog.New(slog.DiscardHandler)); err != nil {
@@ -34,14 +34,15 @@
 	os.Exit(m.Run())
 }
 
-// eventCounter is a core that counts events of the list.
+// eventCounter is a core that counts the events of the list.
 type eventCounter struct{ n atomic.Int64 }
 
 func (h *eventCounter) Servers([]agent.Server, bool) { h.n.Add(1) }
 
-// TestDiscoveryMessages: of 8 agents each has one watch in flight; nothing is sent while nothing
-// changes and no patience ends; each change and each end of patience is one answer and one new
-// watch for each agent; a watch and an answer stay within their bytes.
+// TestDiscoveryMessages checks that each of 8 agents has one watch of the list in flight, that nothing is
+// sent while nothing changes and no watch expires, and that each change and each expiry is one answer and one
+// new watch for each agent. It guards against followers that poll more often or send more bytes than the
+// capacity figures allow.
 func TestDiscoveryMessages(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const agents = 8
@@ -89,8 +90,8 @@
 		most   int64
 	}{
 		{"a change", func() { list.AddEvent(false, endpoints(1, func(string) string { return "127.0.0.1:2" })) }, 1, changeMost},
-		{"patience ends", list.ExpireWatches, 0, idleMost},
-		{"patience ends again", list.ExpireWatches, 0, idleMost},
+		{"watches expire", list.ExpireWatches, 0, idleMost},
+		{"watches expire again", list.ExpireWatches, 0, idleMost},
 		{"another change", func() { list.AddEvent(false, endpoints(1, func(string) string { return "127.0.0.1:3" })) }, 1, changeMost},
 	}
 	asked, events := 2, 1
@@ -108,14 +109,15 @@
 	}
 }
 
-// TestMembersMessages: a membership of 8 that all know sends no more datagrams than its tickers
-// give: a probe, its answer and the ways round for each probe interval, and what gossip has left.
-// The bound is of counts by ticks, so that a slow machine only sends fewer.
+// TestMembersMessages checks that a settled membership of 8 sends no more datagrams than its tickers cause:
+// in each probe interval a probe, its answer and the indirect probes, and the remaining gossip. It guards
+// against a membership that sends more than the capacity figures allow. The bound counts ticks, so a slow
+// computer only sends fewer.
 func TestMembersMessages(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const agents, interval = 8, 500 * time.Millisecond
-	// A probe, three asked to probe in its place, and for others the same answered and relayed: 10;
-	// gossip to three others at five ticks: 15.
+	// Per agent and interval: a probe and three requests for indirect probes, and the answers and relayed
+	// probes for other agents, at most 10; gossip to three members at each of five ticks, 15.
 	const most = 25
 	octet, err := faultnet.ReserveOctet()
 	require.NoError(t, err)
@@ -154,8 +156,8 @@
 	require.LessOrEqual(t, sum, agents*most*ticks)
 }
 
-// TestRunAllButConfig: a small run of all that is here ends with figures of every agent and process, and
-// everybody comes to know everything.
+// TestRunAllButConfig checks that a small run of all parts but config ends with figures, and that all agents
+// learn of every event.
 func TestRunAllButConfig(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	self, err := os.Executable()
@@ -176,6 +178,7 @@
 	require.Positive(t, s.Watches)
 }
 
+// testLog writes to the test's log.
 type testLog struct{ t *testing.T }
 
 func (l testLog) Write(b []byte) (int, error) {
@@ -183,19 +186,19 @@
 	return len(b), nil
 }
 
-// TestPlanCheck: plans that can't be played here are refused.
+// TestPlanCheck checks that plans that are invalid or exceed the bounds are refused.
 func TestPlanCheck(t *testing.T) {
 	good := Plan{Agents: 730, Services: 27, Parts: []string{Discovery}, By: ByFleet, Servers: 24, PerProcess: 50, Span: time.Second}
 	require.NoError(t, good.Check())
 	cases := map[string]func(p *Plan){
-		"no part":       func(p *Plan) { p.Parts = nil },
-		"unknown part":  func(p *Plan) { p.Parts = []string{"calls"} },
-		"too few":       func(p *Plan) { p.Agents = 2 },
-		"processes":     func(p *Plan) { p.PerProcess = 1 },
-		"memory":        func(p *Plan) { p.Agents = 1500 },
-		"services":      func(p *Plan) { p.By, p.Agents = ByService, 30 },
-		"by":            func(p *Plan) { p.By = "zone" },
-		"nothing spans": func(p *Plan) { p.Span = 0 },
+		"no part":      func(p *Plan) { p.Parts = nil },
+		"unknown part": func(p *Plan) { p.Parts = []string{"calls"} },
+		"too few":      func(p *Plan) { p.Agents = 2 },
+		"processes":    func(p *Plan) { p.PerProcess = 1 },
+		"memory":       func(p *Plan) { p.Agents = 1500 },
+		"services":     func(p *Plan) { p.By, p.Agents = ByService, 30 },
+		"by":           func(p *Plan) { p.By = "zone" },
+		"span of zero": func(p *Plan) { p.Span = 0 },
 	}
 	for name, spoil := range cases {
 		p := good
@@ -204,7 +207,8 @@
 	}
 }
 
-// TestFit: a line is found, its largest deviation told, and what lies past the sizes is worded so.
+// TestFit checks the fitted line and its largest deviation, and that a value past the sizes run is marked as
+// extrapolated.
 func TestFit(t *testing.T) {
 	f := FitLine("x", []float64{100, 200, 400}, []float64{12, 18, 42}, 730, 50)
 	require.InDelta(t, 0.1029, f.Slope, 1e-3)
@@ -218,7 +222,8 @@
 	require.Contains(t, f.String(), "within the budget")
 }
 
-// TestProcesses: every agent is in one process, and whoever others lean on is alone in its own.
+// TestProcesses checks that every agent is in exactly one process, and that stewards and deciders of the
+// first group have their own.
 func TestProcesses(t *testing.T) {
 	for _, p := range []Plan{{Agents: 200, By: ByFleet}, {Agents: 200, By: ByService}, {Agents: 730, By: ByFleet}, {Agents: 730, By: ByService}} {
 		for _, skew := range []bool{false, true} {
@@ -237,7 +242,7 @@
 			}
 			require.Equal(t, 1, roles[roleEmpty])
 			require.Equal(t, 1, roles[roleOrdinary])
-			require.GreaterOrEqual(t, roles[roleDecider], 2) // the steward may be one of three
+			require.GreaterOrEqual(t, roles[roleDecider], 2) // the steward may be one of the three
 			for _, i := range peers(identities, 0)[:deciders] {
 				require.Equal(t, "r1", identities[i].Region)
 			}
@@ -245,8 +250,8 @@
 	}
 }
 
-// TestEvenProcesses: the first agents of all groups, seeds and deciders, are dealt over the processes
-// evenly, and so are all agents.
+// TestEvenProcesses checks that the first agents of all groups, which are seeds and deciders, are assigned
+// evenly to the shared processes, and so are all agents. Otherwise one process would be short of CPU time.
 func TestEvenProcesses(t *testing.T) {
 	p := Plan{Agents: 730, Services: 27, Parts: []string{Spread, Zones}, By: ByService, PerProcess: 50}
 	identities := p.identities()
@@ -269,13 +274,13 @@
 		}
 		agents, first = append(agents, len(x.Agents)), append(first, n)
 	}
-	require.LessOrEqual(t, slices.Max(agents)-slices.Min(agents), 2, agents) // the spare is one more
+	require.LessOrEqual(t, slices.Max(agents)-slices.Min(agents), 2, agents) // one process has the spare too
 	require.LessOrEqual(t, slices.Max(first)-slices.Min(first), 2, first)
 	require.LessOrEqual(t, slices.Max(agents), p.PerProcess+1)
 }
 
-// TestConditionsPolledTogether: what is waited for together is looked at together: what never comes holds up
-// the sight of nothing else, and who lacks it is named.
+// TestConditionsPolledTogether checks that the conditions of a request are polled together: one that is never
+// reached must not delay the observation of another, and the agents that lack it are named.
 func TestConditionsPolledTogether(t *testing.T) {
 	identities := []Identity{{Name: "a0"}, {Name: "a1"}}
 	w := &helper{agents: map[int]*hollowAgent{}}
@@ -298,7 +303,8 @@
 	require.Less(t, k.Seconds.Max, (10 * conditionPollInterval).Seconds())
 }
 
-// TestStewardsAtMachines: stewards on the control machines need what carries them, and no agent has the role.
+// TestStewardsAtMachines checks that stewards on the control machines need the parts spread and config, by
+// service, and that no agent has the role of a steward then.
 func TestStewardsAtMachines(t *testing.T) {
 	p := Plan{Agents: 54, Services: 2, Parts: []string{Spread, Config}, By: ByService, Stewards: AtMachines, Servers: 24, PerProcess: 50, Span: time.Second}
 	require.NoError(t, p.Check())
