--- a/internal/lab/rolloutlab/history.go
+++ b/internal/lab/rolloutlab/history.go
@@ -261,16 +261,16 @@
 		name string
 		base uint64
 	}
-	stood := map[base]Put{}
+	committed := map[base]Put{}
 	for _, p := range h.puts {
 		if p.Outcome != Committed {
 			continue
 		}
 		k := base{p.Name, p.Base}
-		if o, ok := stood[k]; ok && o.Revision != p.Revision {
+		if o, ok := committed[k]; ok && o.Revision != p.Revision {
 			out = append(out, fmt.Sprintf("%s: two puts on base %d were committed: %d by %s, %d by %s", p.Name, p.Base, o.Revision, o.Author, p.Revision, p.Author))
 		}
-		stood[k] = p
+		committed[k] = p
 		for _, r := range h.revisionsOf(p.Name) {
 			// After a halt the former text is restored under a new number while a waiting revision remains
 			// the latest one for authors.
--- a/internal/lab/rolloutlab/measure.go
+++ b/internal/lab/rolloutlab/measure.go
@@ -120,7 +120,7 @@
 	return hdrhistogram.New(1, (5 * time.Minute).Microseconds(), 3)
 }
 
-// recordDelay adds a delay. The histogram refuses only delays over five minutes, by which time a run has ended.
+// recordDelay adds a delay. The histogram refuses only delays over five minutes, when a run has ended.
 func recordDelay(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(d.Microseconds()) }
 
 func formatMillis(us int64) string { return fmt.Sprintf("%.1f ms", float64(us)/1000) }
--- a/internal/lab/rolloutlab/world.go
+++ b/internal/lab/rolloutlab/world.go
@@ -122,7 +122,7 @@
 // startTimeout bounds the start of a fleet on a busy machine.
 const startTimeout = 90 * time.Second
 
-// start starts machines and agents within ctx; what goes on in the background ends with run.
+// start starts machines and agents within ctx. The background work ends when run is cancelled.
 func (f *Fleet) start(ctx, run context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// startMachines reserves the machines' ports, starts the proxies between them and the agents' zones, and launches
-// the machines.
+// startMachines reserves the machines' ports, starts the proxies between them and the agents' zones, and
+// launches the machines.
 func (f *Fleet) startMachines() error {
 	host, err := faultnet.NewHost()
 	if err != nil {
--- a/internal/lab/scalelab/helper.go
+++ b/internal/lab/scalelab/helper.go
@@ -49,7 +49,7 @@
 type Usage struct {
 	CPUUs               int64 // user and system time (getrusage)
 	RSS, Peak           int64 // resident memory now and at its peak, in bytes (/proc/self/status)
-	FileIn, FileOut     int64 // bytes of read and write calls (streams, deciders' files) less requests and responses
+	FileIn, FileOut     int64 // bytes read and written (streams, deciders' files) less requests and responses
 	GossipIn, GossipOut int64 // bytes in datagrams of all memberships (memberlist's own counters)
 	Streams             int64 // bytes that memberships sent in streams; included in FileOut
 	Agents              map[int]AgentCounts
@@ -68,29 +68,29 @@
 func RunHelper(in io.Reader, out io.Writer, log *slog.Logger) error {
 	pipe := &countingPipe{r: in, w: out}
 	lines := bufio.NewReader(pipe)
-	orders := json.NewDecoder(lines)
+	requests := json.NewDecoder(lines)
 	var config HelperConfig
-	if err := orders.Decode(&config); err != nil {
+	if err := requests.Decode(&config); err != nil {
 		return fmt.Errorf("scale: helper configuration: %w", err)
 	}
 	sink := &gossipSink{}
-	c := metrics.DefaultConfig("")
-	c.EnableHostname, c.EnableRuntimeMetrics = false, false
-	if _, err := metrics.NewGlobal(c, sink); err != nil {
+	metricsConfig := metrics.DefaultConfig("")
+	metricsConfig.EnableHostname, metricsConfig.EnableRuntimeMetrics = false, false
+	if _, err := metrics.NewGlobal(metricsConfig, sink); err != nil {
 		return err
 	}
-	w := &helper{config: &config, log: log, agents: map[int]*hollowAgent{}, sink: sink, pipe: pipe}
-	defer w.stop()
-	answers := json.NewEncoder(pipe)
+	h := &helper{config: &config, log: log, agents: map[int]*hollowAgent{}, sink: sink, pipe: pipe}
+	defer h.stop()
+	responses := json.NewEncoder(pipe)
 	for {
-		var o Request
-		switch err := orders.Decode(&o); {
+		var request Request
+		switch err := requests.Decode(&request); {
 		case err == io.EOF:
 			return nil
 		case err != nil:
 			return err
 		}
-		if err := answers.Encode(w.handle(o)); err != nil {
+		if err := responses.Encode(h.handle(request)); err != nil {
 			return err
 		}
 	}
@@ -106,44 +106,44 @@
 }
 
 // stop stops all agents.
-func (w *helper) stop() {
+func (h *helper) stop() {
 	var all sync.WaitGroup
-	for _, h := range w.agents {
-		all.Go(h.stop)
+	for _, agent := range h.agents {
+		all.Go(agent.stop)
 	}
 	all.Wait()
 }
 
 // handle carries out one request.
-func (w *helper) handle(o Request) Response {
-	switch o.Do {
+func (h *helper) handle(request Request) Response {
+	switch request.Do {
 	case "start":
-		return w.startAgents(o.Agent)
+		return h.startAgents(request.Agent)
 	case "look":
-		return Response{Look: w.usage()}
+		return Response{Look: h.usage()}
 	case "until":
-		return w.awaitConditions(o)
+		return h.awaitConditions(request)
 	case "announce":
-		if h := w.agents[o.Agent]; h != nil && h.list != nil {
-			h.list.AnnounceEpoch(uint64(o.Value))
+		if agent := h.agents[request.Agent]; agent != nil && agent.list != nil {
+			agent.list.AnnounceEpoch(uint64(request.Value))
 		}
 		return Response{}
 	}
-	return Response{Error: "no such order: " + o.Do}
+	return Response{Error: "no such order: " + request.Do}
 }
 
 // startAgents starts agent one, or with -1 all of the process but the spare, at the plan's pace.
-func (w *helper) startAgents(one int) Response {
-	for _, i := range w.config.Mine {
-		if one >= 0 && i != one || one < 0 && i == w.config.Agents {
+func (h *helper) startAgents(one int) Response {
+	for _, i := range h.config.Mine {
+		if one >= 0 && i != one || one < 0 && i == h.config.Agents {
 			continue
 		}
-		h := newHollowAgent(w.config, i, w.log)
-		if err := h.start(); err != nil {
-			return Response{Error: fmt.Sprintf("agent %s: %v", h.Name, err)}
+		agent := newHollowAgent(h.config, i, h.log)
+		if err := agent.start(); err != nil {
+			return Response{Error: fmt.Sprintf("agent %s: %v", agent.Name, err)}
 		}
-		w.agents[i] = h
-		time.Sleep(w.config.Pace)
+		h.agents[i] = agent
+		time.Sleep(h.config.Pace)
 	}
 	return Response{}
 }
@@ -153,41 +153,41 @@
 const conditionPollInterval = 25 * time.Millisecond
 
 // awaitConditions polls the conditions until all agents have reached them or the timeout has passed.
-func (w *helper) awaitConditions(o Request) Response {
-	a := Response{Until: make([]Progress, len(o.Until))}
-	left := make([]int, len(o.Until))
-	for k := range a.Until {
-		a.Until[k] = Progress{Reached: map[int]int64{}, Saw: map[int]int64{}}
+func (h *helper) awaitConditions(request Request) Response {
+	response := Response{Until: make([]Progress, len(request.Until))}
+	left := make([]int, len(request.Until))
+	for k := range response.Until {
+		response.Until[k] = Progress{Reached: map[int]int64{}, Saw: map[int]int64{}}
 	}
-	end := time.Now().Add(o.Most)
+	end := time.Now().Add(request.Most)
 	for turn := 0; ; turn++ {
 		last, sum := time.Now().After(end), 0
-		for k, u := range o.Until {
+		for k, condition := range request.Until {
 			// Polling zones lists all members with their metadata, so it is done at every eighth turn only.
-			if turn == 0 || left[k] > 0 && (u.What != Zones || turn%8 == 0 || last) {
-				left[k] = w.updateProgress(u, a.Until[k])
+			if turn == 0 || left[k] > 0 && (condition.What != Zones || turn%8 == 0 || last) {
+				left[k] = h.updateProgress(condition, response.Until[k])
 			}
 			sum += left[k]
 		}
 		if sum == 0 || last {
-			return a
+			return response
 		}
 		time.Sleep(conditionPollInterval)
 	}
 }
 
 // updateProgress polls the agents that have not reached a condition yet, and returns how many still have not.
-func (w *helper) updateProgress(u Condition, c Progress) (left int) {
-	for i, h := range w.agents {
-		want, asked := u.Want[h.Group]
-		if !asked || c.Reached[i] != 0 {
+func (h *helper) updateProgress(condition Condition, progress Progress) (left int) {
+	for i, agent := range h.agents {
+		want, asked := condition.Want[agent.Group]
+		if !asked || progress.Reached[i] != 0 {
 			continue
 		}
-		n, at := h.figure(u.What)
-		c.Saw[i], c.Reached[i] = n, 0
+		n, at := agent.figure(condition.What)
+		progress.Saw[i], progress.Reached[i] = n, 0
 		// Counts of members must match exactly; other values only rise and may be beyond the wanted one.
-		if n == want || n > want && u.What != Members && u.What != Zones && u.What != Spread {
-			c.Reached[i] = at.UnixMicro()
+		if n == want || n > want && condition.What != Members && condition.What != Zones && condition.What != Spread {
+			progress.Reached[i] = at.UnixMicro()
 			continue
 		}
 		left++
@@ -225,21 +225,21 @@
 }
 
 // usage returns what the process and its agents have used so far.
-func (w *helper) usage() *Usage {
-	l := &Usage{Agents: map[int]AgentCounts{}}
-	for i, h := range w.agents {
-		l.Agents[i] = h.counts()
+func (h *helper) usage() *Usage {
+	usage := &Usage{Agents: map[int]AgentCounts{}}
+	for i, agent := range h.agents {
+		usage.Agents[i] = agent.counts()
 	}
-	l.GossipIn, l.GossipOut, l.Streams = w.sink.in.Load(), w.sink.out.Load(), w.sink.streams.Load()
+	usage.GossipIn, usage.GossipOut, usage.Streams = h.sink.in.Load(), h.sink.out.Load(), h.sink.streams.Load()
 	io := procFields("/proc/self/io")
-	l.FileIn, l.FileOut = io["rchar"]-w.pipe.in.Load(), io["wchar"]-w.pipe.out.Load()
+	usage.FileIn, usage.FileOut = io["rchar"]-h.pipe.in.Load(), io["wchar"]-h.pipe.out.Load()
 	status := procFields("/proc/self/status")
-	l.RSS, l.Peak = status["VmRSS"]<<10, status["VmHWM"]<<10
+	usage.RSS, usage.Peak = status["VmRSS"]<<10, status["VmHWM"]<<10
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil {
-		l.CPUUs = (r.Utime.Nano() + r.Stime.Nano()) / 1000
+		usage.CPUUs = (r.Utime.Nano() + r.Stime.Nano()) / 1000
 	}
-	return l
+	return usage
 }
 
 // counts returns the counters of the agent's parts.
--- a/internal/lab/scalelab/hollow.go
+++ b/internal/lab/scalelab/hollow.go
@@ -52,47 +52,47 @@
 }
 
 // addr returns the address of agent i with one of its ports.
-func (d *HelperConfig) addr(i, port int) string { return fmt.Sprintf("%s:%d", d.Hosts[i], port) }
+func (hc *HelperConfig) addr(i, port int) string { return fmt.Sprintf("%s:%d", hc.Hosts[i], port) }
 
 // membership returns the configuration of an agent's membership on a port. The seeds are the group's first
 // two agents and its first one in the other region, since at least one seed in each region is needed.
-func (d *HelperConfig) membership(i, port int) *members.Config {
-	c := &members.Config{Bind: d.addr(i, port), Far: d.Delay[1] > 0, Links: d.links(i)}
-	group := peers(d.Places, d.Places[i].Group)
+func (hc *HelperConfig) membership(i, port int) *members.Config {
+	c := &members.Config{Bind: hc.addr(i, port), Far: hc.Delay[1] > 0, Links: hc.links(i)}
+	group := peers(hc.Places, hc.Places[i].Group)
 	seeds := slices.Clone(group[:min(2, len(group))])
-	if far := slices.IndexFunc(group, func(j int) bool { return d.Places[j].Region != d.Places[group[0]].Region }); far >= 0 {
+	if far := slices.IndexFunc(group, func(j int) bool { return hc.Places[j].Region != hc.Places[group[0]].Region }); far >= 0 {
 		seeds = append(seeds, group[far])
 	}
 	for _, j := range seeds {
 		if j != i {
-			c.Seeds = append(c.Seeds, d.addr(j, port))
+			c.Seeds = append(c.Seeds, hc.addr(j, port))
 		}
 	}
 	return c
 }
 
 // links returns the proxies to the other region. All agents of a region in a process share one map.
-func (d *HelperConfig) links(i int) map[string]string {
-	if len(d.Via) == 0 {
+func (hc *HelperConfig) links(i int) map[string]string {
+	if len(hc.Via) == 0 {
 		return nil
 	}
 	linksCache.Lock()
 	defer linksCache.Unlock()
-	region := d.Places[i].Region
-	if linksCache.of == nil || linksCache.deal != d {
-		linksCache.deal, linksCache.of = d, map[string]map[string]string{}
+	region := hc.Places[i].Region
+	if linksCache.of == nil || linksCache.config != hc {
+		linksCache.config, linksCache.of = hc, map[string]map[string]string{}
 	}
 	if m := linksCache.of[region]; m != nil {
 		return m
 	}
 	m := map[string]string{}
-	for j, to := range d.Places {
+	for j, to := range hc.Places {
 		if to.Region == region {
 			continue
 		}
 		for port := membersPort; port <= clientPort; port++ {
-			if via := d.Via[d.addr(j, port)]; via != "" {
-				m[d.addr(j, port)] = via
+			if via := hc.Via[hc.addr(j, port)]; via != "" {
+				m[hc.addr(j, port)] = via
 			}
 		}
 	}
@@ -103,8 +103,8 @@
 // linksCache holds the maps of links by region, for one HelperConfig.
 var linksCache struct {
 	sync.Mutex
-	deal *HelperConfig
-	of   map[string]map[string]string
+	config *HelperConfig
+	of     map[string]map[string]string
 }
 
 // milestone is the latest of a series of rising values, and when it was reached.
@@ -140,8 +140,8 @@
 }
 
 // newHollowAgent returns agent i, not started.
-func newHollowAgent(d *HelperConfig, i int, log *slog.Logger) *hollowAgent {
-	return &hollowAgent{Identity: d.Places[i], index: i, helperConfig: d, log: log, milestones: map[string]milestone{}}
+func newHollowAgent(config *HelperConfig, i int, log *slog.Logger) *hollowAgent {
+	return &hollowAgent{Identity: config.Places[i], index: i, helperConfig: config, log: log, milestones: map[string]milestone{}}
 }
 
 // advance records that a milestone has reached n; 0 stands for one more than before.
@@ -236,10 +236,10 @@
 		return file, file.SpreadConfig(h.Name, h.life())
 	}
 	file := spreader.Config{Mode: "control", Service: h.Service, Machines: config.Machines[h.Region], Source: &net.TCPAddr{IP: net.ParseIP(config.Hosts[h.index])}}
-	as := file.SpreadConfig(h.Name, h.life())
+	spreadConfig := file.SpreadConfig(h.Name, h.life())
 	group := peers(config.Places, h.Group)
-	as.Rank, as.Senders = max(slices.Index(group, h.index), 0), len(group)
-	return file, as
+	spreadConfig.Rank, spreadConfig.Senders = max(slices.Index(group, h.index), 0), len(group)
+	return file, spreadConfig
 }
 
 // stop stops the agent in an orderly way. To simulate a crash, its process is ended with SIGKILL instead.
--- a/internal/lab/scalelab/report.go
+++ b/internal/lab/scalelab/report.go
@@ -38,13 +38,13 @@
 	Err     string `json:",omitempty"`
 }
 
-func (k Convergence) String() string {
-	text := fmt.Sprintf("%s: %d of %d, p50 %.2f s, p99 %.2f s, last %.2f s", k.What, k.Reached, k.Of, k.Seconds.P50, k.Seconds.P99, k.Seconds.Max)
-	if k.Reached < k.Of {
-		text += fmt.Sprintf(" (given up after %.0f s; mean share known %.1f %%; %s)", k.MostS, 100*k.Share, strings.Join(k.Lack, ", "))
+func (c Convergence) String() string {
+	text := fmt.Sprintf("%s: %d of %d, p50 %.2f s, p99 %.2f s, last %.2f s", c.What, c.Reached, c.Of, c.Seconds.P50, c.Seconds.P99, c.Seconds.Max)
+	if c.Reached < c.Of {
+		text += fmt.Sprintf(" (given up after %.0f s; mean share known %.1f %%; %s)", c.MostS, 100*c.Share, strings.Join(c.Lack, ", "))
 	}
-	if k.Err != "" {
-		text += " (" + k.Err + ")"
+	if c.Err != "" {
+		text += " (" + c.Err + ")"
 	}
 	return text
 }
@@ -174,25 +174,25 @@
 const clockTick = 10 * time.Millisecond
 
 // readProcessUsage reads the usage of a process from /proc.
-func readProcessUsage(pid int) (m processUsage) {
+func readProcessUsage(pid int) (u processUsage) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	if stat, err := os.ReadFile(dir + "stat"); err == nil {
 		_, rest, _ := strings.Cut(string(stat), ") ")
 		if f := strings.Fields(rest); len(f) > 12 {
 			user, _ := strconv.ParseInt(f[11], 10, 64)
 			system, _ := strconv.ParseInt(f[12], 10, 64)
-			m.CPU = time.Duration(user+system) * clockTick
+			u.CPU = time.Duration(user+system) * clockTick
 		}
 	}
 	io := procFields(dir + "io")
-	m.In, m.Out, m.Memory = io["rchar"], io["wchar"], procFields(dir + "status")["VmRSS"]<<10
-	return m
+	u.In, u.Out, u.Memory = io["rchar"], io["wchar"], procFields(dir + "status")["VmRSS"]<<10
+	return u
 }
 
 // since returns the cost of a process in the span, in seconds, since was.
-func (m processUsage) since(was processUsage, span float64, name string) Cost {
-	return Cost{Role: name, Sent: float64(m.Out-was.Out) / span, Received: float64(m.In-was.In) / span,
-		Core: (m.CPU - was.CPU).Seconds() / span, Memory: float64(m.Memory)}
+func (u processUsage) since(was processUsage, span float64, name string) Cost {
+	return Cost{Role: name, Sent: float64(u.Out-was.Out) / span, Received: float64(u.In-was.In) / span,
+		Core: (u.CPU - was.CPU).Seconds() / span, Memory: float64(u.Memory)}
 }
 
 // cpuUse is the CPU time that all cores of the computer and the measurement's own process have used so far.
@@ -203,25 +203,25 @@
 
 // readCPUUse reads the CPU time used until now from /proc.
 func readCPUUse() cpuUse {
-	b := cpuUse{at: time.Now(), own: readProcessUsage(os.Getpid()).CPU}
+	u := cpuUse{at: time.Now(), own: readProcessUsage(os.Getpid()).CPU}
 	stat, _ := os.ReadFile("/proc/stat")
 	first, _, _ := strings.Cut(string(stat), "\n")
 	for i, f := range strings.Fields(first) {
 		if i > 0 && i < 8 && i != 4 && i != 5 { // all columns but idle and iowait
 			n, _ := strconv.ParseInt(f, 10, 64)
-			b.all += time.Duration(n) * clockTick
+			u.all += time.Duration(n) * clockTick
 		}
 	}
-	return b
+	return u
 }
 
 // describeSince describes the CPU use since b. If nearly all cores are in use, the times measured depend on
 // the computer.
-func (b cpuUse) describeSince() string {
+func (u cpuUse) describeSince() string {
 	now := readCPUUse()
-	took := now.at.Sub(b.at).Seconds()
+	took := now.at.Sub(u.at).Seconds()
 	return fmt.Sprintf("(%.1f s) the machine worked on %.1f of its %d cores, of that the measurement's own process (proxies, the list, setup servers) %.2f",
-		took, (now.all-b.all).Seconds()/took, runtime.NumCPU(), (now.own-b.own).Seconds()/took)
+		took, (now.all-u.all).Seconds()/took, runtime.NumCPU(), (now.own-u.own).Seconds()/took)
 }
 
 // The budgets of control for an agent: share of a core, bytes of memory, bytes per second both ways.
--- a/internal/lab/scalelab/run.go
+++ b/internal/lab/scalelab/run.go
@@ -435,14 +435,14 @@
 }
 
 // convergence sums up the progress of all processes on a condition.
-func (r *Run) convergence(w namedCondition, progress []Progress, began time.Time) Convergence {
-	k := Convergence{What: w.name}
+func (r *Run) convergence(condition namedCondition, progress []Progress, began time.Time) Convergence {
+	k := Convergence{What: condition.name}
 	var took []float64
 	var share float64
 	for _, c := range progress {
 		for i, at := range c.Reached {
 			k.Of++
-			want := w.Want[r.identities[i].Group]
+			want := condition.Want[r.identities[i].Group]
 			if want > 0 {
 				share += min(float64(c.Saw[i])/float64(want), 1)
 			}
@@ -499,12 +499,12 @@
 
 // usage returns the counters of all helper processes, of the list and of the control machines.
 func (r *Run) usage(ctx context.Context) (map[*helperProcess]Response, map[string]WatchStats, map[string]processUsage, error) {
-	looks, err := r.requestAll(ctx, Request{Do: "look"})
+	usages, err := r.requestAll(ctx, Request{Do: "look"})
 	machines := map[string]processUsage{}
 	if r.control != nil {
 		machines = r.control.usage()
 	}
-	return looks, r.serverList.Watches(), machines, err
+	return usages, r.serverList.Watches(), machines, err
 }
 
 // measureEvents causes one event after another, and waits until all agents know of each.
