--- a/internal/lab/fleetlab/run.go
+++ b/internal/lab/fleetlab/run.go
@@ -1,8 +1,8 @@
-// Package fleetlab plays a fleet at size: hundreds of call agents as processes of the program
-// against emulated setup servers, with callers whose load is uneven and faults between them from
-// a seed. It reports how evenly the load was spread and what the faults cost, and plays simple
-// references on the same seeds: a random draw by capacity, the least busy by each agent's own
-// sight, and one dispatcher that sees everything. cmd/woodlab and tests use it.
+// Package fleetlab tests large fleets: hundreds of call agents as processes of the program, emulated
+// setup servers, callers with uneven load, and faults drawn from a seed. It reports how evenly the load
+// was spread and what the faults cost. For comparison it runs reference policies with the same seeds:
+// a random choice by capacity, the server with the fewest pending calls as each agent sees it, and one
+// dispatcher that knows every queue. cmd/woodlab and tests use it.
 package fleetlab
 
 import (
@@ -22,27 +22,28 @@
 	"woodrouter/internal/lab/emulator"
 )
 
-// Scenario is one run: equal runs draw equal loads and faults.
+// Scenario configures a run. Equal scenarios draw equal loads and faults.
 type Scenario struct {
 	Bin, Dir    string
 	Seed        uint64
 	Agents      int
 	Servers     int
-	Load        float64 // of what the servers can take together
-	Choice      float64 // how unevenly calls name a first choice; negative: they name none
+	Load        float64 // as a share of the servers' total capacity
+	Choice      float64 // coefficient of variation of calls' first choices; negative: calls name none
 	Window      time.Duration
-	FaultSpan   time.Duration // before the first fault, and the span of each fault with what follows it
-	Faults      []string      // by name, in order; nil: all
-	BurstFactor float64       // load in the burst, as a multiple
-	Policy      string        // Agent, or a reference
+	FaultSpan   time.Duration // time before the first fault, and the time of each fault with its recovery
+	Faults      []string      // names, in the order to inject; nil: all
+	BurstFactor float64       // load in the burst, as a multiple of the usual load
+	Policy      string        // PolicyAgent or a reference policy; "": PolicyAgent
 	Env         func(c *cluster.Cluster, agent int) ([]string, error)
-	Gossip      bool // agents talk: the gossip can be cut
+	Gossip      bool // agents gossip, so the gossip can be partitioned
 }
 
-// PolicyAgent is the program itself; the references stand in reference.go.
+// PolicyAgent runs the program itself; the reference policies are in reference.go.
 const PolicyAgent = "agent"
 
-// Deployment is the fleet's: one campus of servers that differ in capacity by four to one.
+// Deployment returns the fleet's deployment: one campus of servers whose capacities differ by a factor of
+// about four.
 func Deployment(servers int) emulator.Deployment {
 	d := emulator.Campus()
 	d.Name, d.ReportFields, d.Cold, d.Repeat = "fleet", []string{"util", "queue"}, 8*time.Second, 0
@@ -57,38 +58,38 @@
 	return d
 }
 
-// WindowStats is what one window showed.
+// WindowStats are the statistics of one time window.
 type WindowStats struct {
 	At             time.Duration
-	Fault          string  // that began in it, or the window before
-	SetUpRate      float64 // set-ups that came to servers, a second
-	Dispersion     float64 // of set-ups over servers by capacity: 1 is an independent random draw
-	PeakLoad       float64 // the largest server's load over its share
-	IdleSeconds    float64 // server-seconds without a set-up for over idleMost while healthy
-	FullShare      float64 // share of set-ups turned away
-	AttemptsPerTry float64 // set-ups for each try of a caller
+	Fault          string  // the fault under way as the window ended
+	SetUpRate      float64 // set-ups per second that reached servers
+	Dispersion     float64 // of set-ups over servers, relative to capacity; 1: as in independent random draws
+	PeakLoad       float64 // largest ratio of a server's set-ups to its share by capacity
+	IdleSeconds    float64 // server-seconds in which a healthy server had no set-up for longer than maxIdle
+	FullShare      float64 // share of set-ups that servers turned away
+	AttemptsPerTry float64 // set-ups per try of a caller
 	Handshakes     int
 	Probes         int
-	Connections    int // connections
+	Connections    int // open connections at the window's end
 	Lost           int
-	WorthShare     float64 // of the worth asked for, served
+	WorthShare     float64 // share of the offered worth that was served
 	P99            time.Duration
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Scenario
 	Windows      []WindowStats
 	Outcome      emulator.Outcome
 	BrokenRules  map[string]int
-	Err          error // rules broken
+	Err          error // the broken rules, or nil
 	SpreadStatus string
 }
 
-// maxIdle is how long a healthy server may get no set-up before that counts.
+// maxIdle is the time without a set-up after which a healthy server counts as idle.
 const maxIdle = 2 * time.Second
 
-// Run starts the fleet, plays the faults with callers at work, and reports.
+// Run starts the fleet, injects the faults while callers place calls, and returns the report.
 func (r Scenario) Run(ctx context.Context) (Report, error) {
 	r.Window = cmp.Or(r.Window, 5*time.Second)
 	r.FaultSpan = cmp.Or(r.FaultSpan, 15*time.Second)
@@ -98,26 +99,26 @@
 	report := Report{Scenario: r}
 	deployment := Deployment(r.Servers)
 	agents := r.Agents
-	running := &cluster.Cluster{}
+	fleet := &cluster.Cluster{}
 	var err error
 	if r.Policy == PolicyAgent || r.Policy == "" {
-		running, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: deployment, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
+		fleet, err = cluster.Start(ctx, cluster.Config{Bin: r.Bin, Dir: r.Dir, Deployment: deployment, Agents: agents, Servers: r.Servers, Seed: r.Seed, Env: r.Env, WithGossip: r.Gossip})
 	} else {
-		running, err = startReference(r, deployment)
+		fleet, err = startReference(r, deployment)
 	}
 	if err != nil {
 		return report, err
 	}
-	defer running.Close()
+	defer fleet.Close()
 	if r.Gossip {
-		if err := awaitGossip(ctx, running); err != nil {
+		if err := awaitGossip(ctx, fleet); err != nil {
 			return report, err
 		}
 	}
-	run := &activeRun{Scenario: r, running: running, rng: rand.New(rand.NewPCG(r.Seed, 31)), startedAt: time.Now()}
+	run := &activeRun{Scenario: r, fleet: fleet, rng: rand.New(rand.NewPCG(r.Seed, 31)), startedAt: time.Now()}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	run.callers = running.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*deployment.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
+	run.callers = fleet.StartCallers(loadCtx, emulator.Load{Rates: emulator.UnevenRates(agents, r.Load*deployment.Total(r.Servers), r.Seed), Seed: r.Seed, ChoiceVariation: r.Choice, ChoicePeriod: 12 * time.Second})
 	windows := make(chan []WindowStats)
 	watchCtx, stopWatching := context.WithCancel(ctx)
 	go func() { windows <- run.recordWindows(watchCtx) }()
@@ -126,121 +127,121 @@
 	report.Windows = <-windows
 	run.callers.Wait()
 	report.Outcome, _ = run.callers.Tally()
-	report.BrokenRules, report.Err = running.World.Check.Broken(), running.World.Check.Err()
-	if len(running.Procs) > 0 {
-		report.SpreadStatus = running.ConsoleCommand(0, "SPREAD")
+	report.BrokenRules, report.Err = fleet.World.Check.Broken(), fleet.World.Check.Err()
+	if len(fleet.Procs) > 0 {
+		report.SpreadStatus = fleet.ConsoleCommand(0, "SPREAD")
 	}
 	return report, err
 }
 
-// maxSettleTime bounds how long agents may take to find one another.
+// maxSettleTime bounds how long the agents may take to find each other.
 const maxSettleTime = 90 * time.Second
 
 var agentsHeard = regexp.MustCompile(`(\d+) agents heard`)
 
-// awaitGossip waits until an agent hears of nearly all that load is spread in common.
-func awaitGossip(ctx context.Context, running *cluster.Cluster) error {
+// awaitGossip waits until the last agent hears from at least 95 % of the agents that spread in common.
+func awaitGossip(ctx context.Context, fleet *cluster.Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	for {
-		status := running.ConsoleCommand(running.Agents-1, "SPREAD")
+		status := fleet.ConsoleCommand(fleet.Agents-1, "SPREAD")
 		if m := agentsHeard.FindStringSubmatch(status); m != nil {
-			if n, _ := strconv.Atoi(m[1]); n >= running.Agents*95/100 {
+			if n, _ := strconv.Atoi(m[1]); n >= fleet.Agents*95/100 {
 				return nil
 			}
 		}
 		if pause(ctx, 200*time.Millisecond); ctx.Err() != nil {
-			return fmt.Errorf("fleet: agents have not found one another in %v: %s", maxSettleTime, status)
+			return fmt.Errorf("fleet: agents have not found each other in %v: %s", maxSettleTime, status)
 		}
 	}
 }
 
-// activeRun is a run under way.
+// activeRun is the state of a running scenario.
 type activeRun struct {
 	Scenario
-	running      *cluster.Cluster
+	fleet        *cluster.Cluster
 	callers      *emulator.Callers
 	rng          *rand.Rand
 	startedAt    time.Time
-	currentFault atomic.Value // string: the one under way
+	currentFault atomic.Value // string: name of the fault under way, or ""
 }
 
-// counters is the counters at a moment.
+// counters holds the values of all counters at one moment.
 type counters struct {
 	servers map[*emulator.Server]emulator.Counts
 	sum     emulator.Outcome
 }
 
-func (p *activeRun) readCounters() counters {
-	s := counters{servers: map[*emulator.Server]emulator.Counts{}}
-	for _, v := range p.running.World.All() {
-		s.servers[v] = v.Counts()
+func (r *activeRun) readCounters() counters {
+	now := counters{servers: map[*emulator.Server]emulator.Counts{}}
+	for _, server := range r.fleet.World.All() {
+		now.servers[server] = server.Counts()
 	}
-	return s
+	return now
 }
 
-// recordWindows makes a frame of each window until ctx ends.
-func (p *activeRun) recordWindows(ctx context.Context) (windows []WindowStats) {
-	before := p.readCounters()
-	before.sum, _ = p.callers.Tally()
+// recordWindows records the statistics of each window until ctx ends.
+func (r *activeRun) recordWindows(ctx context.Context) (windows []WindowStats) {
+	before := r.readCounters()
+	before.sum, _ = r.callers.Tally()
 	idle := 0.0
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
-	ends := time.Now().Add(p.Window)
+	windowEnd := time.Now().Add(r.Window)
 	for {
 		select {
 		case <-ctx.Done():
 			return windows
 		case now := <-tick.C:
-			for _, s := range p.running.World.Listed() {
-				if n := s.Counts(); s.Healthy(3*time.Second) && !n.LastSetUp.IsZero() && now.Sub(n.LastSetUp) > maxIdle || s.Healthy(3*time.Second) && n.LastSetUp.IsZero() && now.Sub(p.startedAt) > maxIdle {
+			for _, server := range r.fleet.World.Listed() {
+				if counts := server.Counts(); server.Healthy(3*time.Second) && !counts.LastSetUp.IsZero() && now.Sub(counts.LastSetUp) > maxIdle || server.Healthy(3*time.Second) && counts.LastSetUp.IsZero() && now.Sub(r.startedAt) > maxIdle {
 					idle += 0.1
 				}
 			}
-			if now.Before(ends) {
+			if now.Before(windowEnd) {
 				continue
 			}
-			ends = ends.Add(p.Window)
-			after := p.readCounters()
+			windowEnd = windowEnd.Add(r.Window)
+			after := r.readCounters()
 			var waits []time.Duration
-			after.sum, waits = p.callers.Tally()
-			window := p.windowStats(before, after, waits)
-			window.At, window.IdleSeconds = now.Sub(p.startedAt).Round(100*time.Millisecond), idle
+			after.sum, waits = r.callers.Tally()
+			window := r.windowStats(before, after, waits)
+			window.At, window.IdleSeconds = now.Sub(r.startedAt).Round(100*time.Millisecond), idle
 			windows = append(windows, window)
 			before, idle = after, 0
 		}
 	}
 }
 
-func (p *activeRun) windowStats(before, after counters, waits []time.Duration) WindowStats {
+func (r *activeRun) windowStats(before, after counters, waits []time.Duration) WindowStats {
 	window := WindowStats{}
-	window.Fault, _ = p.currentFault.Load().(string)
+	window.Fault, _ = r.currentFault.Load().(string)
 	var setUps, capacity, full float64
-	for s, now := range after.servers {
-		was := before.servers[s]
+	for server, now := range after.servers {
+		was := before.servers[server]
 		setUps += float64(now.SetUps - was.SetUps)
 		full += float64(now.TurnedAway - was.TurnedAway)
 		capacity += now.Capacity - was.Capacity
 		window.Handshakes += now.Handshakes - was.Handshakes
 		window.Probes += now.Probes - was.Probes
-		window.Connections += s.Connections()
+		window.Connections += server.Connections()
 	}
-	chi, servers := 0.0, 0
-	for s, now := range after.servers {
-		was := before.servers[s]
-		part := (now.Capacity - was.Capacity) / max(capacity, 1e-9)
-		if part <= 0 {
+	chiSquare, servers := 0.0, 0
+	for server, now := range after.servers {
+		was := before.servers[server]
+		share := (now.Capacity - was.Capacity) / max(capacity, 1e-9)
+		if share <= 0 {
 			continue
 		}
-		got, due := float64(now.SetUps-was.SetUps), setUps*part
-		chi += (got - due) * (got - due) / max(due, 1e-9)
+		got, expected := float64(now.SetUps-was.SetUps), setUps*share
+		chiSquare += (got - expected) * (got - expected) / max(expected, 1e-9)
 		servers++
-		if due >= 5 {
-			window.PeakLoad = max(window.PeakLoad, got/due)
+		if expected >= 5 {
+			window.PeakLoad = max(window.PeakLoad, got/expected)
 		}
 	}
-	window.SetUpRate = setUps / p.Window.Seconds()
-	window.Dispersion = chi / float64(max(servers-1, 1))
+	window.SetUpRate = setUps / r.Window.Seconds()
+	window.Dispersion = chiSquare / float64(max(servers-1, 1))
 	window.FullShare = full / max(setUps, 1)
 	window.AttemptsPerTry = setUps / math.Max(float64(after.sum.Tries-before.sum.Tries), 1)
 	window.Lost = after.sum.Lost - before.sum.Lost
@@ -252,21 +253,21 @@
 	return window
 }
 
-// injectFaults plays the calm and then each fault with a calm behind it.
-func (p *activeRun) injectFaults(ctx context.Context) error {
-	pause(ctx, p.FaultSpan)
-	for _, name := range p.Faults {
+// injectFaults waits for one fault span, then injects the faults one after another, each for one span.
+func (r *activeRun) injectFaults(ctx context.Context) error {
+	pause(ctx, r.FaultSpan)
+	for _, name := range r.Faults {
 		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 		if i < 0 {
-			return fmt.Errorf("fleet: no fault %q: one of %v", name, FaultNames())
+			return fmt.Errorf("fleet: unknown fault %q, known are %v", name, FaultNames())
 		}
-		p.currentFault.Store(name)
-		until := time.Now().Add(p.FaultSpan)
-		if err := faults[i].inject(p, ctx); err != nil {
+		r.currentFault.Store(name)
+		until := time.Now().Add(r.FaultSpan)
+		if err := faults[i].inject(r, ctx); err != nil {
 			return fmt.Errorf("fleet: %s: %w", name, err)
 		}
 		pause(ctx, time.Until(until))
-		p.currentFault.Store("")
+		r.currentFault.Store("")
 		if ctx.Err() != nil {
 			return errors.New("fleet: stopped")
 		}
@@ -281,22 +282,22 @@
 	}
 }
 
-// Worst is the largest figure of the frames picked.
-func (r Report) Worst(pick func(WindowStats) bool, of func(WindowStats) float64) (most float64) {
-	for _, f := range r.Windows {
-		if pick(f) {
-			most = max(most, of(f))
+// Worst returns the largest value over the picked windows.
+func (r Report) Worst(pick func(WindowStats) bool, of func(WindowStats) float64) (worst float64) {
+	for _, window := range r.Windows {
+		if pick(window) {
+			worst = max(worst, of(window))
 		}
 	}
-	return most
+	return worst
 }
 
-// Mean is the mean figure of the frames picked.
+// Mean returns the mean value over the picked windows.
 func (r Report) Mean(pick func(WindowStats) bool, of func(WindowStats) float64) float64 {
 	sum, n := 0.0, 0
-	for _, f := range r.Windows {
-		if pick(f) {
-			sum, n = sum+of(f), n+1
+	for _, window := range r.Windows {
+		if pick(window) {
+			sum, n = sum+of(window), n+1
 		}
 	}
 	return sum / float64(max(n, 1))
--- a/internal/lab/promiselab/history.go
+++ b/internal/lab/promiselab/history.go
@@ -21,37 +21,38 @@
 	Kind   promise.Op // OpClaim, OpResolve, or "" for a read
 	Call   string
 	Token  string
-	Answer string // of a resolve
+	Answer string // of a resolution
 }
 
-// outcome is what a client was told of an operation.
+// outcome is the result of an operation as its client saw it.
 type outcome struct {
 	Claimed          bool
-	Answer           string // what stands; "" for a read or a claim that met none
-	ClaimedByAnother bool   // a resolve of a call that another has claimed
-	Unknown          bool   // not known whether it took effect
+	Answer           string // the call's answer; "" if a read or a claim found none
+	ClaimedByAnother bool   // a resolution was rejected because another token has claimed the call
+	Unknown          bool   // the client can't know whether the operation took effect
 }
 
-// history records operations with their times; of one whose end is not known the return lies
-// at the end of time, so that it may take effect at any moment, or never.
+// history records operations with their times. An operation with unknown outcome gets the largest
+// possible return time, so that the checker may let it take effect at any time or never.
 type history struct {
 	mu           sync.Mutex
 	startedAt    time.Time
 	ops          []porcupine.Operation
-	promised     map[string]string // call -> answer, of every resolution told as promised
-	claimed      map[string]string // call -> the token told that it alone may send
+	promised     map[string]string // answers by call, of every resolution that a client was promised
+	claimed      map[string]string // by call: the token that was told it alone may send the call
 	doubleClaims []string          // calls that two tokens were told they may send
-	refused      int               // operations answered with no quorum
-	acknowledged int               // claims and resolutions answered by a quorum
+	refused      int               // operations that took no effect: no quorum, or not answered
+	acknowledged int               // claims and resolutions committed by a quorum
 }
 
 func newHistory() *history {
 	return &history{startedAt: time.Now(), promised: map[string]string{}, claimed: map[string]string{}}
 }
 
-// perform plays an operation and records it. It returns the error of one that was not taken.
-func (h *history) perform(client int, in operation, ask func() (outcome, error)) (outcome, error) {
-	begin := time.Since(h.startedAt).Nanoseconds()
+// perform executes an operation and records it. An operation that took no effect is only counted, and
+// its error is returned.
+func (h *history) perform(client int, op operation, ask func() (outcome, error)) (outcome, error) {
+	start := time.Since(h.startedAt).Nanoseconds()
 	out, err := ask()
 	end := time.Since(h.startedAt).Nanoseconds()
 	h.mu.Lock()
@@ -59,53 +60,53 @@
 	switch {
 	case errors.Is(err, promise.ErrEntry):
 		out = outcome{ClaimedByAnother: true}
-	case errors.Is(err, replica.ErrUnknownOutcome) && in.Kind != "":
+	case errors.Is(err, replica.ErrUnknownOutcome) && op.Kind != "":
 		out, end = outcome{Unknown: true}, math.MaxInt64
-	case err != nil: // nothing happened: not taken, or a read without an answer
+	case err != nil: // took no effect, or a read without an answer
 		h.refused++
 		return out, err
 	}
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: begin, Output: out, Return: end})
-	h.recordPromise(in, out)
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: start, Output: out, Return: end})
+	h.recordPromise(op, out)
 	return out, err
 }
 
-// recordPromise keeps what a client was promised, for the check that none of it is lost.
-func (h *history) recordPromise(in operation, out outcome) {
-	if in.Kind != "" && !out.Unknown {
+// recordPromise records what a client was promised, for the later check that nothing is lost.
+func (h *history) recordPromise(op operation, out outcome) {
+	if op.Kind != "" && !out.Unknown {
 		h.acknowledged++
 	}
-	if out.Answer != "" && in.Kind != "" {
-		h.promised[in.Call] = out.Answer
+	if out.Answer != "" && op.Kind != "" {
+		h.promised[op.Call] = out.Answer
 	}
 	if !out.Claimed {
 		return
 	}
-	if t, ok := h.claimed[in.Call]; ok && t != in.Token {
-		h.doubleClaims = append(h.doubleClaims, in.Call)
+	if t, ok := h.claimed[op.Call]; ok && t != op.Token {
+		h.doubleClaims = append(h.doubleClaims, op.Call)
 	}
-	h.claimed[in.Call] = in.Token
+	h.claimed[op.Call] = op.Token
 }
 
-// acknowledgedCount is how many claims and resolutions a quorum has answered so far. Not the calls promised:
-// of those there are only so many, and a fast run has them all before its last fault.
+// acknowledgedCount returns how many claims and resolutions a quorum has committed so far. The number of
+// promised calls would not measure progress: a fast run has resolved all 2000 before its last fault.
 func (h *history) acknowledgedCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.acknowledged
 }
 
-// callModel is one call as package promise promises it: free, claimed by a token, or resolved.
+// callModel is the sequential specification of one call: unclaimed, claimed by a token, or resolved.
 var callModel = porcupine.NondeterministicModel{
 	Partition: partitionByCall,
 	Init:      func() []any { return []any{""} },
 	Step: func(state, in, out any) []any {
-		s, i, o := state.(string), in.(operation), out.(outcome)
-		next, told := transition(s, i)
-		if o.Unknown {
-			return []any{s, next}
+		before, op, seen := state.(string), in.(operation), out.(outcome)
+		next, expected := transition(before, op)
+		if seen.Unknown {
+			return []any{before, next}
 		}
-		if told != o {
+		if expected != seen {
 			return nil
 		}
 		return []any{next}
@@ -114,41 +115,41 @@
 
 const claimPrefix = "claim "
 
-// transition is the call's next state and what its client must be told.
-func transition(state string, in operation) (string, outcome) {
+// transition returns a call's state after an operation and the outcome that the client must see.
+func transition(state string, op operation) (string, outcome) {
 	holder, claimed := strings.CutPrefix(state, claimPrefix)
 	resolved := state != "" && !claimed
 	switch {
-	case in.Kind == "" && resolved:
+	case op.Kind == "" && resolved:
 		return state, outcome{Answer: state}
-	case in.Kind == "":
+	case op.Kind == "":
 		return state, outcome{}
 	case resolved:
 		return state, outcome{Answer: state}
-	case in.Kind == promise.OpClaim && claimed && holder != in.Token:
+	case op.Kind == promise.OpClaim && claimed && holder != op.Token:
 		return promise.AnswerRefused, outcome{Answer: promise.AnswerRefused}
-	case in.Kind == promise.OpClaim:
-		return claimPrefix + in.Token, outcome{Claimed: true}
-	case claimed && holder != in.Token:
+	case op.Kind == promise.OpClaim:
+		return claimPrefix + op.Token, outcome{Claimed: true}
+	case claimed && holder != op.Token:
 		return state, outcome{ClaimedByAnother: true}
 	}
-	return in.Answer, outcome{Answer: in.Answer}
+	return op.Answer, outcome{Answer: op.Answer}
 }
 
 func partitionByCall(ops []porcupine.Operation) (parts [][]porcupine.Operation) {
-	by := map[string][]porcupine.Operation{}
-	for _, o := range ops {
-		c := o.Input.(operation).Call
-		by[c] = append(by[c], o)
+	byCall := map[string][]porcupine.Operation{}
+	for _, op := range ops {
+		call := op.Input.(operation).Call
+		byCall[call] = append(byCall[call], op)
 	}
-	for _, p := range by {
+	for _, p := range byCall {
 		parts = append(parts, p)
 	}
 	return parts
 }
 
-// runClient plays operations on calls drawn from a small set, so that clients race on the same
-// calls, until stop is closed: claims, resolutions with and without a claim, and reads.
+// runClient executes claims, resolutions with and without a claim, and reads until stop is closed. Calls
+// are drawn from a small set, so that clients race on the same calls.
 func (h *history) runClient(ctx context.Context, c *replica.Client, n int, seed uint64, stop <-chan struct{}) {
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
@@ -159,22 +160,22 @@
 			return
 		default:
 		}
-		in := operation{Call: fmt.Sprintf("call-%d", rng.IntN(2000)), Token: fmt.Sprintf("c%d-%d", n, i), Answer: answers[rng.IntN(3)]}
+		op := operation{Call: fmt.Sprintf("call-%d", rng.IntN(2000)), Token: fmt.Sprintf("c%d-%d", n, i), Answer: answers[rng.IntN(3)]}
 		var err error
 		switch rng.IntN(4) {
 		case 0:
-			_, err = h.read(ctx, c, n, in.Call)
+			_, err = h.read(ctx, c, n, op.Call)
 		case 1:
-			_, err = h.propose(ctx, c, n, in, promise.OpResolve)
+			_, err = h.propose(ctx, c, n, op, promise.OpResolve)
 		default:
 			var out outcome
-			if out, err = h.propose(ctx, c, n, in, promise.OpClaim); out.Claimed {
-				_, err = h.propose(ctx, c, n, in, promise.OpResolve)
+			if out, err = h.propose(ctx, c, n, op, promise.OpClaim); out.Claimed {
+				_, err = h.propose(ctx, c, n, op, promise.OpResolve)
 			}
 		}
 		var later *replica.RetryAfterError
 		if errors.As(err, &later) {
-			time.Sleep(later.After / 4) // as told, and sooner for a busier run
+			time.Sleep(later.After / 4) // sooner than told, for more load
 		}
 	}
 }
@@ -186,26 +187,26 @@
 	})
 }
 
-func (h *history) propose(ctx context.Context, c *replica.Client, n int, in operation, kind promise.Op) (outcome, error) {
-	in.Kind = kind
-	e := promise.Entry{Op: kind, Call: in.Call, Token: in.Token, AtUs: time.Now().UnixMicro()}
+func (h *history) propose(ctx context.Context, c *replica.Client, n int, op operation, kind promise.Op) (outcome, error) {
+	op.Kind = kind
+	e := promise.Entry{Op: kind, Call: op.Call, Token: op.Token, AtUs: time.Now().UnixMicro()}
 	if kind == promise.OpResolve {
-		e.Answer, e.Server = in.Answer, "s1"
+		e.Answer, e.Server = op.Answer, "s1"
 	} else {
-		in.Answer = ""
+		op.Answer = ""
 	}
-	return h.perform(n, in, func() (outcome, error) {
+	return h.perform(n, op, func() (outcome, error) {
 		r, err := c.Propose(ctx, e)
 		return outcome{Claimed: r.Claimed, Answer: r.Resolution.Answer}, err
 	})
 }
 
-// checkTimeout bounds the search for an order that explains a history.
+// checkTimeout bounds the search for a linearization.
 const checkTimeout = 30 * time.Second
 
-// checkLinearizable tells whether some order of the operations, each between its call and its return,
-// explains what every client was told (Herlihy and Wing, "Linearizability: a correctness
-// condition for concurrent objects", ACM TOPLAS 12(3), 1990).
+// checkLinearizable reports whether some order of the operations, each taking effect between its call
+// and its return, explains every outcome (Herlihy and Wing, "Linearizability: a correctness condition
+// for concurrent objects", ACM TOPLAS 12(3), 1990).
 func (h *history) checkLinearizable() porcupine.CheckResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -213,7 +214,7 @@
 	return res
 }
 
-// findLost reads every promised resolution back, and names those that are gone or changed.
+// findLost reads every promised resolution back and returns those that are gone or changed.
 func (h *history) findLost(ctx context.Context, c *replica.Client) (lost []string) {
 	defer c.Close()
 	for call, answer := range h.promised {
@@ -225,7 +226,7 @@
 	return lost
 }
 
-// readWithRetry reads a call, again where the group asks to come back.
+// readWithRetry reads a call, and retries while the group asks the client to come back later.
 func readWithRetry(ctx context.Context, c *replica.Client, call string) (r promise.Resolution, found bool, err error) {
 	err = replica.Retry(ctx, func() error {
 		r, found, err = c.Read(ctx, call)
