--- a/agent/observations.go
+++ b/agent/observations.go
@@ -9,9 +9,10 @@
 	"woodrouter/policy"
 )
 
-// Observations collect what an agent observes of the setup servers, by zone, and which calls it is offered.
-// Package failover decides by them where a zone's calls go. They are collected only if Config.ObserveServers
-// is set. The core's actor writes them; Take, RecordCheck and Down may be called from any goroutine.
+// Observations collect what an agent observes of the setup servers, by zone, and how many calls of each class
+// it is offered. Package failover uses them to decide where a zone's calls go. They are collected only if
+// Config.ObserveServers is set. The core's actor writes them; Take, RecordCheck and Down may be called from
+// any goroutine.
 type Observations struct {
 	mu              sync.Mutex
 	since           time.Time
@@ -26,15 +27,15 @@
 	pool           int
 	state          policy.State
 	lines          float64 // lines in its latest report; 0: none reported
-	attempts, full int     // attempts ended since the last Take, and those answered "full"
+	attempts, full int     // attempts ended since the last Take, and those answered "full" or "no free line"
 	unreachable    int     // of the attempts, those that did not reach a live server
-	failuresInRow  int     // consecutive attempts that did not reach a live server
+	failuresInRow  int     // consecutive attempts and checks that did not reach a live server
 	lastFailure    time.Time
 	lastDelay      time.Duration // delay of the latest answer
 }
 
-// downAfterFailures is how many consecutive attempts must fail to reach a server before it counts as down;
-// downPeriod is how long it then counts as down without another failure.
+// downAfterFailures is how many consecutive attempts and checks must fail to reach a server before it counts
+// as down; downPeriod is how long it then counts as down without another failure.
 const (
 	downAfterFailures = 2
 	downPeriod        = 10 * time.Second
@@ -50,13 +51,13 @@
 
 // ZoneObservation summarises one zone's servers since the last Take.
 type ZoneObservation struct {
-	Listed, Up     int
-	Pools          []int    // of the servers listed as up, without duplicates
-	Addresses      []string // of the servers listed as up
-	Capacity       float64  // calls per second, by the lines reported; 0: none reported
-	Attempts, Full float64  // per second: attempts that ended, and those answered "full"
-	Unreachable    float64  // per second: attempts that did not reach a live server
-	Wait           time.Duration
+	Listed, Up     int           // servers listed as up, and those of them that do not count as down
+	Pools          []int         // of the servers listed as up, without duplicates
+	Addresses      []string      // of the servers listed as up
+	Capacity       float64       // calls per second on the lines of the servers in Up; 0: no server reported its lines
+	Attempts, Full float64       // per second: attempts that ended, and those answered "full" or "no free line"
+	Unreachable    float64       // per second: attempts that did not reach a live server
+	Wait           time.Duration // longest delay among the servers' latest answers, which may be older
 }
 
 // Take returns the observations since the last Take by zone, and the calls offered per second by class.
@@ -96,7 +97,7 @@
 		zones[s.zone] = z
 	}
 	for name, z := range zones {
-		// servers without a report count with the mean of the others
+		// a server that reported no lines is taken to have the mean number of the others in its zone
 		if n := reported[name]; n > 0 && o.meanHoldSeconds > 0 {
 			z.Capacity = lines[name] / float64(n) * float64(z.Up) / o.meanHoldSeconds
 			zones[name] = z
@@ -106,7 +107,7 @@
 	return zones, offered
 }
 
-// down reports whether the server counts as down.
+// down applies downAfterFailures and downPeriod.
 func (s *serverObservation) down() bool {
 	return s.failuresInRow >= downAfterFailures && time.Since(s.lastFailure) < downPeriod
 }
@@ -133,7 +134,7 @@
 	s.lastFailure = time.Now()
 }
 
-// The core records by these methods. On nil Observations they do nothing.
+// The core calls recordList, recordCall, recordAttempt and recordReport. On nil Observations they do nothing.
 
 func (o *Observations) recordList(list []Server, whole bool) {
 	if o == nil {
@@ -149,16 +150,16 @@
 		}
 	}
 	for _, s := range list {
-		old := o.servers[s.ID]
+		observed := o.servers[s.ID]
 		if s.State == policy.Gone {
 			delete(o.servers, s.ID)
 			continue
 		}
-		if old == nil || old.address != s.Address {
-			old = &serverObservation{}
-			o.servers[s.ID] = old
+		if observed == nil || observed.address != s.Address {
+			observed = &serverObservation{}
+			o.servers[s.ID] = observed
 		}
-		old.zone, old.address, old.pool, old.state = s.Zone, s.Address, s.Pool, s.State
+		observed.zone, observed.address, observed.pool, observed.state = s.Zone, s.Address, s.Pool, s.State
 	}
 }
 
--- a/internal/faultnet/proc.go
+++ b/internal/faultnet/proc.go
@@ -49,7 +49,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s: runs already", p.Name)
+		return fmt.Errorf("%s: already running", p.Name)
 	}
 	p.starts++
 	fmt.Fprintf(&p.log, "--- %s, start %d\n", p.Name, p.starts)
@@ -89,8 +89,8 @@
 	<-done
 }
 
-// Suspend stops the process until Resume (SIGSTOP): its sockets stay open, but it sends nothing. It does
-// not wait.
+// Suspend pauses the process until Resume (SIGSTOP): its sockets stay open, but it sends nothing. It does
+// not wait until the process is paused.
 func (p *Proc) Suspend() { p.sendSignal(syscall.SIGSTOP) }
 
 // Resume continues a suspended process (SIGCONT).
@@ -137,7 +137,7 @@
 // WipeData removes the data directory, like the loss of a disk. The process must not be running.
 func (p *Proc) WipeData() error {
 	if p.Running() {
-		return fmt.Errorf("%s: wipe while it runs", p.Name)
+		return fmt.Errorf("%s: data directory not removed: the process is running", p.Name)
 	}
 	return os.RemoveAll(p.Data)
 }
@@ -149,7 +149,7 @@
 	return p.log.String()
 }
 
-// lockedLog appends a process's output to its log, under its lock.
+// lockedLog is a writer that appends the output of a process to Proc.log, under Proc.mu.
 type lockedLog struct{ proc *Proc }
 
 func (l *lockedLog) Write(b []byte) (int, error) {
--- a/internal/fleet/placer/placer_test.go
+++ b/internal/fleet/placer/placer_test.go
@@ -12,9 +12,9 @@
 	"woodrouter/failover"
 )
 
-// TestRestrictToZone: a call may use the pools of its zone that its class and route allow. A zone in which
-// this agent sees no live server gives way to the home zone, a zone without an allowed pool to the nearest
-// that has one.
+// TestRestrictToZone: a call may use the pools of its zone that its class and route allow. If this agent sees
+// no live server in the planned zone, the call stays in the home zone. If the zone has no allowed pool, the
+// nearest zone that has one is used.
 func TestRestrictToZone(t *testing.T) {
 	top := failover.Topology{Zones: []failover.Zone{{Name: "a", Region: "r"}, {Name: "b", Region: "r"}, {Name: "c", Region: "s"}}}
 	p, err := New(Config{Mode: "local", Topology: top}, "n1", "a", nil, nil, slog.New(slog.DiscardHandler))
@@ -76,7 +76,8 @@
 }
 
 // TestReconfigure: a distributed document changes topology, settings and durations while the agent runs. It
-// is refused if it contains fields of the agent's own file, or moves the agent to another zone.
+// is refused, and changes nothing, if it has members or another mode or zone than the agent, if its topology
+// lacks the agent's zone, or if a value is invalid.
 func TestReconfigure(t *testing.T) {
 	const zones = "topology: {zones: [{name: a, region: r}, {name: b, region: r}, {name: c, region: s}]"
 	own := Config{Mode: "local", Every: "1s", Topology: failover.Topology{Zones: []failover.Zone{{Name: "a", Region: "r"}}}}
--- a/internal/fleet/quorum/config.go
+++ b/internal/fleet/quorum/config.go
@@ -46,7 +46,7 @@
 // TimingConfig sets raft's timers as Go durations; empty fields are as in DefaultTiming.
 type TimingConfig struct {
 	Heartbeat string `yaml:"heartbeat,omitempty"` // a follower without contact this long calls an election
-	Election  string `yaml:"election,omitempty"`  // a candidate without a leader this long calls another
+	Election  string `yaml:"election,omitempty"`  // a candidate without a leader this long calls another election
 	Commit    string `yaml:"commit,omitempty"`    // the longest wait before followers are told of a commit
 	Lease     string `yaml:"lease,omitempty"`     // a leader without a quorum's contact this long steps down
 }
@@ -108,7 +108,7 @@
 	return err
 }
 
-// Timing holds raft's timers.
+// Timing holds raft's timers, as parsed from a TimingConfig.
 type Timing struct{ Heartbeat, Election, Commit, Lease time.Duration }
 
 // DefaultTiming is for members on one campus: a leader that is killed is replaced within about a
@@ -116,8 +116,8 @@
 var DefaultTiming = Timing{Heartbeat: 300 * time.Millisecond, Election: 300 * time.Millisecond,
 	Commit: 20 * time.Millisecond, Lease: 150 * time.Millisecond}
 
-// ParseDuration parses a field's text into to, and leaves to as it is if the text is empty. An
-// error names the field.
+// ParseDuration parses the text of a field and stores the duration in *to. An empty text leaves
+// *to unchanged. An error names the field.
 func ParseDuration(field, text string, to *time.Duration) error {
 	if text == "" {
 		return nil
--- a/internal/fleet/spreader/gossip.go
+++ b/internal/fleet/spreader/gossip.go
@@ -16,7 +16,8 @@
 
 // gossipTransport is the transport of mode common: the agents exchange messages with one another, each in one
 // datagram of the membership. Every agent can be the steward, and answers any agent that takes it for the
-// steward. mu is held only while the steward handles one message, and no other lock is taken meanwhile.
+// steward. mu is held only for one call of the steward's methods or to access the counters, and no other lock
+// is taken meanwhile.
 type gossipTransport struct {
 	spreader *Spreader
 	members  *members.Members
@@ -49,10 +50,10 @@
 const maxMessageBytes = 64 << 10
 
 func (g *gossipTransport) run(ctx context.Context) {
-	var joined sync.WaitGroup
-	defer joined.Wait()
-	defer g.members.Leave()                         // ends StayJoined
-	joined.Go(func() { g.members.StayJoined(ctx) }) // no summary waits for the answer of a seed
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer g.members.Leave()                             // ends StayJoined
+	background.Go(func() { g.members.StayJoined(ctx) }) // in the background: no summary waits for a seed's answer
 	<-ctx.Done()
 }
 
@@ -87,18 +88,18 @@
 
 // handleMessage handles one message of another agent. An invalid one is counted and ignored.
 func (g *gossipTransport) handleMessage(from string, data []byte) {
-	var n gossipMessage
-	err := json.Unmarshal(data, &n)
+	var message gossipMessage
+	err := json.Unmarshal(data, &message)
 	switch {
 	case len(data) > maxMessageBytes:
-		err = fmt.Errorf("%d bytes", len(data))
-	case err == nil && n.Summary != nil:
-		if err = n.Summary.Valid(); err == nil {
-			g.handleSummary(from, *n.Summary)
+		err = fmt.Errorf("message of %d bytes is too long", len(data))
+	case err == nil && message.Summary != nil:
+		if err = message.Summary.Valid(); err == nil {
+			g.handleSummary(from, *message.Summary)
 		}
-	case err == nil && n.View != nil:
-		if err = n.View.Valid(); err == nil {
-			g.spreader.applyView(*n.View)
+	case err == nil && message.View != nil:
+		if err = message.View.Valid(); err == nil {
+			g.spreader.applyView(*message.View)
 		}
 	case err == nil:
 		err = errors.New("neither a summary nor a view")
--- a/internal/lab/labcli/chain.go
+++ b/internal/lab/labcli/chain.go
@@ -60,9 +60,10 @@
 	Patience time.Duration `help:"How long a caller waits for its answer." default:"3s"`
 }
 
-// run runs the subcommand whose full name is part.
-func (c chainCommand) run(ctx context.Context, part, bin, dir string, out io.Writer) error {
-	switch part {
+// run runs the subcommand with the given full name, such as "chain path". Main itself runs the hidden
+// chain relay.
+func (c chainCommand) run(ctx context.Context, command, bin, dir string, out io.Writer) error {
+	switch command {
 	case "chain path":
 		p := c.Path
 		return chainlab.Path{Bin: bin, Dir: dir, Former: p.Former, Lengths: p.Agents, Rate: p.Rate, Rounds: p.Rounds, WarmUp: p.Warm, Span: p.Span, Seed: p.Seed}.Run(ctx, out)
--- a/internal/routes/check.go
+++ b/internal/routes/check.go
@@ -191,7 +191,7 @@
 func checkPairs(t *Table, parents []int, effective []Limits, refuse func(i int, rule, format string, args ...any)) {
 	index := newMatchIndex(t)
 	for j, route := range t.Routes {
-		index.related(route.Match, func(i int) {
+		index.overlapping(route.Match, func(i int) {
 			a := t.Routes[i]
 			switch {
 			case a.Match == route.Match && i < j:
--- a/internal/servers/bulletin/scripted_test.go
+++ b/internal/servers/bulletin/scripted_test.go
@@ -57,22 +57,23 @@
 	return fmt.Sprintf(`{"no":%d,"roster":{"endpoints":[{"name":"a","address":"x:1","status":%q}]}}`, no, status)
 }
 
-// httpAnswer returns an HTTP answer with events; no is the number of the last event by the answer.
+// httpAnswer returns an HTTP answer with events. no is the number of the answer, normally that of its
+// last event.
 func httpAnswer(no int, items ...string) string {
 	b := fmt.Sprintf(`{"no":%d,"items":[%s]}`, no, strings.Join(items, ","))
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
 }
 
-// TestNoTightLoop guards against a tight loop of polls. It would arise with a bulletin that answers at once
-// without news: with an old number, with events already applied, with none, or with one that it always leaves
-// out.
+// TestNoTightLoop checks that the follower pauses between polls of a bulletin that answers at once but without
+// news: with no events, an old number, events already applied, events that it always leaves out, an error
+// status, two answers to one call, or an item without a roster.
 func TestNoTightLoop(t *testing.T) {
 	for name, answer := range map[string]string{
 		"empty":        httpAnswer(1),
 		"old number":   httpAnswer(0),
 		"already seen": httpAnswer(1, eventJSON(1, "up")),
 		"never comes":  httpAnswer(7),
-		"no answer":    "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
+		"error status": "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n",
 		"two answers":  httpAnswer(1) + httpAnswer(1),
 		"not an event": httpAnswer(1, `{"no":1}`),
 	} {
@@ -91,7 +92,7 @@
 			for range 5 {
 				standin.Next(t, s.queries)
 			}
-			assert.GreaterOrEqual(t, time.Since(began), 3*f.RetryDelay/2, "the first answer had news; there is a pause before the third to the fifth call")
+			assert.GreaterOrEqual(t, time.Since(began), 3*f.RetryDelay/2, "no pause after the first answer, which had news; a pause before each of the third, fourth and fifth call")
 		})
 	}
 }
@@ -102,11 +103,11 @@
 	for _, tc := range []struct {
 		name    string
 		answers []string
-		want    []string
+		want    []string // parts of the updates, in order: name, pool (-1: none) and state (0: up, 1: draining)
 	}{
 		{"comes when asked again", []string{httpAnswer(3, eventJSON(1, "up"), eventJSON(3, "up")), httpAnswer(3, eventJSON(2, "draining"), eventJSON(3, "up"))}, []string{"a -1 0", "a -1 1", "a -1 0"}},
 		{"never comes", []string{httpAnswer(3, eventJSON(1, "up"), eventJSON(3, "draining")), httpAnswer(3, eventJSON(3, "draining"))}, []string{"a -1 0", "a -1 1"}},
-		{"the answer stops short of its number", []string{httpAnswer(2, eventJSON(1, "up")), httpAnswer(2, eventJSON(2, "draining"))}, []string{"a -1 0", "a -1 1"}},
+		{"the answer's number is above its last event", []string{httpAnswer(2, eventJSON(1, "up")), httpAnswer(2, eventJSON(2, "draining"))}, []string{"a -1 0", "a -1 1"}},
 		{"the rest comes in parts", []string{httpAnswer(3, eventJSON(1, "up")), httpAnswer(3, eventJSON(2, "draining")), httpAnswer(3, eventJSON(3, "up"))}, []string{"a -1 0", "a -1 1", "a -1 0"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -155,17 +156,17 @@
 					return false
 				}
 				w.Write([]byte(begin))
-				all := 0
-				for junk := make([]byte, 64<<10); ; all += len(junk) {
+				written := 0
+				for junk := make([]byte, 64<<10); ; written += len(junk) {
 					if _, err := w.Write(junk); err != nil {
 						break
 					}
 				}
-				sent <- all
+				sent <- written
 				return false
 			})
 			c, _ := startFollower(t, s.addr)
-			assert.Less(t, standin.Next(t, sent), maxBodyBytes+maxHeadBytes+(24<<20), "plus what the kernel buffers")
+			assert.Less(t, standin.Next(t, sent), maxBodyBytes+maxHeadBytes+(24<<20), "bytes sent: no more than the limits and what the kernel buffers")
 			c.nextUpdate(t)
 		})
 	}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -16,8 +16,8 @@
 	"guarantees.fallMultiple", "guarantees.tipAfter", "domain.clearWait",
 }
 
-// Check validates the settings of a call agent. It returns one error for each missing field, or, if none is
-// missing, for each field that contradicts another.
+// Check validates the settings of a call agent. Its error names every missing field or, if none is missing,
+// every field that is invalid by itself or contradicts another.
 func Check(text []byte) error {
 	var all map[string]any
 	if err := json.Unmarshal(text, &all); err != nil {
@@ -34,7 +34,7 @@
 		return err
 	}
 	if refused == nil {
-		refused = in.contradictions()
+		refused = in.invalidFields()
 	}
 	return errors.Join(refused...)
 }
@@ -51,8 +51,8 @@
 	return ok && hasField(next, path[1:])
 }
 
-// contradictions returns an error for each field that is invalid by itself or together with others.
-func (in Info) contradictions() (refused []error) {
+// invalidFields returns an error for each field that is invalid by itself or contradicts another.
+func (in Info) invalidFields() (refused []error) {
 	bad := func(field, format string, args ...any) {
 		refused = append(refused, fmt.Errorf("field %s: "+format, append([]any{field}, args...)...))
 	}
@@ -65,7 +65,7 @@
 	}
 	for i, p := range in.Profiles {
 		if p.Name == "" || p.GoalTime <= 0 || p.Deadline <= 0 {
-			bad(fmt.Sprintf("profiles[%d]", i), "%q with an aim of %v and a deadline of %v", p.Name, Micros(p.GoalTime), Micros(p.Deadline))
+			bad(fmt.Sprintf("profiles[%d]", i), "%q with an aim of %v and a deadline of %v: the name must not be empty, and both times must be above 0", p.Name, Micros(p.GoalTime), Micros(p.Deadline))
 		}
 	}
 	if in.Limits.MaxAttempts < 1 {
@@ -78,7 +78,7 @@
 		bad("domain.clearWait", "%v", Micros(in.Domain.ClearWait))
 	}
 	if g.DrainGrace <= in.Resolution { // a drain notice takes at least the delay of one message
-		bad("guarantees.drainGrace", "%v is no more than resolution, %v: no drain could be kept", Micros(g.DrainGrace), Micros(in.Resolution))
+		bad("guarantees.drainGrace", "%v is no more than resolution, %v: agents could not obey a drain in time", Micros(g.DrainGrace), Micros(in.Resolution))
 	}
 	if g.Cold > 0 && (g.FallMultiple <= 0 || g.TipAfter <= 0 || g.ColdFrom <= 0 || g.ColdFrom > 1) {
 		bad("guarantees.cold", "%v with fallMultiple %g, tipAfter %v and coldFrom %g leaves a cold server no budget",
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -83,7 +83,7 @@
 // the first and the last kind never run at the same time. As long as previous is given, the call is therefore
 // claimed at its old owner first and then at its new one. Agents with the old ring and agents with both meet
 // at the old owner; agents with both and agents with the new ring meet at the new owner. The result of one
-// step is carried over to the next, and the result of the last step counts (internal/fleet/keeper).
+// step is carried over to the next, and the result of the last step counts (internal/fleet/promisestore).
 func ClaimSteps(current Ring, previous *Ring, call string) []ClaimStep {
 	newOwner := current.Owner(call)
 	if newOwner < 0 {
