--- a/agent/agent.go
+++ b/agent/agent.go
@@ -56,8 +56,8 @@
 	Spacing     time.Duration // minimum wait after a give-up before the next attempt
 	TimeShare   float64       // fraction of the caller's time that all attempts together may use, in (0, 1]
 	Pools       []int         // pools that the call may use, from those of its class
-	// AttemptTimeout gives each attempt up this long after it was passed to the backend, unless the module's
-	// deadline comes first. The module is then told that the attempt timed out, and its spacing applies.
+	// AttemptTimeout is the time after which an attempt that was passed to the backend is given up, unless the
+	// module's deadline comes first. The module is told that the attempt timed out, so that Spacing applies.
 	AttemptTimeout time.Duration
 }
 
@@ -88,7 +88,7 @@
 	gauges          gauges
 	router          atomic.Pointer[Router] // nil: the settings' limits apply to every call
 	observations    *Observations          // nil: not collected
-	adopted         map[string]*call       // standing calls that another agent answered and this one reported
+	adopted         map[string]*call       // standing calls with another agent's answer (adopt), by id
 	serverByAddress map[string]Server      // the server listed at each address
 }
 
@@ -132,9 +132,10 @@
 }
 
 // Limits per second on passing on ends of unknown calls. A caller's release of an unknown call costs each
-// server a message: its limit is above the number of calls of a busy second, which is what a restart leaves
-// behind per second. A server's end of an unknown call costs one caller a message, and these come all at once
-// on the first connection after a restart: its limit is the number of calls that stand in a busy hour.
+// server a message. After a restart, callers release about as many calls from before it in each second as
+// were set up in a second, so the limit is above the calls of a busy second. A server's end of an unknown call
+// costs one caller a message, and these come all at once on the first connection after a restart, so the limit
+// is the number of calls that stand in a busy hour.
 const (
 	unknownReleasesPerSecond = 200
 	unknownEndsPerSecond     = 2000
@@ -167,7 +168,7 @@
 	front          Front
 	resolved       bool // the call has its final answer, or needs none
 	stands         bool
-	callerLeft     bool // the caller has left or has released the call
+	callerLeft     bool // the caller has left, has released the call or was told of its end
 	attempts       int
 	server         string
 	attemptOut     bool // an attempt is unanswered or stands
--- a/agent/api.go
+++ b/agent/api.go
@@ -73,7 +73,7 @@
 	// Servers updates the server list. whole: servers that are not in the list are gone.
 	Servers(list []Server, whole bool)
 	SetUp(a Attempt)
-	// GiveUp ends an attempt, or the call that stands on it. Ended with the reason why follows once the
+	// GiveUp ends an attempt, or the call that stands on it. Agent.Ended follows with the result why once the
 	// message is written, unless the attempt ended otherwise first.
 	GiveUp(server, id string, n int, why policy.Result)
 	// ReleaseUnknown ends a call that stands at one of the servers when it is not known at which.
--- a/agent/promises.go
+++ b/agent/promises.go
@@ -120,7 +120,7 @@
 // harmless: the caller may retry, and the claim keeps other agents from sending the call.
 const refusalStoreTimeout = 100 * time.Millisecond
 
-// answerStored passes a final answer to the front once it is stored, or the answer that exists in its place.
+// answerStored passes a final answer to the front once it is stored, or the answer that the call already had.
 func (a *Agent) answerStored(c *call, p Promise, result StoreResult, deliver func()) {
 	c.storing = false
 	gone := a.calls[c.ID] != c || c.resolved
--- a/failover/view.go
+++ b/failover/view.go
@@ -31,7 +31,7 @@
 	Up       int     `json:"u"`           // those of Listed that are reachable and answer
 	Capacity float64 `json:"c,omitempty"` // calls per second that they can take from all agents; 0: unknown
 	Tries    float64 `json:"n,omitempty"` // this agent's finished attempts there, per second
-	Dead     float64 `json:"d,omitempty"` // those of Tries that were refused, cut or timed out, per second
+	Dead     float64 `json:"d,omitempty"` // those of Tries that reached no live server (connection refused, cut or timed out), per second
 	Full     float64 `json:"f,omitempty"` // those of Tries that were answered "full", per second
 	WaitMs   float64 `json:"w,omitempty"` // typical time until an answer, in milliseconds
 }
@@ -86,7 +86,7 @@
 	return view
 }
 
-// aggregateHealth combines the observations of one zone by the agents of another.
+// aggregateHealth combines the observations that the agents of one zone have of another zone or of their own.
 func aggregateHealth(list []Sight) Health {
 	var up, capacity []float64
 	tries, full, trying, failing := 0.0, 0.0, 0, 0
@@ -135,7 +135,8 @@
 	return sum
 }
 
-// healthSeenBy returns the health of zone of as observed by the agents of zone by, if any reports on it.
+// healthSeenBy returns the health of one zone (of) as observed by the agents of another or the same zone (by).
+// It returns false if none of them reports on it.
 func (v View) healthSeenBy(by, of string) (Health, bool) {
 	h, ok := v.Health[by][of]
 	return h, ok && h.Seen
--- a/policy/api.go
+++ b/policy/api.go
@@ -113,7 +113,7 @@
 // Server is an entry of the server list.
 type Server struct {
 	ID      string
-	Pool    int // number that calls and classes refer to it by
+	Pool    int // number by which calls and classes refer to it
 	State   State
 	ReadyAt Time // when it last started; 0: long ago
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -17,7 +17,7 @@
 	return min(t, cl.deadline-2*c.settings.BatchInterval)
 }
 
-// mayRetry tells whether a call may get a further attempt that could still stand in time.
+// mayRetry reports whether a call may get a further attempt that could still stand in time.
 func (c *Controller) mayRetry(cl *call) bool {
 	if cl.attempts >= cl.maxAttempts || c.retryBudget < 1 && !cl.freeRetry {
 		return false
@@ -50,7 +50,7 @@
 	}
 }
 
-// anyTrustedOpen tells whether any trusted server is open. The scan resumes at nextOpenIndex, as no server
+// anyTrustedOpen reports whether any trusted server is open. The scan resumes at nextOpenIndex, as no server
 // becomes trusted or open while checkServers runs.
 func (c *Controller) anyTrustedOpen() bool {
 	for ; c.nextOpenIndex < len(c.servers); c.nextOpenIndex++ {
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -17,8 +17,8 @@
 	worth       float64 // of one call, lowered for traffic beyond the tenant's allowance
 }
 
-// call is a call that waits, has an unanswered attempt or stands. Its next attempt is off the retry
-// budget if the latest one was a trial or failed for a reason other than a queue.
+// call is a call that waits, has an unanswered attempt or stands. Its next attempt does not count against
+// the retry budget if the latest one was a trial or failed for a reason other than a queue.
 type call struct {
 	id, number          string
 	group               *callGroup
@@ -110,7 +110,7 @@
 	case Busy:
 		c.markNumberBusy(cl)
 	case NoLines:
-		// It cost the server little. The window is limited to this sender's share of the lines
+		// The refusal cost the server little. The window is limited to this sender's share of the lines
 		// that become free within a delay.
 		gap := c.lineInterval(s)
 		cl.freeRetry, s.outOfLines, s.nextLineAt = true, true, c.now+c.jitter(0.5, gap)
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -9,7 +9,7 @@
 	"woodrouter/spread"
 )
 
-// allows tells whether a server is up and in a pool that the call may use.
+// allows reports whether a server is up and in a pool that the call may use.
 func (c *Controller) allows(cl *call, s *server) bool {
 	return s.State == Up && (cl.group.class.Pools == nil || slices.Contains(cl.group.class.Pools, s.Pool)) &&
 		(cl.pools == nil || slices.Contains(cl.pools, s.Pool))
@@ -73,7 +73,7 @@
 	return s.baseDelay + time.Duration(targetShareOfAim*float64(c.shortestAim))
 }
 
-// open tells whether a server may get one more set-up now.
+// open reports whether a server may get one more set-up now.
 func (c *Controller) open(s *server) bool {
 	if s.State != Up || c.now < s.closedUntil || !c.coldBudgetAllows(s) ||
 		c.now < s.nextLineAt && c.lineState(s).NearlyFull(c.now, c.reportPace) {
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Percent blocking (Berger).
+// Percent blocking (Berger). maxB, fullInterval and reportMaxAge are set by the platform's DESIGN page.
 const (
 	maxB = 0.95 // largest blocking share b
 
@@ -18,14 +18,15 @@
 	// this share of the rate occurs.
 	giveUpRateShare = 0.1
 
-	// Time in which a server's queue should be worked off, and time constant of an observed wait.
+	// Time in which a server's queue should be worked off, and time constant with which an observed wait
+	// decays.
 	queueDrainTime = 2 * time.Second
 )
 
 // Time constants of exponential smoothing.
 const (
 	arrivalTimeConstant  = 15 * time.Second // calls that arrive in each group
-	loadTimeConstant     = 3 * time.Second  // load and flow of a server, and the b while they were measured
+	loadTimeConstant     = 3 * time.Second  // load and flow of a server, and the b in force meanwhile
 	capacityTimeConstant = 4 * time.Second  // capacity of a server
 )
 
@@ -55,7 +56,7 @@
 	servingMaxAge    = 3 * time.Second
 
 	// A server that was silent for this many shortest aims may have restarted, so that it is treated as
-	// cold, but only for this share of the warm-up: by then the server list would have told of a restart.
+	// cold, but only for this share of the warm-up: by its end the server list would show a restart.
 	restartAfterAims   = 3.0
 	restartWarmUpShare = 0.25
 
@@ -86,8 +87,8 @@
 	retriesPerCall  = 0.25 // further attempts that each first attempt adds to the budget
 	maxSavedRetries = 4.0  // largest budget of further attempts
 
-	// The first gap between tries of a busy number is this part of the shortest aim. The gap doubles with
-	// each try, up to the aim.
+	// The first gap between tries of a busy number is the shortest aim divided by this. The gap doubles
+	// with each try, up to the shortest aim.
 	busyGapDivisor = 8
 )
 
--- a/policy/design_test.go
+++ b/policy/design_test.go
@@ -19,7 +19,7 @@
 	b.handle(Ended{ID: "elsewhere", Server: server, Result: OK, Report: r})
 }
 
-// TestOptimumAndRescaleB checks Berger's optimum and the formula that sets b.
+// TestOptimumAndRescaleB checks Berger's optimum and the formula of the DESIGN page for b.
 func TestOptimumAndRescaleB(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(1)...)
 	s := b.c.servers[0]
@@ -307,7 +307,7 @@
 	}
 }
 
-// TestSilentServer checks that a server that stops answering is found by the age of its set-ups and
+// TestSilentServer checks that a server that stops answering is detected by the age of its set-ups and
 // gets single trials, and that its window grows from 1 when it answers again.
 func TestSilentServer(t *testing.T) {
 	b := newHarness(t, testSettings(), upServers(2)...)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -53,11 +53,11 @@
 	case len(set.Classes) == 0:
 		return nil, errors.New("policy: no classes")
 	case set.Senders < 1:
-		return nil, fmt.Errorf("policy: %d senders", set.Senders)
+		return nil, fmt.Errorf("policy: %d senders: at least 1 needed", set.Senders)
 	case set.Rank < 0 || set.Rank >= set.Senders:
 		return nil, fmt.Errorf("policy: rank %d is outside 0 to %d", set.Rank, set.Senders-1)
 	case set.Limits.MaxAttempts < 1:
-		return nil, fmt.Errorf("policy: at most %d attempts: at least 1 needed", set.Limits.MaxAttempts)
+		return nil, fmt.Errorf("policy: maximum of %d attempts: at least 1 needed", set.Limits.MaxAttempts)
 	}
 	r := set.Rules
 	times := []time.Duration{set.RepeatInterval, set.BatchInterval, set.Limits.MaxRetryAfter,
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -85,7 +85,7 @@
 	return found
 }
 
-// call hands a call of class look with server 0 as first choice to the controller.
+// call passes a call of class "look", with server 0 as first choice, to the controller.
 func (b *harness) call(id string) []Action {
 	return b.handle(Arrival{ID: id, Class: "look", TimeLeft: 3 * time.Second, Pool: 0})
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -25,7 +25,7 @@
 	c.readReport(s, e.Report)
 }
 
-// usable tells whether a report contains the figure x.
+// usable reports whether a report contains the figure x.
 func usable(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
 // readLines reads a report of the calls in progress. Their growth, and the number that must have ended
--- a/policy/suspects.go
+++ b/policy/suspects.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// visiblyServing tells whether a server's reports show that it takes calls from any sender, so that
+// visiblyServing reports whether a server's reports show that it takes calls from any sender, so that
 // a few lost set-ups do not make it suspect. It lags by one or two reports.
 func (c *Controller) visiblyServing(s *server) bool {
 	return len(s.unanswered) < lossEvidence && s.queueWait == 0 && s.flow > 0 &&
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -21,8 +21,9 @@
 // decayWeight returns the weight of the last d in exponential smoothing with the time constant span.
 func decayWeight(d, span time.Duration) float64 { return 1 - math.Exp(-float64(d)/float64(span)) }
 
-// rescaleB sets b so that the utilisation falls to the optimum, less what is needed to work off
-// the server's backlog within queueDrainTime. It was measured under the mean of b.
+// rescaleB sets b by the formula of the DESIGN page, so that the utilisation falls to the optimum, less
+// what is needed to work off the server's backlog within queueDrainTime. The utilisation that it takes
+// was measured under the mean of b.
 func (c *Controller) rescaleB(s *server, utilisation float64) {
 	c.setB(s, s.b)
 	if utilisation <= 0 {
--- a/policy/warmup.go
+++ b/policy/warmup.go
@@ -17,9 +17,9 @@
 
 func (s *server) cold(now Time) bool { return now < s.coldUntil }
 
-// coldBudgetAllows tells whether this sender's share of a cold server's budget allows one more set-up.
+// coldBudgetAllows reports whether this sender's share of a cold server's budget allows one more set-up.
 // The budget grows with the least capacity that the server has by now. Unused rights expire so soon
-// that the rights saved up and those that accrue within LoadSpan together stay within the budget.
+// that the rights saved up and those that accrue within LoadWindow together stay within the budget.
 func (c *Controller) coldBudgetAllows(s *server) bool {
 	if !s.cold(c.now) || c.settings.Rules.WarmUp <= 0 {
 		return true
--- a/policy/worth.go
+++ b/policy/worth.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// blocks tells whether b refuses a call at a server. The mean share refused is b, but the calls of
+// blocks reports whether b refuses a call at a server. The mean share refused is b, but the calls of
 // least worth are refused first. All draws of a call use the same random number.
 func (c *Controller) blocks(s *server, cl *call) bool {
 	var below, same, all float64
@@ -20,8 +20,8 @@
 }
 
 // updateWorths counts a new call and sets the worth of each group. A tenant's share of the calls at
-// this sender is taken as its share of the flow of all senders. Traffic beyond its allowance, by
-// more than the statistical error of so few calls, is worth little. Redials are refused before
+// this sender is taken as its share of the flow of all senders. Traffic beyond its allowance is worth
+// little if the excess is larger than the statistical error of so few calls. Redials are refused before
 // first tries, so that callers gain nothing by redialling at once.
 func (c *Controller) updateWorths(arrived *callGroup) {
 	tenants := make([]float64, len(c.settings.Tenants)+1)
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -13,8 +13,8 @@
 // documentSetMagic starts the file in which an agent stores its documents.
 const documentSetMagic = "WRHELD1\n"
 
-// ErrDocumentSet is returned for a stored set that can't be read: it is no such file, truncated, corrupt or
-// of another agent.
+// ErrDocumentSet is returned for a stored set that can't be read: the file is of another kind, truncated,
+// corrupt or of another agent.
 var ErrDocumentSet = errors.New("rollout: stored documents")
 
 // ErrInvalidReply is returned for a reply that no correct control machine sends: it has a document whose
@@ -89,8 +89,8 @@
 	return newDocs, nil
 }
 
-// checkDocument returns an error if a document of a reply is invalid; told has the names of the known
-// revision numbers.
+// checkDocument returns an error if a document of a reply is invalid; told maps each known revision number
+// to the name of its document.
 func (h *DocumentSet) checkDocument(d Document, record *documentRecord, version uint64, told map[uint64]Name) error {
 	known, isKnown := told[d.Revision]
 	switch {
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -198,7 +198,7 @@
 	d.former = slices.Insert(slices.Clone(d.former), index, &archived) // cloned because an Image may share the old list
 }
 
-// enforceBounds drops former revisions until the limits are kept, and updates the set of open documents,
+// enforceBounds drops former revisions until the limits are met, and updates the set of open documents,
 // after a change of d.
 func (s *State) enforceBounds(d *doc) {
 	if d.first != nil || d.waiting != nil {
--- a/rollout/steward.go
+++ b/rollout/steward.go
@@ -85,7 +85,7 @@
 //
 // A waiting revision starts at the agents that pickAgents selects. If no agent of its scope is reachable, it
 // starts without agents and goes to all agents with the next decision. A new controller waits a Patience
-// before it concludes this, because its machine may not have received reports yet.
+// before it concludes that none is reachable, because its machine may not have received reports yet.
 //
 // A revision goes to all agents when each reachable agent of its first stage has stood, that is, has accepted
 // the revision and reported again in the same life at least a Dwell later. Provided that at least one agent
@@ -299,7 +299,7 @@
 	entry.Op, entry.Why = OpHalt, singleLine(fmt.Sprintf(format, args...), MaxHaltWhyBytes)
 }
 
-// observe updates and returns the record of an agent of the stage; r is its last report, nil if there is
+// observe updates and returns the record of an agent of the stage; report is its last one, nil if there is
 // none.
 func (t *firstStage) observe(d *decision, name string, report *Report, key string) *stageAgent {
 	agent := t.agents[name]
@@ -339,7 +339,7 @@
 // failureRate counts calls and those of them that failed.
 type failureRate struct{ calls, failed uint64 }
 
-// add adds calls; of them, at most as many as there are calls count as failed.
+// add adds to both counts. A failed count above the number of calls is lowered to it.
 func (s *failureRate) add(calls, failed uint64) {
 	s.calls += calls
 	s.failed += min(failed, calls)
--- a/spread/alone.go
+++ b/spread/alone.go
@@ -128,7 +128,7 @@
 // FlowShare estimates this sender's part of the joint flow.
 type FlowShare struct{ own rate }
 
-// flowShareWindow is the averaging time of a sender's own flow, which may be one call a second.
+// flowShareWindow is the averaging time of a sender's own flow, which may be as low as one call a second.
 const flowShareWindow = 15 * time.Second
 
 // minFlowShare is the smallest part, relative to an even one, that a sender takes, so that a sender without
--- a/spread/lease.go
+++ b/spread/lease.go
@@ -7,10 +7,10 @@
 )
 
 // Rights to a cold server's budget. All senders together may send a cold server a limited number of set-ups.
-// Each sender owns one part in Senders, whichever other senders are alive, so that no network partition can
-// double the budget. A sender lends its right to the steward for a time and does not use it meanwhile; the
-// steward grants the lent rights to senders with calls. Clocks of different processes are never compared;
-// only their rates are assumed to be equal:
+// Each sender owns an equal part of this budget, one of Config.Senders parts, whichever other senders are
+// alive, so that no network partition can double it. A sender lends its right to the steward for a time and
+// does not use it meanwhile; the steward grants the lent rights to senders with calls. Clocks of different
+// processes are never compared; only their rates are assumed to be equal:
 //
 //   - A summary echoes the latest view that its sender has, so it was sent after that view. The sender does
 //     not use its right for loanPeriods after sending the summary. The steward counts the right as lent for
--- a/spread/remote.go
+++ b/spread/remote.go
@@ -12,8 +12,8 @@
 // alone:
 //
 //   - A server is included in views if more than half of the active senders list it. A single stale list thus
-//     neither keeps a dead server in the views nor drops a live one. A sender adds no server because a view
-//     names it; otherwise the steward would take its own information for that of the senders.
+//     neither keeps a dead server in the views nor drops a live one. A sender does not add a server only
+//     because a view names it; otherwise the steward would count its own information as reports of senders.
 //   - A server's cold budget is the smallest that any active sender reports, so news of a restart takes
 //     effect as soon as it has reached one sender. A wrong report costs a warm server its share for as long
 //     as it is repeated; a report ends by the sender's own clock, at the end of the warm-up that it knows of.
--- a/spread/steward.go
+++ b/spread/steward.go
@@ -374,7 +374,7 @@
 	horizon := (horizonPeriods * w.cfg.period()).Seconds()
 	type candidate struct {
 		server     *jointServer
-		rate, base float64 // time to work off its queue, less the horizon, in seconds
+		rate, base float64 // base: the time to work off its queue at this rate, less the horizon, in seconds
 	}
 	var known ServerTotals
 	for _, server := range w.sorted {
