--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -368,8 +368,8 @@
 // release of such a call to the servers, but that neither happens for a call that this agent has handled.
 func TestUnknownEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, strays := &fakeSides{}, make(chan string, 10)
-		a, err := New(Config{Settings: settings(), OnUnknownEnded: func(id string, err error) { strays <- fmt.Sprint(id, " ", err == nil) }})
+		s, endedCalls := &fakeSides{}, make(chan string, 10)
+		a, err := New(Config{Settings: settings(), OnUnknownEnded: func(id string, err error) { endedCalls <- fmt.Sprint(id, " ", err == nil) }})
 		require.NoError(t, err)
 		a.SetBackend(s)
 		go a.Run()
@@ -383,8 +383,8 @@
 		a.ReleaseUnknown("older")
 		synctest.Wait()
 		require.Equal(t, []string{"release older somewhere"}, s.serverLog())
-		require.Len(t, strays, 2)
-		require.Equal(t, []string{"old true", "cut false"}, []string{<-strays, <-strays})
+		require.Len(t, endedCalls, 2)
+		require.Equal(t, []string{"old true", "cut false"}, []string{<-endedCalls, <-endedCalls})
 	})
 }
 
--- a/rollout/held.go
+++ b/rollout/held.go
@@ -58,14 +58,14 @@
 // revision are ignored. Documents that a whole reply does not list stay: a document is removed only by a
 // revision with Removed set. An error wraps ErrInvalidReply and names the document; in this case nothing is
 // added.
-func (h *DocumentSet) Receive(r WatchReply) (newDocs []Document, err error) {
+func (set *DocumentSet) Receive(r WatchReply) (newDocs []Document, err error) {
 	told, named := map[uint64]Name{}, map[Name]bool{}
-	for n, record := range h.docs {
+	for n, record := range set.docs {
 		told[record.Told.Revision] = n
 	}
 	for _, d := range r.Docs {
-		record := h.docs[d.Name]
-		err := h.checkDocument(d, record, r.Version, told)
+		record := set.docs[d.Name]
+		err := set.checkDocument(d, record, r.Version, told)
 		if named[d.Name] {
 			err = errors.New("field name: listed twice in one reply")
 		}
@@ -78,24 +78,24 @@
 		}
 	}
 	for _, d := range newDocs {
-		record := h.docs[d.Name]
+		record := set.docs[d.Name]
 		if record == nil {
 			record = &documentRecord{}
-			h.docs[d.Name] = record
+			set.docs[d.Name] = record
 		}
 		*record = documentRecord{Told: d, Accepted: cloneDocument(record.accepted())}
 	}
-	h.version = max(h.version, r.Version)
+	set.version = max(set.version, r.Version)
 	return newDocs, nil
 }
 
 // checkDocument returns an error if a document of a reply is invalid; told maps each known revision number
 // to the name of its document.
-func (h *DocumentSet) checkDocument(d Document, record *documentRecord, version uint64, told map[uint64]Name) error {
+func (set *DocumentSet) checkDocument(d Document, record *documentRecord, version uint64, told map[uint64]Name) error {
 	known, isKnown := told[d.Revision]
 	switch {
-	case !d.Name.valid() || !d.Name.Scope.Contains(h.agent):
-		return fmt.Errorf("field name: not a document of agent %s", h.agent.Name)
+	case !d.Name.valid() || !d.Name.Scope.Contains(set.agent):
+		return fmt.Errorf("field name: not a document of agent %s", set.agent.Name)
 	case d.Revision == 0 || d.Revision > version:
 		return fmt.Errorf("field revision: outside 1 to %d, the reply's version", version)
 	case len(d.Text) > MaxTextBytes:
@@ -120,8 +120,8 @@
 // Accept records that the loader accepted a document returned by Receive, which may be a removal. It becomes
 // the last known good revision. A document that was not received, or that is older than the accepted one,
 // changes nothing.
-func (h *DocumentSet) Accept(d Document) {
-	record := h.docs[d.Name]
+func (set *DocumentSet) Accept(d Document) {
+	record := set.docs[d.Name]
 	switch {
 	case record == nil || d.Revision > record.Told.Revision:
 	case d.Revision == record.Told.Revision:
@@ -137,8 +137,8 @@
 // characters replaced by blanks. The revision accepted before stays in force. If the refused revision was
 // accepted earlier, which can happen when a new version of the program loads it after a restart, it does not
 // count as accepted any more.
-func (h *DocumentSet) Refuse(d Document, why string) {
-	record := h.docs[d.Name]
+func (set *DocumentSet) Refuse(d Document, why string) {
+	record := set.docs[d.Name]
 	if record == nil {
 		return
 	}
@@ -152,10 +152,10 @@
 
 // Effective returns the document of a kind that is in force: of the accepted ones that are not removed, the
 // one with the narrowest scope. It returns false if there is none, so that the agent's own file applies.
-func (h *DocumentSet) Effective(kind string) (Document, bool) {
-	scopes := h.agent.scopes()
+func (set *DocumentSet) Effective(kind string) (Document, bool) {
+	scopes := set.agent.scopes()
 	for _, s := range slices.Backward(scopes[:]) {
-		if record := h.docs[Name{kind, s}]; record != nil {
+		if record := set.docs[Name{kind, s}]; record != nil {
 			if d := record.accepted(); d != nil && !d.Removed {
 				return *d, true
 			}
@@ -165,9 +165,9 @@
 }
 
 // KnownRevisions returns the latest received revisions by Name.String(), for WatchArgs.Have.
-func (h *DocumentSet) KnownRevisions() map[string]uint64 {
-	out := make(map[string]uint64, len(h.docs))
-	for n, record := range h.docs {
+func (set *DocumentSet) KnownRevisions() map[string]uint64 {
+	out := make(map[string]uint64, len(set.docs))
+	for n, record := range set.docs {
 		out[n.String()] = record.Told.Revision
 	}
 	return out
@@ -175,10 +175,10 @@
 
 // Report returns the document fields of a Report: the last accepted revisions by Name.String(), and the
 // refused ones among the latest revisions, sorted by name.
-func (h *DocumentSet) Report() (seen map[string]uint64, refused []Refusal) {
-	seen = make(map[string]uint64, len(h.docs))
-	for _, n := range h.names() {
-		record := h.docs[n]
+func (set *DocumentSet) Report() (seen map[string]uint64, refused []Refusal) {
+	seen = make(map[string]uint64, len(set.docs))
+	for _, n := range set.names() {
+		record := set.docs[n]
 		if d := record.accepted(); d != nil {
 			seen[n.String()] = d.Revision
 		}
@@ -191,9 +191,9 @@
 
 // Pending returns the received documents that are neither accepted nor refused yet, sorted by name. After a
 // restart between Receive and Accept or Refuse, they have to be loaded again.
-func (h *DocumentSet) Pending() (out []Document) {
-	for _, n := range h.names() {
-		if record := h.docs[n]; !record.Taken && !record.Refused {
+func (set *DocumentSet) Pending() (out []Document) {
+	for _, n := range set.names() {
+		if record := set.docs[n]; !record.Taken && !record.Refused {
 			out = append(out, record.Told)
 		}
 	}
@@ -201,14 +201,14 @@
 }
 
 // Version returns the highest version of an accepted reply.
-func (h *DocumentSet) Version() uint64 { return h.version }
+func (set *DocumentSet) Version() uint64 { return set.version }
 
 // IsBehind reports whether the replying machine has applied less of the log than the agent has received.
-func (h *DocumentSet) IsBehind(r WatchReply) bool { return r.Version < h.version }
+func (set *DocumentSet) IsBehind(r WatchReply) bool { return r.Version < set.version }
 
 // names returns the names of the documents, sorted.
-func (h *DocumentSet) names() []Name {
-	return slices.SortedFunc(maps.Keys(h.docs), func(a, b Name) int { return strings.Compare(a.String(), b.String()) })
+func (set *DocumentSet) names() []Name {
+	return slices.SortedFunc(maps.Keys(set.docs), func(a, b Name) int { return strings.Compare(a.String(), b.String()) })
 }
 
 // documentSetImage is the JSON form of a DocumentSet.
@@ -220,10 +220,10 @@
 
 // Bytes encodes the set for storage: the magic, the JSON image (documents sorted by name, so that equal sets
 // give equal bytes) and its xxhash64, big-endian, in the last 8 bytes.
-func (h *DocumentSet) Bytes() []byte {
-	setImage := documentSetImage{Agent: h.agent, Version: h.version}
-	for _, n := range h.names() {
-		setImage.Docs = append(setImage.Docs, h.docs[n])
+func (set *DocumentSet) Bytes() []byte {
+	setImage := documentSetImage{Agent: set.agent, Version: set.version}
+	for _, n := range set.names() {
+		setImage.Docs = append(setImage.Docs, set.docs[n])
 	}
 	img, _ := json.Marshal(setImage)
 	return encodeFrame(documentSetMagic, img)
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -325,8 +325,8 @@
 	for i := range data {
 		flipped := bytes.Clone(data)
 		flipped[i] ^= 0x20
-		for _, torn := range [][]byte{data[:i], flipped} {
-			if _, err := Restore(torn); !errors.Is(err, ErrSnapshot) || !strings.Contains(err.Error(), "byte ") {
+		for _, corrupt := range [][]byte{data[:i], flipped} {
+			if _, err := Restore(corrupt); !errors.Is(err, ErrSnapshot) || !strings.Contains(err.Error(), "byte ") {
 				t.Fatalf("at byte %d: %v", i, err)
 			}
 		}
--- a/rollout/steward.go
+++ b/rollout/steward.go
@@ -103,20 +103,20 @@
 //   - all agents of the stage stopped reporting, also those of a second selection, and some of them had
 //     accepted;
 //   - agents restart after they accepted it, so that none has stood within two Patiences.
-func (w *StageController) Decide(s *State, reports []Report, nowUs int64) (out []Entry) {
-	if w.firstAskedUs == 0 {
-		w.firstAskedUs = nowUs
+func (c *StageController) Decide(s *State, reports []Report, nowUs int64) (out []Entry) {
+	if c.firstAskedUs == 0 {
+		c.firstAskedUs = nowUs
 	}
 	if len(s.open) == 0 {
-		clear(w.stages)
+		clear(c.stages)
 		return nil
 	}
-	for n := range w.stages {
+	for n := range c.stages {
 		if !s.open[s.docs[n]] {
-			delete(w.stages, n)
+			delete(c.stages, n)
 		}
 	}
-	d := decision{controller: w, nowUs: nowUs, reports: reports, byName: make(map[string]*Report, len(reports))}
+	d := decision{controller: c, nowUs: nowUs, reports: reports, byName: make(map[string]*Report, len(reports))}
 	for i := range reports {
 		d.byName[reports[i].Agent.Name] = &reports[i]
 	}
@@ -301,17 +301,17 @@
 
 // observe updates and returns the record of an agent of the stage; report is its last one, nil if there is
 // none.
-func (t *firstStage) observe(d *decision, name string, report *Report, key string) *stageAgent {
-	agent := t.agents[name]
+func (s *firstStage) observe(d *decision, name string, report *Report, key string) *stageAgent {
+	agent := s.agents[name]
 	if agent == nil {
 		agent = &stageAgent{firstSeenUs: d.nowUs}
-		t.agents[name] = agent
+		s.agents[name] = agent
 	}
-	if report != nil && report.Seen[key] >= t.revision && (agent.acceptedLives == 0 || agent.atAccept.life != report.Life) {
+	if report != nil && report.Seen[key] >= s.revision && (agent.acceptedLives == 0 || agent.atAccept.life != report.Life) {
 		agent.acceptedLives++
 		agent.acceptedUs, agent.atAccept = report.AtUs, callCounters{report.Life, report.Calls, report.Failed}
-		if t.atFirstAccept == nil {
-			t.atFirstAccept = d.counters()
+		if s.atFirstAccept == nil {
+			s.atFirstAccept = d.counters()
 		}
 	}
 	return agent
@@ -319,8 +319,8 @@
 
 // stood reports whether an agent has reported a dwell or more after it accepted, without a restart in
 // between.
-func (m *stageAgent) stood(report *Report, dwell time.Duration) bool {
-	return report != nil && m.acceptedLives > 0 && m.atAccept.life == report.Life && report.AtUs-m.acceptedUs >= dwell.Microseconds()
+func (agent *stageAgent) stood(report *Report, dwell time.Duration) bool {
+	return report != nil && agent.acceptedLives > 0 && agent.atAccept.life == report.Life && report.AtUs-agent.acceptedUs >= dwell.Microseconds()
 }
 
 // findRefusal returns the reason of an agent's refusal of a revision, as a single line; false if it did not
@@ -340,25 +340,25 @@
 type failureRate struct{ calls, failed uint64 }
 
 // add adds to both counts. A failed count above the number of calls is lowered to it.
-func (s *failureRate) add(calls, failed uint64) {
-	s.calls += calls
-	s.failed += min(failed, calls)
+func (f *failureRate) add(calls, failed uint64) {
+	f.calls += calls
+	f.failed += min(failed, calls)
 }
 
 // addSince adds the increase of an agent's counters. It returns false if the agent has restarted since.
-func (s *failureRate) addSince(was callCounters, r *Report) bool {
+func (f *failureRate) addSince(was callCounters, r *Report) bool {
 	if r.Life != was.life || r.Calls < was.calls || r.Failed < was.failed {
 		return false
 	}
-	s.add(r.Calls-was.calls, r.Failed-was.failed)
+	f.add(r.Calls-was.calls, r.Failed-was.failed)
 	return true
 }
 
 // value returns the share of failed calls, 0 if there were none.
-func (s failureRate) value() float64 { return float64(s.failed) / math.Max(1, float64(s.calls)) }
+func (f failureRate) value() float64 { return float64(f.failed) / math.Max(1, float64(f.calls)) }
 
 // String returns "FAILED of CALLS".
-func (s failureRate) String() string { return fmt.Sprintf("%d of %d", s.failed, s.calls) }
+func (f failureRate) String() string { return fmt.Sprintf("%d of %d", f.failed, f.calls) }
 
 // haltIfWorse proposes a halt if the agents with the revision fail more of their calls than they did before
 // and than other agents do, as described at Decide.
--- a/spread/alone.go
+++ b/spread/alone.go
@@ -72,21 +72,21 @@
 
 // Add adds a server: the set-ups a second that it can take (0: not measured), its lines (0: not known) and
 // its flow in calls a second.
-func (f *ServerTotals) Add(rate, lines, flow float64) {
-	f.Flow += flow
+func (t *ServerTotals) Add(rate, lines, flow float64) {
+	t.Flow += flow
 	if rate > 0 {
-		f.rateSum, f.lineSum, f.measured = f.rateSum+rate, f.lineSum+lines, f.measured+1
+		t.rateSum, t.lineSum, t.measured = t.rateSum+rate, t.lineSum+lines, t.measured+1
 	}
 }
 
 // EstimateRate estimates the set-ups a second that a server with this many lines (0: not known) can take, in
 // proportion to its lines or, if they are not known, as the mean of the measured servers. It returns 0 if
 // nothing was measured.
-func (f ServerTotals) EstimateRate(lines float64) float64 {
-	if f.lineSum > 0 && lines > 0 {
-		return f.rateSum * lines / f.lineSum
+func (t ServerTotals) EstimateRate(lines float64) float64 {
+	if t.lineSum > 0 && lines > 0 {
+		return t.rateSum * lines / t.lineSum
 	}
-	return f.rateSum / max(f.measured, 1)
+	return t.rateSum / max(t.measured, 1)
 }
 
 // SenderInterval returns the time between two actions of one sender if all senders together perform perSecond
@@ -107,21 +107,21 @@
 
 // Duration returns the time between two reports; until it is known, one second, which is usual in
 // deployments.
-func (p ReportInterval) Duration() time.Duration {
-	if p == 0 {
+func (r ReportInterval) Duration() time.Duration {
+	if r == 0 {
 		return time.Second
 	}
-	return time.Duration(p)
+	return time.Duration(r)
 }
 
 // Observe updates the average with the gap between two reports.
-func (p *ReportInterval) Observe(gap time.Duration) {
+func (r *ReportInterval) Observe(gap time.Duration) {
 	switch {
 	case gap <= 0 || gap > maxReportInterval:
-	case *p == 0:
-		*p = ReportInterval(gap)
+	case *r == 0:
+		*r = ReportInterval(gap)
 	default:
-		*p += (ReportInterval(gap) - *p) / 16
+		*r += (ReportInterval(gap) - *r) / 16
 	}
 }
 
@@ -136,17 +136,17 @@
 const minFlowShare = 0.25
 
 // RecordStood counts one call of this sender that came to stand.
-func (p *FlowShare) RecordStood(now Time) {
-	p.own.timeConstant = flowShareWindow
-	p.own.add(now, 1)
+func (f *FlowShare) RecordStood(now Time) {
+	f.own.timeConstant = flowShareWindow
+	f.own.add(now, 1)
 }
 
 // PerSecond returns this sender's rate of calls that come to stand.
-func (p *FlowShare) PerSecond(now Time) float64 { return p.own.perSecond(now) }
+func (f *FlowShare) PerSecond(now Time) float64 { return f.own.perSecond(now) }
 
 // Of returns this sender's part of a joint flow, given in calls a second.
-func (p *FlowShare) Of(now Time, joint float64, senders int) float64 {
-	return min(max(p.PerSecond(now)/max(joint, 1), minFlowShare/float64(max(senders, 1))), 1)
+func (f *FlowShare) Of(now Time, joint float64, senders int) float64 {
+	return min(max(f.PerSecond(now)/max(joint, 1), minFlowShare/float64(max(senders, 1))), 1)
 }
 
 // minCallsToSeeQueue is how many calls within an aim a sender must have for each server to detect a queue
@@ -155,11 +155,11 @@
 
 // Allowed returns the part of each server's rate that a sender may choose to send. It is the whole rate if
 // the sender has enough calls to see the queues itself, otherwise its part of the joint flow.
-func (p *FlowShare) Allowed(now Time, joint float64, senders int, aim time.Duration, servers int) float64 {
-	if p.PerSecond(now)*aim.Seconds() >= minCallsToSeeQueue*float64(servers) {
+func (f *FlowShare) Allowed(now Time, joint float64, senders int, aim time.Duration, servers int) float64 {
+	if f.PerSecond(now)*aim.Seconds() >= minCallsToSeeQueue*float64(servers) {
 		return 1
 	}
-	return p.Of(now, joint, senders)
+	return f.Of(now, joint, senders)
 }
 
 // Allowance limits the set-ups that one sender sends to one server by its own choice: its part of what the
--- a/spread/remote_test.go
+++ b/spread/remote_test.go
@@ -352,7 +352,7 @@
 		{"demand": 180832.125, "grant": 93, "hold": 0, "idle": 92.14999999999752, "out": 1.232305e+06, "rate": 1.0855995560438689e+07, "senders": 73401, "share": 862273.7085373894},
 		{"demand": 67284.625, "grant": 99, "hold": 11.360252817690418, "idle": 53.54999999999962, "out": 128843, "rate": 457214.4155484845, "senders": 27642, "share": 154827.11444911998},
 	} {
-		got := simulateDay(uint64(seed), func(w *Steward, now Time) {
+		got := simulateTraffic(uint64(seed), func(w *Steward, now Time) {
 			demand, lent := 0.0, 0
 			for _, n := range w.senders {
 				demand += n.latest.Demand
@@ -369,9 +369,9 @@
 	}
 }
 
-// simulateDay runs 40 s of traffic and returns sums over the steward's views. Senders join, leave and
+// simulateTraffic runs 40 s of traffic and returns sums over the steward's views. Senders join, leave and
 // restart, summaries and views are lost, rights are lent, and one server is cold for a while.
-func simulateDay(seed uint64, each func(w *Steward, now Time)) map[string]float64 {
+func simulateTraffic(seed uint64, each func(w *Steward, now Time)) map[string]float64 {
 	rng, sum := rand.New(rand.NewPCG(seed, 7)), map[string]float64{}
 	senders, servers := 5+rng.IntN(40), 2+rng.IntN(8)
 	w := NewSteward(Config{Name: "w", Life: 1, Senders: senders})
