--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -17,10 +17,10 @@
 type Config struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
-	Seed     string          `json:"seed"`
+	Seed     string          `json:"seed"` // of the random choices, in hex
 	Limits   Limits          `json:"limits"`
 	Bulletin string          `json:"bulletin"`
-	Known    bulletin.Batch  `json:"known"`
+	Known    bulletin.Batch  `json:"known"` // the list of setup servers to start with
 	Settings json.RawMessage `json:"settings"`
 	Console  string          `json:"console"` // address of the operators' console; "": none
 
--- a/internal/daemon/connlimits.go
+++ b/internal/daemon/connlimits.go
@@ -2,11 +2,11 @@
 
 import "woodrouter/internal/front/connmgr"
 
-// Shares of the machine's file descriptors, as divisors of their number. By the deployment page callers with
-// calls hold at most a third, but idle callers may hold any number of connections; the call API, where it is
-// enabled, has a quarter. Connections that are closing add an eighth to each share of callers. The setup
-// servers get what these and the reserve leave, however many servers are listed, so that callers always find
-// their share free.
+// Shares of the machine's file descriptors, as divisors of their number. The deployment page says that
+// callers with calls hold at most a third, but idle callers may hold any number of connections; the call API,
+// where it is enabled, has a quarter. Connections that are closing add an eighth to each share of callers.
+// The setup servers get what these and the reserve leave, however many servers are listed, so that callers
+// always find their share free.
 const (
 	callersDivisor        = 2
 	callersDivisorWithAPI = 3
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,7 +78,7 @@
 	retryAfter   time.Duration // told to callers whose call the agent can't accept
 }
 
-// ready returns whether the agent accepts callers. If the connection limit does not allow a connection to
+// ready reports whether the agent accepts callers. If the connection limit does not allow a connection to
 // each setup server, at least one must be connected.
 func (d *Daemon) ready() bool {
 	return d.serving.Load() && !d.stopping.Load() && !d.drained.Load() && d.pool.Serves()
@@ -127,8 +127,8 @@
 	}
 	d.pool = trunk.NewPool(trunk.Config{OnSetUpSent: d.setUpSentHook(), ConnectTimeout: settings.Micros(cfg.info.Limits.ConnectTimeout),
 		Aim: cfg.info.ShortestAim(), Probes: cfg.info.Limits.Probes, Source: cfg.source, ExtraConnLimit: d.connLimits.extraServers, MaxConns: d.connLimits.servers,
-		Name: cfg.Name, OnSlotsChanged: func(ids []string, placed bool) {
-			d.core.WithSpread(func(_ policy.Time, s *spread.State) { s.SetConnected(ids, placed) })
+		Name: cfg.Name, OnSlotsChanged: func(ids []string, hasSlot bool) {
+			d.core.WithSpread(func(_ policy.Time, s *spread.State) { s.SetConnected(ids, hasSlot) })
 		}, Log: log}, d.core)
 	d.core.SetBackend(d.pool)
 	d.retryAfter = min(maxBusyRetryAfter, policySettings.Limits.MaxRetryAfter)
@@ -157,10 +157,10 @@
 }
 
 // spreadConfig returns the spread configuration of both the policy and the spreader. They must have the same
-// number of senders, because a steward counts the rights that are lent by it.
-func spreadConfig(file spreader.Config, name string, set policy.Settings) spread.Config {
+// number of senders, because a steward uses that number to count the rights that are lent.
+func spreadConfig(file spreader.Config, name string, policySettings policy.Settings) spread.Config {
 	c := file.SpreadConfig(name, time.Now())
-	c.Rank, c.Senders = set.Rank, set.Senders
+	c.Rank, c.Senders = policySettings.Rank, policySettings.Senders
 	return c
 }
 
--- a/internal/daemon/failover.go
+++ b/internal/daemon/failover.go
@@ -45,20 +45,20 @@
 	return id
 }
 
-// IsMember returns whether this agent's member, which is in a single group, is in the control group.
+// IsMember reports whether this agent's member, which is in a single group, is in the control group.
 func (c *controlGroup) IsMember() bool {
 	g, _ := c.promises.ring().Group(c.id())
 	return slices.ContainsFunc(g.Members, func(m shard.Member) bool { return m.ID == c.promises.member() })
 }
 
-// IsLeader returns whether this agent's member leads the control group.
+// IsLeader reports whether this agent's member leads the control group.
 func (c *controlGroup) IsLeader() bool {
 	n := c.promises.node.Load()
 	return n != nil && n.Leading() && c.IsMember()
 }
 
-func (c *controlGroup) Plan(ctx context.Context, least uint64) (uint64, []byte, error) {
-	r, err := c.promises.store.Group(c.id()).Plan(ctx, least)
+func (c *controlGroup) Plan(ctx context.Context, minEpoch uint64) (uint64, []byte, error) {
+	r, err := c.promises.store.Group(c.id()).Plan(ctx, minEpoch)
 	return r.Epoch, r.Plan, err
 }
 
--- a/internal/fleet/control/conn.go
+++ b/internal/fleet/control/conn.go
@@ -282,27 +282,27 @@
 }
 
 func newMessageReader(r *bufio.Reader) *messageReader {
-	f := &messageReader{}
-	f.Reader = gobframe.Reader{Source: r, MessageLength: func() (whole int, err error) {
-		if f.err == nil {
-			whole, f.err = f.checkHead()
+	m := &messageReader{}
+	m.Reader = gobframe.Reader{Source: r, MessageLength: func() (whole int, err error) {
+		if m.err == nil {
+			whole, m.err = m.checkHead()
 		}
-		return whole, f.err
+		return whole, m.err
 	}}
-	return f
+	return m
 }
 
 // checkHead peeks at a message's head and returns the length of the whole message. It counts type
 // definitions, which are the messages with a negative type id; gob writes those as odd numbers.
-func (f *messageReader) checkHead() (int, error) {
-	size, width, err := f.peekNumber(0)
+func (m *messageReader) checkHead() (int, error) {
+	size, width, err := m.peekNumber(0)
 	if err != nil {
 		return 0, err
 	}
 	if size == 0 || size > maxMessageBytes {
 		return 0, fmt.Errorf("%w: a message of %d bytes, most %d", errBadRequest, size, maxMessageBytes)
 	}
-	id, more, err := f.peekNumber(width)
+	id, more, err := m.peekNumber(width)
 	if err != nil {
 		return 0, err
 	}
@@ -310,7 +310,7 @@
 		return 0, fmt.Errorf("%w: a message of %d bytes ends in its head", errBadRequest, size)
 	}
 	if id&1 == 1 {
-		if f.typeDefinitions++; f.typeDefinitions > maxTypeDefinitions {
+		if m.typeDefinitions++; m.typeDefinitions > maxTypeDefinitions {
 			return 0, fmt.Errorf("%w: more than %d definitions of types", errBadRequest, maxTypeDefinitions)
 		}
 	}
@@ -318,8 +318,8 @@
 }
 
 // peekNumber peeks at a gob unsigned integer at an offset and returns its value and its width in bytes.
-func (f *messageReader) peekNumber(at int) (n uint64, width int, err error) {
-	n, width, err = gobframe.PeekUint(f.Source, at)
+func (m *messageReader) peekNumber(at int) (n uint64, width int, err error) {
+	n, width, err = gobframe.PeekUint(m.Source, at)
 	if errors.Is(err, gobframe.ErrInvalidUint) {
 		err = fmt.Errorf("%w: %w", errBadRequest, err)
 	}
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/members/members.go
@@ -344,7 +344,7 @@
 	n, ok := m.nodes[to]
 	m.nodesMu.RUnlock()
 	if !ok {
-		return fmt.Errorf("%s is no member", to)
+		return fmt.Errorf("%s is not a member", to)
 	}
 	return m.list.SendBestEffort(&n.libraryNode, data)
 }
--- a/internal/fleet/members/seek.go
+++ b/internal/fleet/members/seek.go
@@ -23,7 +23,7 @@
 }
 
 // schedule is a repeated action whose interval changes with the size of the fleet. The action is due once
-// elapsed, counted in intervals, has reached due.
+// elapsed, counted in intervals, has reached due; a negative due has not been drawn yet.
 type schedule struct {
 	elapsed, due float64 // intervals
 	attempts     int     // since the seed went missing
--- a/internal/fleet/placer/placer.go
+++ b/internal/fleet/placer/placer.go
@@ -324,8 +324,8 @@
 }
 
 // RestrictToZone restricts a call's route to the pools of its zone. If that zone has no pool that the call
-// may use, the nearest zone that has one is taken. If none has, the route stays as it is, and the module
-// finds no server.
+// may use, the nearest zone that has one is taken. If none has, the route stays as it is, and package
+// policy finds no server.
 func (p *Placer) RestrictToZone(r agent.Route, classPools []int, class, call string) agent.Route {
 	if p.self.Zone == "" {
 		return r
@@ -365,11 +365,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	home, away = map[string]int64{}, map[string]int64{}
-	for r, n := range p.setUps {
-		if r.Zone == p.self.Zone {
-			home[r.Class] += n
+	for key, n := range p.setUps {
+		if key.Zone == p.self.Zone {
+			home[key.Class] += n
 		} else {
-			away[r.Class] += n
+			away[key.Class] += n
 		}
 	}
 	return home, away
--- a/internal/fleet/quorum/propose.go
+++ b/internal/fleet/quorum/propose.go
@@ -31,7 +31,8 @@
 
 // Propose appends an entry to the log and returns once a quorum holds it and the state machine has
 // applied it. If the answer's outcome is not Committed, the entry is not known to be applied. err is
-// the state machine's refusal of an entry that is in the log.
+// the state machine's refusal of an entry that is in the log. A minority of the members never commits an
+// entry.
 func (m *Member) Propose(data []byte) (result any, a Answer, err error) {
 	if a = m.CheckLeader(); a.Outcome != Committed {
 		return nil, a, nil
--- a/internal/fleet/replica/service.go
+++ b/internal/fleet/replica/service.go
@@ -50,8 +50,8 @@
 type StatusReply struct {
 	ID, State, Leader string
 	Applied           uint64
-	Calls, Claims     int
-	Fence             uint64
+	Calls, Claims     int               // stored resolutions and claims
+	Fence             uint64            // claims by rings of a lower version are refused
 	Epoch             uint64            // of the plan of zones in force; 0: none
 	Drained           []string          // the subjects of the drain orders in force
 	Versions          map[string]string // by kind: plan, settings, routes
--- a/internal/fleet/spreader/machines.go
+++ b/internal/fleet/spreader/machines.go
@@ -43,7 +43,7 @@
 
 // Limits of the exchange with one machine.
 const (
-	viewTimeoutPeriods = 3                // the state has named the next machine by then
+	viewTimeoutPeriods = 3                // periods to wait for a view; the state has named the next machine by then
 	minViewTimeout     = time.Second      // but at least this, also with a short period
 	idleTimeout        = 10 * time.Second // a connection that carried no summary for this long is closed
 	maxRetryDelay      = 2 * time.Second  // before a failed machine is asked again
@@ -52,34 +52,34 @@
 
 // newControlTransport returns the transport to the machines in the file. It does not connect.
 func newControlTransport(s *Spreader, file Config) *controlTransport {
-	w := &controlTransport{spreader: s, machines: map[string]*controlMachine{}}
+	t := &controlTransport{spreader: s, machines: map[string]*controlMachine{}}
 	for _, m := range file.Machines {
-		w.machines[m.ID] = &controlMachine{Machine: m, pending: make(chan spread.Summary, 1)}
+		t.machines[m.ID] = &controlMachine{Machine: m, pending: make(chan spread.Summary, 1)}
 	}
-	return w
+	return t
 }
 
-func (w *controlTransport) run(ctx context.Context) {
+func (t *controlTransport) run(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
-	for _, m := range w.machines {
-		work.Go(func() { w.serveMachine(ctx, m) })
+	for _, m := range t.machines {
+		work.Go(func() { t.serveMachine(ctx, m) })
 	}
 }
 
-func (w *controlTransport) syncState(policy.Time, *spread.State) func() { return func() {} }
+func (t *controlTransport) syncState(policy.Time, *spread.State) func() { return func() {} }
 
-func (w *controlTransport) setPeriod(time.Duration) {}
+func (t *controlTransport) setPeriod(time.Duration) {}
 
 // sendSummary makes the goroutine of a machine send this summary, in place of any that is pending.
-func (w *controlTransport) sendSummary(to string, sum spread.Summary) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if sum.From.Seq <= w.seq { // a later summary has been here already
+func (t *controlTransport) sendSummary(to string, sum spread.Summary) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if sum.From.Seq <= t.seq { // a later summary has been here already
 		return
 	}
-	w.seq, w.lastSteward = sum.From.Seq, to
-	for id, m := range w.machines {
+	t.seq, t.lastSteward = sum.From.Seq, to
+	for id, m := range t.machines {
 		select {
 		case <-m.pending: // an older summary, possibly for a machine that is no longer the steward
 		default:
@@ -91,7 +91,7 @@
 }
 
 // serveMachine sends one machine the summaries meant for it, until ctx ends.
-func (w *controlTransport) serveMachine(ctx context.Context, m *controlMachine) {
+func (t *controlTransport) serveMachine(ctx context.Context, m *controlMachine) {
 	defer m.disconnect()
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -103,25 +103,25 @@
 		case <-idle.C:
 			m.disconnect()
 		case sum := <-m.pending:
-			w.sent.Add(1)
-			if err := w.requestView(ctx, m, sum); err != nil {
-				w.handleFailure(ctx, m, err)
+			t.sent.Add(1)
+			if err := t.requestView(ctx, m, sum); err != nil {
+				t.handleFailure(ctx, m, err)
 			} else if m.failures > 0 {
 				m.failures = 0
-				w.spreader.log.Info("spread: the steward's machine answers again", "machine", m.ID)
+				t.spreader.log.Info("spread: the steward's machine answers again", "machine", m.ID)
 			}
 		}
 	}
 }
 
 // requestView sends one summary, and applies the view in the answer.
-func (w *controlTransport) requestView(ctx context.Context, m *controlMachine, sum spread.Summary) error {
-	timeout := max(viewTimeoutPeriods*time.Duration(w.spreader.period.Load()), minViewTimeout)
+func (t *controlTransport) requestView(ctx context.Context, m *controlMachine, sum spread.Summary) error {
+	timeout := max(viewTimeoutPeriods*time.Duration(t.spreader.period.Load()), minViewTimeout)
 	deadline := time.Now().Add(timeout)
 	if m.conn == nil {
 		dialCtx, cancel := context.WithDeadline(ctx, deadline)
 		defer cancel()
-		conn, err := rpcconn.Dial(dialCtx, w.spreader.source, m.Client, maxViewBytes, &w.bytes)
+		conn, err := rpcconn.Dial(dialCtx, t.spreader.source, m.Client, maxViewBytes, &t.bytes)
 		if err != nil {
 			return err
 		}
@@ -131,13 +131,13 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	var reply stewards.TellReply
-	if err := conn.Call(stewards.Method, &stewards.TellArgs{Service: w.spreader.service, Summary: sum}, &reply, time.Until(deadline)); err != nil {
+	if err := conn.Call(stewards.Method, &stewards.TellArgs{Service: t.spreader.service, Summary: sum}, &reply, time.Until(deadline)); err != nil {
 		return err
 	}
 	if err := checkView(m.ID, sum, reply.View); err != nil {
 		return err
 	}
-	w.spreader.applyView(reply.View)
+	t.spreader.applyView(reply.View)
 	return nil
 }
 
@@ -161,21 +161,21 @@
 // handleFailure closes the connection, unless the machine itself answered with an error. It then waits for a
 // random time before the machine is asked again, so that agents do not all return at once to a machine that
 // starts.
-func (w *controlTransport) handleFailure(ctx context.Context, m *controlMachine, err error) {
+func (t *controlTransport) handleFailure(ctx context.Context, m *controlMachine, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	w.unanswered.Add(1)
+	t.unanswered.Add(1)
 	if errors.Is(err, errInvalidView) || errors.Is(err, rpcconn.ErrTooLarge) || errors.Is(err, rpcconn.ErrSequence) {
-		w.invalid.Add(1)
-		w.spreader.log.Warn("spread: invalid view ignored; connection closed", "machine", m.ID, "error", err)
+		t.invalid.Add(1)
+		t.spreader.log.Warn("spread: invalid view ignored; connection closed", "machine", m.ID, "error", err)
 	} else if m.failures == 0 {
-		w.spreader.log.Warn("spread: the steward's machine does not answer", "machine", m.ID, "error", err)
+		t.spreader.log.Warn("spread: the steward's machine does not answer", "machine", m.ID, "error", err)
 	}
 	if answered := (rpcconn.ServerError{}); !errors.As(err, &answered) {
 		m.disconnect()
 	}
-	maxDelay := min(time.Duration(w.spreader.period.Load())<<min(m.failures, 8), maxRetryDelay)
+	maxDelay := min(time.Duration(t.spreader.period.Load())<<min(m.failures, 8), maxRetryDelay)
 	m.failures++
 	delay := time.NewTimer(time.Duration(rand.Int64N(int64(maxDelay) + 1)))
 	defer delay.Stop()
@@ -193,17 +193,17 @@
 	}
 }
 
-func (w *controlTransport) describe() (by, counts string) {
-	w.mu.Lock()
-	m := w.machines[w.lastSteward]
-	w.mu.Unlock()
+func (t *controlTransport) describe() (by, counts string) {
+	t.mu.Lock()
+	m := t.machines[t.lastSteward]
+	t.mu.Unlock()
 	by = "control machines"
 	if m != nil {
 		by = fmt.Sprintf("control machines, now %s at %s", m.ID, m.Client)
 	}
-	return by, fmt.Sprintf("%d not answered, %d bad", w.unanswered.Load(), w.invalid.Load())
+	return by, fmt.Sprintf("%d not answered, %d bad", t.unanswered.Load(), t.invalid.Load())
 }
 
-func (w *controlTransport) traffic() Traffic {
-	return Traffic{w.sent.Load(), w.bytes.Sent.Load(), w.bytes.Received.Load(), w.unanswered.Load(), w.invalid.Load()}
+func (t *controlTransport) traffic() Traffic {
+	return Traffic{t.sent.Load(), t.bytes.Sent.Load(), t.bytes.Received.Load(), t.unanswered.Load(), t.invalid.Load()}
 }
--- a/internal/fleet/watcher/disk.go
+++ b/internal/fleet/watcher/disk.go
@@ -42,8 +42,8 @@
 	return empty
 }
 
-// writeFileAtomically writes a file so that after a crash at any moment it has either the former content or
-// this, and after the return this.
+// writeFileAtomically writes a file so that a crash at any moment leaves either the former content or data in
+// it. Once it has returned without an error, a crash leaves data.
 func writeFileAtomically(path string, data []byte) error {
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/front/callapi/front.go
+++ b/internal/front/callapi/front.go
@@ -26,7 +26,7 @@
 // options apply to connections that are accepted from now on.
 type options struct {
 	endpoint        ws.Endpoint
-	maxMessageBytes int // of a message
+	maxMessageBytes int
 }
 
 // New returns a front that passes calls to core.
@@ -82,9 +82,9 @@
 // replyWith returns the encoder of the answer to a call's request. The manager calls it once.
 func replyWith(text func(id json.RawMessage) []byte) func(any) []byte {
 	return func(tag any) []byte {
-		t := tag.(pendingRequest)
-		t.session.removePending(t.id)
-		return frame(text(t.id))
+		request := tag.(pendingRequest)
+		request.session.removePending(request.id)
+		return frame(text(request.id))
 	}
 }
 
--- a/internal/front/connmgr/manager.go
+++ b/internal/front/connmgr/manager.go
@@ -30,7 +30,7 @@
 	WriteTimeout        time.Duration // a caller that takes no data for this long is disconnected
 	FirstMessageTimeout time.Duration // a new connection's first message must be complete within this
 	MessageTimeout      time.Duration // a later message must be complete this long after its first byte
-	EvictAfter          time.Duration // at MaxPeers, a connection unused this long, without a call, may close
+	EvictAfter          time.Duration // at MaxPeers, a connection without a call, unused this long, may be evicted
 	IdleTimeout         time.Duration // AwaitMessage returns ErrIdle after this long without a message
 	LingerTimeout       time.Duration // time for a caller to notice that its connection is closing
 	RetryAfter          time.Duration // sent when the agent is too busy; 0: callers ignore it, none is sent
@@ -132,7 +132,7 @@
 	p := newPeer(m, conn)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// each is closed soon, at the latest after WriteTimeout
+	// the wait is short: each of them is closed after WriteTimeout at the latest
 	for !m.closed && m.openConns-len(m.peers) > m.MaxPeers/ClosingDivisor {
 		m.connClosed.Wait()
 	}
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -182,7 +182,7 @@
 			return
 		}
 		if x, err := strconv.Atoi(value); err != nil || x < minimum {
-			invalid = errors.Join(invalid, fmt.Errorf("figure %s: %.40q", name, value))
+			invalid = errors.Join(invalid, fmt.Errorf("figure %s: invalid value %.40q", name, value))
 		} else {
 			*target = x
 		}
--- a/internal/front/isupfront/isupfront_test.go
+++ b/internal/front/isupfront/isupfront_test.go
@@ -238,7 +238,7 @@
 	standin.Next(t, core.Offered)
 }
 
-// TestRetryMark checks that parameter 19 marks a caller's retry, which the module gives less weight.
+// TestRetryMark checks that parameter 19 marks a caller's retry, which package policy gives less weight.
 func TestRetryMark(t *testing.T) {
 	for mark, want := range map[string]bool{"": false, "1": true} {
 		m := isup.Message{Type: isup.SetUp, Call: 3}.WithText(isup.Class, "voice").WithText(isup.TimeLeft, "3000")
--- a/internal/front/ws/frame.go
+++ b/internal/front/ws/frame.go
@@ -110,7 +110,7 @@
 	return err
 }
 
-// ReadFrame reads one frame of a client; a data frame may have at most most bytes of payload.
+// ReadFrame reads one frame of a client; a data frame may have at most maxPayload bytes of payload.
 func ReadFrame(r io.Reader, maxPayload int) (Frame, error) {
 	h, err := readHeader(r)
 	if err != nil {
--- a/internal/front/ws/upgrade.go
+++ b/internal/front/ws/upgrade.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		return respond(http.StatusBadRequest), fmt.Errorf("upgrade request: %w", err)
 	}
-	if no := e.check(req); no != nil {
-		return respond(no.status), no
+	if refused := e.check(req); refused != nil {
+		return respond(refused.status), refused
 	}
 	h := sha1.Sum([]byte(req.Header.Get("Sec-Websocket-Key") + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"))
 	r := "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case head.Seq != c.seq:
-		return fmt.Errorf("%w: %d, asked %d", ErrSequence, head.Seq, c.seq)
+		return fmt.Errorf("%w: sequence number %d, expected %d", ErrSequence, head.Seq, c.seq)
 	case head.Error != "":
 		if err := c.dec.DecodeValue(reflect.Value{}); err != nil { // the empty body after an error
 			return err
@@ -100,25 +100,25 @@
 }
 
 func newBoundedReader(r *bufio.Reader) *boundedReader {
-	f := &boundedReader{}
-	f.Reader = gobframe.Reader{Source: r, MessageLength: f.nextMessage}
-	return f
+	b := &boundedReader{}
+	b.Reader = gobframe.Reader{Source: r, MessageLength: b.nextMessage}
+	return b
 }
 
 // nextMessage returns the length of the next message, prefix included.
-func (f *boundedReader) nextMessage() (int, error) {
-	size, width, err := gobframe.PeekUint(f.Source, 0)
+func (b *boundedReader) nextMessage() (int, error) {
+	size, width, err := gobframe.PeekUint(b.Source, 0)
 	if errors.Is(err, gobframe.ErrInvalidUint) {
 		return 0, fmt.Errorf("%w: %w", ErrTooLarge, err)
 	}
 	if err != nil {
 		return 0, err
 	}
-	if size > uint64(f.remaining) {
-		return 0, fmt.Errorf("%w: a message of %d bytes, %d left of %d", ErrTooLarge, size, f.remaining, f.limit)
+	if size > uint64(b.remaining) {
+		return 0, fmt.Errorf("%w: a message of %d bytes, with %d left of the limit of %d", ErrTooLarge, size, b.remaining, b.limit)
 	}
 	total := width + int(size)
-	f.remaining = max(f.remaining-total, 0)
+	b.remaining = max(b.remaining-total, 0)
 	return total, nil
 }
 
--- a/internal/servers/bulletin/bulletin.go
+++ b/internal/servers/bulletin/bulletin.go
@@ -65,7 +65,7 @@
 		case e.Address == "" && state == policy.Up:
 			return nil, fmt.Errorf("endpoints[%d].address: missing", i)
 		case e.SinceMs < 0:
-			return nil, fmt.Errorf("endpoints[%d].since_ms: %d", i, e.SinceMs)
+			return nil, fmt.Errorf("endpoints[%d].since_ms: %d is negative", i, e.SinceMs)
 		}
 		s := agent.Server{Server: policy.Server{ID: e.Name, Pool: -1, State: state,
 			ReadyAt: policy.Time(e.SinceMs) * time.Millisecond}, Address: e.Address, Zone: e.Zone}
@@ -88,12 +88,12 @@
 	Log        *slog.Logger
 	PollWait   time.Duration // how long the bulletin may delay an answer when there is no news
 	Grace      time.Duration // how much longer the answer may take
-	RetryDelay time.Duration // delay after a failed call
+	RetryDelay time.Duration // delay after a failed request
 	Source     net.Addr      // local address of connections to the bulletin; nil: chosen by the system
 
-	mu         sync.Mutex
-	address    string
-	cancelCall context.CancelFunc // cancels the call in progress
+	mu            sync.Mutex
+	address       string
+	cancelRequest context.CancelFunc // cancels the request in progress
 
 	lastEvent    int64 // number of the last event applied
 	missingEvent int64 // number of the event that was missing from the last answer; 0: none
@@ -103,7 +103,7 @@
 	slowAnswers  int // consecutive answers that were incomplete at their deadline
 }
 
-// SetAddress makes the follower ask the bulletin at another address from now on. The call in progress is
+// SetAddress makes the follower ask the bulletin at another address from now on. The request in progress is
 // cancelled, because the former address may have no more news and still delay its answer.
 func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
@@ -112,17 +112,17 @@
 		return
 	}
 	f.address = address
-	if f.cancelCall != nil {
-		f.cancelCall()
+	if f.cancelRequest != nil {
+		f.cancelRequest()
 	}
 }
 
-// nextCall returns the address for the next call and a context that SetAddress cancels.
-func (f *Follower) nextCall(ctx context.Context) (context.Context, context.CancelFunc, string) {
+// nextRequest returns the address for the next request and a context that SetAddress cancels.
+func (f *Follower) nextRequest(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ctx, f.cancelCall = context.WithCancel(ctx)
-	return ctx, f.cancelCall, f.address
+	ctx, f.cancelRequest = context.WithCancel(ctx)
+	return ctx, f.cancelRequest, f.address
 }
 
 // maxBodyBytes limits the body of an answer, and maxHeadBytes its head.
@@ -135,7 +135,7 @@
 // slowly is read in the end, and one that stops half-way costs no more than the 7 s that the protocol allows.
 const maxGraceDoublings = 2
 
-// maxRetryFactor limits the delay between failed calls, as a multiple of RetryDelay. Hundreds of processes
+// maxRetryFactor limits the delay between failed requests, as a multiple of RetryDelay. Hundreds of processes
 // poll one bulletin, so each delay is also randomized.
 const maxRetryFactor = 8
 
@@ -194,17 +194,17 @@
 	return f.lastEvent > previous && f.missingEvent == 0 || took >= f.PollWait/2, err
 }
 
-// Run polls until ctx ends. A failure or panic ends only one call.
+// Run polls until ctx ends. A failure or panic ends only one request.
 func (f *Follower) Run(ctx context.Context) {
 	defer f.closeConn()
 	failures, lastAddress := 0, ""
 	for ctx.Err() == nil {
-		call, cancel, address := f.nextCall(ctx)
+		requestCtx, cancel, address := f.nextRequest(ctx)
 		if address != lastAddress {
 			f.closeConn()
 			failures, lastAddress = 0, address
 		}
-		atOnce, err := f.poll(call, address)
+		atOnce, err := f.poll(requestCtx, address)
 		if err == nil {
 			if failures > 0 {
 				f.Log.Info("bulletin reached again", "after", failures)
@@ -212,23 +212,23 @@
 			failures = 0
 		} else {
 			f.closeConn()
-			if failures++; failures == 1 && call.Err() == nil {
+			if failures++; failures == 1 && requestCtx.Err() == nil {
 				f.Log.Warn("bulletin not reached", "address", address, "error", err)
 			}
 		}
 		if !atOnce {
-			f.pause(call, failures)
+			f.pause(requestCtx, failures)
 		}
 		cancel()
 	}
 }
 
-// pause waits before the next call, longer with each consecutive failure. It ends early when the address
+// pause waits before the next request, longer with each consecutive failure. It ends early when the address
 // changes.
-func (f *Follower) pause(call context.Context, failures int) {
+func (f *Follower) pause(requestCtx context.Context, failures int) {
 	wait := f.RetryDelay * time.Duration(min(1<<min(max(failures-1, 0), 10), maxRetryFactor))
 	select {
-	case <-call.Done():
+	case <-requestCtx.Done():
 	case <-time.After(wait/2 + rand.N(wait+1)):
 	}
 }
@@ -254,8 +254,8 @@
 	return nil
 }
 
-// poll makes one call. The whole call has one deadline, so that an answer that stops half-way on an open
-// connection does not keep later events from being read.
+// poll makes one request. One deadline covers the request and its answer, so that an answer that stops half-way
+// on an open connection does not keep later events from being read.
 func (f *Follower) poll(ctx context.Context, address string) (atOnce bool, err error) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/servers/trunk/doubt.go
+++ b/internal/servers/trunk/doubt.go
@@ -35,29 +35,29 @@
 }
 
 // timeout returns how long a connection may be silent, given the minimum.
-func (d *adaptiveTimeout) timeout(minimum time.Duration) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(minimum, min(time.Duration(d.factor*float64(minimum)), d.statePeriod+statePeriodMargin))
+func (a *adaptiveTimeout) timeout(minimum time.Duration) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return max(minimum, min(time.Duration(a.factor*float64(minimum)), a.statePeriod+statePeriodMargin))
 }
 
 // recordFalseAlarm lengthens the timeout: a connection presumed stalled has delivered a message.
-func (d *adaptiveTimeout) recordFalseAlarm() { d.scale(falseAlarmFactor) }
+func (a *adaptiveTimeout) recordFalseAlarm() { a.scale(falseAlarmFactor) }
 
 // recordStall shortens the timeout: a connection presumed stalled has stayed silent.
-func (d *adaptiveTimeout) recordStall() { d.scale(stallFactor) }
+func (a *adaptiveTimeout) recordStall() { a.scale(stallFactor) }
 
-func (d *adaptiveTimeout) scale(by float64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.factor = min(max(d.factor*by, 1), maxFactor)
+func (a *adaptiveTimeout) scale(by float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.factor = min(max(a.factor*by, 1), maxFactor)
 }
 
 // observeStatePeriod records the time between two group states on one connection.
-func (d *adaptiveTimeout) observeStatePeriod(gap time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if gap < maxPeriodRatio*d.statePeriod { // a longer gap comes from a connection that was silent
-		d.statePeriod += (gap - d.statePeriod) / 8
+func (a *adaptiveTimeout) observeStatePeriod(gap time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if gap < maxPeriodRatio*a.statePeriod { // a longer gap comes from a connection that was silent
+		a.statePeriod += (gap - a.statePeriod) / 8
 	}
 }
--- a/internal/servers/trunk/link.go
+++ b/internal/servers/trunk/link.go
@@ -27,7 +27,7 @@
 	checkTimer      *time.Timer // fires at nextCheck
 }
 
-// stalled reports whether set-ups have been unanswered for this long, without any message on the connection.
+// stalled reports whether the connection has had unanswered set-ups, and no message, for at least timeout.
 func (l *link) stalled(timeout time.Duration) bool {
 	return l.unanswered > 0 && time.Since(l.lastReceived) >= timeout && time.Since(l.unansweredSince) >= timeout
 }
--- a/internal/servers/trunk/slots.go
+++ b/internal/servers/trunk/slots.go
@@ -184,12 +184,12 @@
 	actor.readDone = l.readDone
 }
 
-// addExtra reports whether a second connection to a server may be opened. If every server can have a slot,
-// limit bounds the connections to all servers.
-func (s *slots) addExtra(actor *serverActor, now, limit int64) bool {
+// addExtra reports whether a second connection to a server may be opened. conns is the number of connections
+// to all servers, the second one included. limit bounds it if every server can have a slot; 0: no limit.
+func (s *slots) addExtra(actor *serverActor, conns, limit int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if limit > 0 && now > limit && s.table.Fits() {
+	if limit > 0 && conns > limit && s.table.Fits() {
 		return false
 	}
 	return s.actors[actor.serverID] != actor || s.table.AddExtra(actor.serverID)
--- a/internal/servers/trunk/trunk.go
+++ b/internal/servers/trunk/trunk.go
@@ -187,12 +187,12 @@
 }
 
 func (sa *serverActor) setUp(a agent.Attempt) {
-	open := sa.server.State == policy.Up && !sa.stopped
-	if open && !sa.acquireSlot(subset.ForCall) { // fail at once: another server may have a slot
+	accepting := sa.server.State == policy.Up && !sa.stopped
+	if accepting && !sa.acquireSlot(subset.ForCall) { // fail at once: another server may have a slot
 		sa.core.Ended(a.ID, a.Index, newFailure(sa.server.ID, agent.Unwritten, policy.NotSent, errNoSlot), policy.EmptyReport())
 		return
 	}
-	if sa.link == nil && open {
+	if sa.link == nil && accepting {
 		sa.waiting = append(sa.waiting, a)
 		// Each set-up has its own timeout, because the dial in progress may have started before it.
 		time.AfterFunc(sa.cfg.ConnectTimeout, func() { sa.post(func() { sa.connectTimedOut(a.ID, a.Index) }) })
